--- a/packages/log/src/kingcuplug_log/__init__.py
+++ b/packages/log/src/kingcuplug_log/__init__.py
@@ -9,7 +9,7 @@
     StorageFailed,
     WrongIdentity,
 )
-from kingcuplug_log._files import DiskFileSystem, FileSystem
+from kingcuplug_log._file_system import DiskFileSystem, FileSystem
 from kingcuplug_log._replica import Replica
 from kingcuplug_log._storage import Storage
 from kingcuplug_log._types import (
--- a/packages/log/src/kingcuplug_log/_applier.py
+++ b/packages/log/src/kingcuplug_log/_applier.py
@@ -1,31 +1,31 @@
-"""Applies committed entries to the machine and takes snapshots."""
+"""Application of committed entries to the state machine, and snapshots."""
 
 import asyncio
 import contextlib
 from typing import Any
 
-from kingcuplug_log._core import Core
 from kingcuplug_log._errors import LostLeadership, StorageFailed
+from kingcuplug_log._replica_state import Core
 from kingcuplug_log._snapshot import Snapshot
 from kingcuplug_log._types import Entry, EntryKind, Machine
 
 __all__ = ["Applier"]
 
-_APPLY_BATCH = 256  # Bounds the time for which the event loop is blocked.
+_APPLY_BATCH = 256  # Limits how long one batch blocks the event loop.
 
 
 class Applier:
-    """Applies entries in order and gives the results to their proposers."""
+    """Applies committed entries in order and completes the pending proposals."""
 
-    def __init__(self, core: Core, machine: Machine) -> None:
-        self._core = core
-        self._storage = core.storage
+    def __init__(self, state: Core, machine: Machine) -> None:
+        self._core = state
+        self._storage = state.storage
         self._machine = machine
         self._waiting: dict[int, tuple[int, asyncio.Future[Any]]] = {}
         self._saving: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
-        """Apply entries for ever as they are committed."""
+        """Apply entries as they are committed, until cancelled."""
         try:
             while True:
                 await self._core.progressed.until(self._has_work)
@@ -37,48 +37,49 @@
                 self._saving.cancel()
 
     async def result(self, index: int, term: int) -> Any:
-        """Return the machine's result for the entry proposed at `index`.
+        """Wait for the state machine's result of the entry proposed at `index`.
 
         Raises
         ------
         LostLeadership
-            If leadership ended first, or another entry was committed there.
+            If leadership ended first, or another entry was committed at `index`.
         """
         future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
         self._waiting[index] = (term, future)
         return await future
 
     def abandon(self) -> None:
-        """Give all proposers an unknown outcome."""
+        """Fail all pending proposals; their outcome is unknown."""
         waiting, self._waiting = self._waiting, {}
         for index, (_, future) in waiting.items():
             if not future.done():
                 future.set_exception(LostLeadership(index))
 
     def install(self, snapshot: Snapshot) -> None:
-        """Replace the machine's state by a snapshot that is already durable."""
-        core = self._core
-        if snapshot.index > core.applied_index:
+        """Replace the state machine's state with a snapshot that is already durable."""
+        state = self._core
+        if snapshot.index > state.applied_index:
             self._machine.load(snapshot.state)
-            core.applied_index = snapshot.index
+            state.applied_index = snapshot.index
         first = max(self._storage.first_index, snapshot.index + 1)
-        core.group.rebuild(snapshot, self._storage.entries(first))
-        core.commit(snapshot.index)
-        core.progressed.notify()
+        state.group.rebuild(snapshot, self._storage.entries(first))
+        state.commit(snapshot.index)
+        state.progressed.notify()
 
     def _has_work(self) -> bool:
-        # While a snapshot is being installed, its entries are already dropped.
-        core = self._core
-        held = self._storage.first_index <= core.applied_index + 1
-        return held and core.commit_index > core.applied_index
+        # While a snapshot is being installed, the entries it covers are already
+        # removed from the log and cannot be applied.
+        state = self._core
+        next_is_stored = self._storage.first_index <= state.applied_index + 1
+        return next_is_stored and state.commit_index > state.applied_index
 
     def _apply_batch(self) -> None:
-        core = self._core
-        count = min(core.commit_index - core.applied_index, _APPLY_BATCH)
-        for entry in self._storage.entries(core.applied_index + 1, count):
+        state = self._core
+        count = min(state.commit_index - state.applied_index, _APPLY_BATCH)
+        for entry in self._storage.entries(state.applied_index + 1, count):
             self._apply(entry)
-        core.metrics.count("log.applied", count)
-        core.progressed.notify()
+        state.metrics.count("log.applied", count)
+        state.progressed.notify()
 
     def _apply(self, entry: Entry) -> None:
         result: Any = None
@@ -86,7 +87,7 @@
         if entry.kind is EntryKind.COMMAND:
             try:
                 result = self._machine.apply(entry.index, entry.data)
-            except Exception as raised:  # The proposer gets it; the log goes on.
+            except Exception as raised:  # Goes to the proposer; later entries apply.
                 error = raised
         self._core.applied_index = entry.index
         self._answer(entry, result, error)
@@ -103,23 +104,23 @@
             future.set_result(result)
 
     def _start_snapshot(self) -> None:
-        core = self._core
-        due = self._storage.snapshot_index + core.settings.snapshot_entries
-        if core.applied_index < due or self._storage.failure:
+        state = self._core
+        due_index = self._storage.snapshot_index + state.settings.snapshot_entries
+        if state.applied_index < due_index or self._storage.failure:
             return
         if self._saving is None or self._saving.done():
             self._saving = asyncio.ensure_future(
-                core.supervise(self._save(self._snapshot()))
+                state.supervise(self._save(self._snapshot()))
             )
 
     def _snapshot(self) -> Snapshot:
-        core = self._core
-        index = core.applied_index
+        state = self._core
+        index = state.applied_index
         return Snapshot(
             index=index,
             term=self._storage.term_at(index) or 0,
-            cluster=core.group.cluster or "",
-            members=core.group.at(index),
+            cluster=state.group.cluster or "",
+            members=state.group.at(index),
             state=self._machine.dump(),
         )
 
--- a/packages/log/src/kingcuplug_log/_elections.py
+++ b/packages/log/src/kingcuplug_log/_elections.py
@@ -1,10 +1,9 @@
-"""Pre-votes and votes."""
+"""Leader elections with pre-votes and votes."""
 
 import asyncio
 from collections.abc import Callable
 
-from kingcuplug_log._core import Core
-from kingcuplug_log._group import majority
+from kingcuplug_log._group_membership import majority
 from kingcuplug_log._messages import (
     Header,
     PreVoteRequest,
@@ -12,36 +11,37 @@
     VoteReply,
     VoteRequest,
 )
+from kingcuplug_log._replica_state import Core
 
 __all__ = ["Elections"]
 
-# Avoids many short sleeps when the replica's clock runs slower than the loop's.
+# Avoids many short sleeps when the replica's clock is slower than the event loop's.
 _SHORTEST_SLEEP_S = 0.001
 
 
 class Elections:
-    """Asks for votes and grants them.
+    """Requests votes from the other voters and grants votes to candidates.
 
-    A pre-vote changes no state, so that a replica that was cut off does not
-    depose a working leader with its greater term when it comes back.
+    A pre-vote changes no state, so a replica that rejoins after a partition does
+    not depose a working leader with a greater term.
     """
 
-    def __init__(self, core: Core) -> None:
-        self._core = core
-        self._storage = core.storage
+    def __init__(self, state: Core) -> None:
+        self._core = state
+        self._storage = state.storage
 
     async def run(self) -> None:
-        """Return once this replica has been elected."""
-        core = self._core
+        """Hold elections until this replica has been elected."""
+        state = self._core
         while True:
-            rest = core.election_at - core.clock()
-            if rest > 0:
-                await asyncio.sleep(max(rest, _SHORTEST_SLEEP_S))
+            remaining_s = state.election_at - state.clock()
+            if remaining_s > 0:
+                await asyncio.sleep(max(remaining_s, _SHORTEST_SLEEP_S))
             elif await self._campaign():
                 return
 
     async def pre_vote(self, request: PreVoteRequest) -> VoteReply:
-        """Answer whether a vote would be granted."""
+        """Reply whether a vote would be granted."""
         granted = (
             request.header.term > self._storage.term
             and not self._core.promised()
@@ -52,7 +52,7 @@
         return VoteReply(self._storage.term, granted)
 
     async def vote(self, request: VoteRequest) -> VoteReply:
-        """Grant or refuse a vote; the answer waits until it is durable."""
+        """Grant or refuse a vote; reply only after the decision is durable."""
         term, candidate = request.header.term, request.header.sender
         if self._core.promised() or not self._may_vote():
             return VoteReply(self._storage.term, False)
@@ -69,55 +69,57 @@
         return VoteReply(self._storage.term, granted)
 
     def _may_vote(self) -> bool:
-        # A replica with an empty log is on a new or lost disk. One that is still
-        # a learner in its own log may vote, because the members entry that makes
-        # it a voter can be missing there.
+        # A replica with an empty log has a new disk, or has lost its former one.
+        # A replica that is a learner in its own log may vote, because its log
+        # can lack the members entry that makes it a voter.
         return self._storage.last_index > 0
 
     def _is_current(self, last_index: int, last_term: int) -> bool:
-        own = (self._storage.last_term, self._storage.last_index)
-        return (last_term, last_index) >= own
+        own_last = (self._storage.last_term, self._storage.last_index)
+        return (last_term, last_index) >= own_last
 
     async def _campaign(self) -> bool:
-        core = self._core
-        core.delay_election()
-        if not core.group.votes(core.member.id) or self._storage.failure:
+        state = self._core
+        state.delay_election()
+        if not state.group.votes(state.member.id) or self._storage.failure:
             return False
         if not await self._poll(self._storage.term + 1, PreVoteRequest):
             return False
-        if core.promised():
+        if state.promised():
             return False
-        core.stand()
+        state.stand()
         await self._storage.persist()
         return await self._poll(self._storage.term, VoteRequest)
 
     async def _poll(
         self, term: int, kind: type[PreVoteRequest] | type[VoteRequest]
     ) -> bool:
-        core, before = self._core, (self._core.role, self._storage.term)
-        last = (self._storage.last_index, self._storage.last_term)
+        state, role_and_term = self._core, (self._core.role, self._storage.term)
+        last_entry = (self._storage.last_index, self._storage.last_term)
 
-        def request(to: str) -> Request:
-            header: Header = core.header(to, term)
-            return kind(header, *last)
+        def make_request(to: str) -> Request:
+            header: Header = state.header(to, term)
+            return kind(header, *last_entry)
 
-        granted = await self._gather(request)
-        return granted and (core.role, self._storage.term) == before
+        granted = await self._gather(make_request)
+        return granted and (state.role, self._storage.term) == role_and_term
 
     async def _gather(self, request: Callable[[str], Request]) -> bool:
-        core = self._core
-        voters = core.group.voters
-        missing = majority(len(voters)) - 1
-        others = [voter.id for voter in voters if voter.id != core.member.id]
-        pending = {asyncio.ensure_future(core.call(request(to))) for to in others}
+        state = self._core
+        voters = state.group.voters
+        votes_needed = majority(len(voters)) - 1
+        other_ids = [voter.id for voter in voters if voter.id != state.member.id]
+        pending = {asyncio.ensure_future(state.call(request(to))) for to in other_ids}
         try:
-            while pending and missing > 0:
+            while pending and votes_needed > 0:
                 done, pending = await asyncio.wait(
                     pending, return_when=asyncio.FIRST_COMPLETED
                 )
                 replies = [call.result() for call in done]
-                missing -= sum(isinstance(r, VoteReply) and r.granted for r in replies)
+                votes_needed -= sum(
+                    isinstance(r, VoteReply) and r.granted for r in replies
+                )
         finally:
             for call in pending:
                 call.cancel()
-        return missing <= 0
+        return votes_needed <= 0
--- a/packages/log/src/kingcuplug_log/_errors.py
+++ b/packages/log/src/kingcuplug_log/_errors.py
@@ -19,30 +19,30 @@
 
 
 class NotLeader(KingcuplugError):
-    """The replica is not the leader, or its lease is over; nothing was done.
+    """The replica is not the leader, or its lease has expired; nothing was done.
 
     Parameters
     ----------
     hint : Member or None
-        The leader as far as this replica knows.
+        The current leader, if this replica knows it.
     """
 
     def __init__(self, hint: "Member | None") -> None:
-        known = hint.id if hint else "unknown"
+        leader_id = hint.id if hint else "unknown"
         super().__init__(
-            f"this replica does not hold the leader's lease; leader: {known}",
+            f"this replica does not hold the leader's lease; leader: {leader_id}",
             "send the request to the leader, or try again after an election",
         )
         self.hint = hint
 
 
 class LostLeadership(KingcuplugError):
-    """The leader lost its term while the entry was in flight; outcome unknown."""
+    """The leadership ended while the entry was in flight; outcome unknown."""
 
     def __init__(self, index: int) -> None:
         super().__init__(
             f"leadership ended before entry {index} was known to be committed",
-            "look the outcome up at the new leader, or repeat an idempotent command",
+            "check the outcome at the new leader, or retry an idempotent command",
         )
         self.index = index
 
@@ -58,7 +58,7 @@
 
 
 class CorruptLog(KingcuplugError):
-    """A file of the data folder holds an invalid record that no crash explains.
+    """A file of the data folder is damaged in a way that a crash cannot cause.
 
     Parameters
     ----------
@@ -71,14 +71,14 @@
     def __init__(self, file: str, offset: int, reason: str) -> None:
         super().__init__(
             f"file {file} is corrupt at offset {offset}: {reason}",
-            "replace the data folder by an empty one and add the host as a new member",
+            "use an empty data folder and add the host as a new member",
         )
         self.file = file
         self.offset = offset
 
 
 class ChangeRefused(KingcuplugError):
-    """A change of members that is not allowed now; nothing was done."""
+    """The membership change is not allowed now; nothing was done."""
 
 
 class BootstrapRefused(KingcuplugError):
--- a/packages/log/src/kingcuplug_log/_fail_stop.py
+++ b/packages/log/src/kingcuplug_log/_fail_stop.py
@@ -1,4 +1,4 @@
-"""Running file operations so that the first failure is final."""
+"""Fail-stop execution of file operations: the first failure is final."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,13 +11,13 @@
 class FailStop:
     """Runs operations one at a time per lock, until one raises `OSError`.
 
-    After that everything raises `StorageFailed`: a failed fsync can drop dirty
-    pages, so that trying again could report success for lost data.
+    After that every operation raises `StorageFailed`: a failed fsync can drop
+    dirty pages, so a retry could report success for lost data.
 
     Attributes
     ----------
     failure : OSError or None
-        The error that ended all operations.
+        The first error, after which all operations fail.
     """
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
     async def run(
         self, lock: asyncio.Lock, operation: Callable[[], Awaitable[None]]
     ) -> None:
-        """Run an operation to its end even if the caller is cancelled."""
+        """Run an operation to completion even if the caller is cancelled."""
         task = asyncio.ensure_future(self._locked(lock, operation))
         self._running.add(task)
         task.add_done_callback(self._forget)
@@ -51,7 +51,7 @@
     def _forget(self, task: asyncio.Task[None]) -> None:
         self._running.discard(task)
         if not task.cancelled():
-            task.exception()  # Retrieved here, as the caller may be gone.
+            task.exception()  # Marks it as retrieved if the caller was cancelled.
 
     async def _locked(
         self, lock: asyncio.Lock, operation: Callable[[], Awaitable[None]]
--- a/packages/log/src/kingcuplug_log/_files.py
+++ b/packages/log/src/kingcuplug_log/_file_system.py
@@ -1,4 +1,4 @@
-"""Access to the files of one data folder."""
+"""File operations on one data folder."""
 
 import asyncio
 import os
@@ -13,7 +13,7 @@
 class FileSystem(Protocol):
     """Files of one data folder, by name.
 
-    Nothing is durable before `sync` (content) and `sync_folder` (names).
+    Content is durable only after `sync`, names only after `sync_folder`.
     All methods raise `OSError`.
     """
 
@@ -42,7 +42,7 @@
         ...
 
     def truncate(self, handle: int, size: int) -> None:
-        """Cut a file to `size` bytes."""
+        """Truncate a file to `size` bytes."""
         ...
 
     def read(self, name: str) -> bytes:
@@ -59,10 +59,10 @@
 
 
 class DiskFileSystem:
-    """A folder on a real disk; writes and syncs run in a thread.
+    """A folder on a real disk; writes and syncs run in a worker thread.
 
-    A stalled disk blocks the thread that writes as well as the one that syncs, so
-    written bytes are kept in memory until the next sync of their file.
+    A stalled disk blocks writes as well as syncs, so written bytes are buffered in
+    memory until the next sync of their file, which writes them in the thread.
 
     Parameters
     ----------
@@ -80,7 +80,7 @@
         return os.open(self._folder / name, _APPEND, 0o600)
 
     def write(self, handle: int, data: bytes) -> None:
-        """Append all of `data` with the next `sync`."""
+        """Buffer `data`, which the next `sync` appends."""
         self._unwritten.setdefault(handle, bytearray()).extend(data)
 
     async def sync(self, handle: int) -> None:
@@ -89,7 +89,7 @@
         await asyncio.to_thread(_write_and_sync, handle, data)
 
     def close(self, handle: int) -> None:
-        """Close a handle; bytes that were not synced are dropped."""
+        """Close a handle and discard the bytes that were not synced."""
         self._unwritten.pop(handle, None)
         os.close(handle)
 
@@ -102,7 +102,7 @@
         await asyncio.to_thread(_sync_folder, self._folder)
 
     def truncate(self, handle: int, size: int) -> None:
-        """Cut a file to `size` bytes."""
+        """Truncate a file to `size` bytes."""
         os.ftruncate(handle, size)
 
     def read(self, name: str) -> bytes:
@@ -119,9 +119,9 @@
 
 
 def _write_and_sync(handle: int, data: bytes) -> None:
-    rest = memoryview(data)
-    while rest:
-        rest = rest[os.write(handle, rest) :]
+    unwritten = memoryview(data)
+    while unwritten:
+        unwritten = unwritten[os.write(handle, unwritten) :]
     os.fsync(handle)
 
 
--- a/packages/log/src/kingcuplug_log/_group.py
+++ b/packages/log/src/kingcuplug_log/_group_membership.py
@@ -1,4 +1,4 @@
-"""The members of the group, as the entries of the log change them."""
+"""Membership of the group, as set by the entries of the log."""
 
 from collections.abc import Iterable, Sequence
 from typing import Any
@@ -10,7 +10,7 @@
 
 
 def majority(count: int) -> int:
-    """Return the size of a quorum of `count` voters."""
+    """Return the size of a majority of `count` voters."""
     return count // 2 + 1
 
 
@@ -20,10 +20,10 @@
 
 
 class Group:
-    """Members by log position; the newest in the log are in force.
+    """Members of the group by log index; the latest in the log are current.
 
     A members entry takes effect when it is appended, not when it is committed, so
-    replacing a suffix of the log also takes its changes back.
+    replacing a suffix of the log also reverts its changes.
 
     Attributes
     ----------
@@ -37,29 +37,29 @@
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """Members in force."""
+        """Current members."""
         return self._versions[-1][1] if self._versions else ()
 
     @property
     def index(self) -> int:
-        """Index of the entry that set the members in force."""
+        """Index of the entry that set the current members."""
         return self._versions[-1][0] if self._versions else 0
 
     @property
     def voters(self) -> tuple[Member, ...]:
-        """Members in force that vote."""
+        """Current members that vote."""
         return tuple(m for m in self.members if m.role is MemberRole.VOTER)
 
     def at(self, index: int) -> tuple[Member, ...]:
-        """Return the members after entry `index`."""
-        found: tuple[Member, ...] = ()
+        """Return the members as of entry `index`."""
+        latest: tuple[Member, ...] = ()
         for start, members in self._versions:
             if start <= index:
-                found = members
-        return found
+                latest = members
+        return latest
 
     def find(self, identifier: str | None) -> Member | None:
-        """Return the member with this identifier."""
+        """Return the current member with this identifier, or ``None``."""
         return next((m for m in self.members if m.id == identifier), None)
 
     def votes(self, identifier: str) -> bool:
@@ -68,7 +68,7 @@
         return member is not None and member.role is MemberRole.VOTER
 
     def rebuild(self, snapshot: Snapshot | None, entries: Sequence[Entry]) -> None:
-        """Start over from a snapshot and the entries held."""
+        """Rebuild the history from a snapshot and the stored entries."""
         if snapshot is not None:
             self.cluster = snapshot.cluster
             self._versions = [(snapshot.index, snapshot.members)]
@@ -78,7 +78,7 @@
             )
 
     def extend(self, entries: Sequence[Entry]) -> None:
-        """Follow entries that replace everything from their first index on."""
+        """Apply entries that replace everything from their first index on."""
         if not entries:
             return
         first = entries[0].index
--- a/packages/log/src/kingcuplug_log/_leadership.py
+++ b/packages/log/src/kingcuplug_log/_leadership.py
@@ -1,59 +1,60 @@
-"""One term of leadership: replication, commit, lease and change of members."""
+"""One term of leadership: replication, commit, lease and membership changes."""
 
 import asyncio
 import math
 from collections.abc import Callable
 from typing import Any
 
-from kingcuplug_log._changes import Changes
-from kingcuplug_log._core import Core
 from kingcuplug_log._errors import NotLeader
-from kingcuplug_log._group import majority
+from kingcuplug_log._group_membership import majority
+from kingcuplug_log._membership_changes import Changes
 from kingcuplug_log._progress import Progress
+from kingcuplug_log._replica_state import Core
 from kingcuplug_log._types import Entry, EntryKind, PeerStatus
 
 __all__ = ["Leadership"]
 
-# After a commit, an idle leader tells its peers this much later, so that the next
-# proposal of a sequential caller goes out with the news.
+# An idle leader sends a new commit index to its peers after this delay, so that it can
+# go out together with the next proposal of a sequential caller.
 _COMMIT_NOTICE_S = 0.005
 
 
 class Leadership:
-    """The state that a replica has only while it leads.
+    """State and tasks that a replica has only while it is the leader.
 
     Attributes
     ----------
     term : int
-        The term that is led.
-    first_index : int
-        The entry that opens the term; nothing of the term is committed before it.
-    changes : Changes
-        Changes of members in this term.
+        Term of this leadership.
+    term_start_index : int
+        Index of the term's first entry, a no-op; no entry of the term is committed
+        before it.
+    membership_changes : Changes
+        Membership changes in this term.
 
     Parameters
     ----------
     on_close : callable
-        Called at the moment when the leadership ends.
+        Called when the leadership ends.
     """
 
-    def __init__(self, core: Core, on_close: Callable[[], None]) -> None:
-        self._core = core
+    def __init__(self, state: Core, on_close: Callable[[], None]) -> None:
+        self._core = state
         self._on_close = on_close
-        self._storage = core.storage
-        self._settings = core.settings
+        self._storage = state.storage
+        self._settings = state.settings
         self._progress: dict[str, Progress] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._active = True
-        self._started_at = core.clock()
+        self._started_at = state.clock()
         self._asked_at = -math.inf
-        self.term = core.storage.term
-        self.first_index = core.storage.last_index + 1
-        self.changes = Changes(core, self)
+        self.term = state.storage.term
+        self.first_index = state.storage.last_index + 1
+        self.changes = Changes(state, self)
 
     @property
     def active(self) -> bool:
-        """Whether this replica still leads the term."""
+        """Whether this replica is still the leader of the term."""
         return self._active and self._storage.failure is None
 
     @property
@@ -67,7 +68,7 @@
         self._on_close()
 
     async def run(self) -> None:
-        """Lead until another term begins or the quorum is out of reach."""
+        """Lead until another term begins or the quorum is unreachable."""
         self.append(EntryKind.NOOP, None)
         async with asyncio.TaskGroup() as tasks:
             writer = tasks.create_task(self._write())
@@ -89,56 +90,59 @@
         return entry.index
 
     async def confirm(self) -> int:
-        """Return a commit index that no later leader can precede.
+        """Return a commit index that includes all commands completed before the call.
 
         Raises
         ------
         NotLeader
-            If neither the lease nor a quorum round confirms the leadership.
+            If neither the lease nor replies from a quorum confirm the leadership.
         """
         timeout = self._settings.election_timeout
         await self._wait(lambda: self.opened, timeout)
-        index, asked_at = self._core.commit_index, self._core.clock()
+        index, requested_at = self._core.commit_index, self._core.clock()
         if not self.lease_valid():
-            self._asked_at = asked_at
+            self._asked_at = requested_at
             self._core.appended.notify()
-            await self._wait(lambda: self.contact_at() >= asked_at, timeout)
+            await self._wait(lambda: self.contact_at() >= requested_at, timeout)
         return index
 
     def contact_at(self) -> float:
-        """Return the time since which a quorum has certainly followed this term."""
+        """Return the latest time since which a quorum has answered a request."""
         voters = self._core.group.voters
         times = sorted((self._answered_at(voter.id) for voter in voters), reverse=True)
         return times[majority(len(times)) - 1]
 
     def lease_valid(self) -> bool:
-        """Return whether no other replica can have been elected yet."""
+        """Return whether the lease rules out that another replica has been elected."""
         age = self._core.clock() - self.contact_at()
         return self.active and self.opened and age < self._settings.lease
 
     def in_contact(self) -> bool:
-        """Return whether the leader should go on: a quorum answers, or may yet."""
+        """Return whether a quorum replied within the election timeout.
+
+        The first election timeout of the leadership counts as contact.
+        """
         since = max(self.contact_at(), self._started_at)
         return self._core.clock() - since < self._settings.election_timeout
 
     def safe_to_lose_one(self) -> bool:
-        """Return whether any one voter can be lost for ever."""
-        count = len(self._core.group.voters)
+        """Return whether any one voter can be lost permanently."""
+        voter_count = len(self._core.group.voters)
         healthy = sum(p.healthy for p in self._progress.values() if p.votes)
         healthy += self._core.group.votes(self._core.member.id)
-        return self.active and healthy - 1 >= majority(count)
+        return self.active and healthy - 1 >= majority(voter_count)
 
     def learners(self) -> list[Progress]:
-        """Return the progress of the learners that are ready to vote."""
+        """Return the progress of the learners that can be promoted."""
         return [p for p in self._progress.values() if p.promotable]
 
     def peers(self) -> tuple[PeerStatus, ...]:
-        """Return the progress of all other members."""
+        """Return the replication status of all other members."""
         return tuple(progress.status() for progress in self._progress.values())
 
     async def _wait(self, condition: Callable[[], bool], timeout: float) -> None:
-        progressed = self._core.progressed
-        await progressed.until(lambda: not self.active or condition(), timeout)
+        changed = self._core.progressed
+        await changed.until(lambda: not self.active or condition(), timeout)
         if not self.active or not condition():
             raise NotLeader(None)
 
@@ -152,40 +156,40 @@
 
     async def _replicate(self, progress: Progress) -> None:
         while self.active:
-            asked_at = self._core.clock()
+            started_at = self._core.clock()
             if await progress.exchange():
                 self._advance()
                 self._core.progressed.notify()
                 await self._idle(progress)
             else:
-                used = self._core.clock() - asked_at
-                await asyncio.sleep(max(0.0, self._settings.heartbeat - used))
+                elapsed_s = self._core.clock() - started_at
+                await asyncio.sleep(max(0.0, self._settings.heartbeat - elapsed_s))
 
     async def _idle(self, progress: Progress) -> None:
-        """Wait for news for a member, or until its next heartbeat."""
-        appended, storage = self._core.appended, self._storage
-        told = self._core.commit_index
+        """Wait until there is something to send to a member, or a heartbeat is due."""
+        log_appended, storage = self._core.appended, self._storage
+        last_commit_index = self._core.commit_index
 
-        def has_news() -> bool:
-            behind = progress.next_index <= storage.last_index
-            asked = progress.answered_at < self._asked_at
-            return behind or asked or not self.active
+        def has_work() -> bool:
+            has_entries = progress.next_index <= storage.last_index
+            needs_confirmation = progress.answered_at < self._asked_at
+            return has_entries or needs_confirmation or not self.active
 
-        if not await appended.until(has_news, _COMMIT_NOTICE_S):
-            if self._core.commit_index != told:
+        if not await log_appended.until(has_work, _COMMIT_NOTICE_S):
+            if self._core.commit_index != last_commit_index:
                 return
-            await appended.until(has_news, self._settings.heartbeat)
+            await log_appended.until(has_work, self._settings.heartbeat)
 
     def _update_peers(self, tasks: asyncio.TaskGroup) -> None:
-        wanted = {m.id: m for m in self._core.group.members}
-        wanted.pop(self._core.member.id, None)
-        for removed in [known for known in self._tasks if known not in wanted]:
-            self._tasks.pop(removed).cancel()
-            del self._progress[removed]
-        for added in [member for member in wanted if member not in self._tasks]:
-            progress = Progress(self._core, wanted[added], self.term)
-            self._progress[added] = progress
-            self._tasks[added] = tasks.create_task(self._replicate(progress))
+        peers = {m.id: m for m in self._core.group.members}
+        peers.pop(self._core.member.id, None)
+        for removed_id in [peer_id for peer_id in self._tasks if peer_id not in peers]:
+            self._tasks.pop(removed_id).cancel()
+            del self._progress[removed_id]
+        for added_id in [peer_id for peer_id in peers if peer_id not in self._tasks]:
+            progress = Progress(self._core, peers[added_id], self.term)
+            self._progress[added_id] = progress
+            self._tasks[added_id] = tasks.create_task(self._replicate(progress))
 
     def _is_due(self) -> bool:
         return not self.active or self.changes.due()
@@ -205,12 +209,16 @@
         return progress.answered_at if progress else -math.inf
 
     def answers(self, identifier: str) -> bool:
-        """Return whether a member answered within the election timeout."""
+        """Return whether a member replied within the election timeout."""
         age = self._core.clock() - self._answered_at(identifier)
         return age < self._settings.election_timeout
 
     def _advance(self) -> None:
-        """Commit what a quorum has synced, if it is of this term."""
+        """Commit the entries that a quorum has synced.
+
+        Only an entry of this term is committed by counting replicas; a later leader
+        could still replace an entry of an older term.
+        """
         voters = self._core.group.voters
         if not self.active or not voters:
             return
--- a/packages/log/src/kingcuplug_log/_changes.py
+++ b/packages/log/src/kingcuplug_log/_membership_changes.py
@@ -1,11 +1,11 @@
-"""Changes of the group's members, one at a time."""
+"""Membership changes of the group, one at a time."""
 
 import dataclasses
 from typing import TYPE_CHECKING
 
-from kingcuplug_log._core import Core
 from kingcuplug_log._errors import ChangeRefused
-from kingcuplug_log._group import majority, members_data
+from kingcuplug_log._group_membership import majority, members_data
+from kingcuplug_log._replica_state import Core
 from kingcuplug_log._types import EntryKind, Member, MemberRole
 
 if TYPE_CHECKING:
@@ -15,27 +15,28 @@
 
 
 class Changes:
-    """Adds, promotes and removes members while this replica leads.
+    """Adds, promotes and removes members while this replica is the leader.
 
-    A change begins only when the one before it and an entry of the leader's own
-    term are committed, so that any two quorums of successive groups overlap.
+    A change starts only after the previous change and an entry of the leader's own
+    term are committed, so that the quorums of successive configurations overlap.
     """
 
-    def __init__(self, core: Core, leadership: "Leadership") -> None:
-        self._core = core
+    def __init__(self, state: Core, leadership: "Leadership") -> None:
+        self._core = state
         self._leadership = leadership
 
     def start(self, add: Member | None, remove: str | None) -> int:
-        """Start a change of members and return the index of its entry.
+        """Start a membership change and return the index of its entry.
 
         Raises
         ------
         ChangeRefused
-            If another change is in progress, or the change makes no sense now.
+            If another change is in progress, or the change is not valid for the
+            current members.
         """
         if not self._may_change():
             raise ChangeRefused(
-                "another change of members is in progress, or the term has just begun",
+                "another membership change is in progress, or the term has just begun",
                 "try again when status() shows the change as committed",
             )
         if add is not None:
@@ -49,7 +50,7 @@
         return applied and not group.votes(self._core.member.id)
 
     def _ready(self) -> Member | None:
-        """Return a learner that can be promoted now."""
+        """Return a learner that can be promoted now, or ``None``."""
         if not self._may_change():
             return None
         for progress in self._leadership.learners():
@@ -76,39 +77,39 @@
         learner = add
         if add.role is MemberRole.VOTER:
             learner = dataclasses.replace(add, role=MemberRole.LEARNER)
-        known = self._core.group.find(add.id)
-        if known is None:
+        existing = self._core.group.find(add.id)
+        if existing is None:
             return (*self._core.group.members, learner)
-        if known.role is add.role and known.address != add.address:
+        if existing.role is add.role and existing.address != add.address:
             return self._replaced(add)
-        if known.role is MemberRole.OBSERVER and learner.role is MemberRole.LEARNER:
+        if existing.role is MemberRole.OBSERVER and learner.role is MemberRole.LEARNER:
             return self._replaced(learner)
         raise ChangeRefused(
-            f"{add.id} is a member already, with role {known.role}",
-            "remove it first, or give another address or a voting role",
+            f"{add.id} is already a member, with role {existing.role}",
+            "remove it first, or specify another address or a voting role",
         )
 
-    def _without(self, remove: str) -> tuple[Member, ...]:
+    def _without(self, identifier: str) -> tuple[Member, ...]:
         group = self._core.group
-        if group.find(remove) is None:
+        if group.find(identifier) is None:
             raise ChangeRefused(
-                f"{remove} is not a member", "see status() for the members"
+                f"{identifier} is not a member", "see status() for the members"
             )
-        rest = [voter.id for voter in group.voters if voter.id != remove]
-        answering = sum(self._leadership.answers(voter) for voter in rest)
-        if not rest or answering < majority(len(rest)):
+        remaining = [voter.id for voter in group.voters if voter.id != identifier]
+        responsive = sum(self._leadership.answers(voter) for voter in remaining)
+        if not remaining or responsive < majority(len(remaining)):
             raise ChangeRefused(
-                f"only {answering} of the {len(rest)} voters left would answer",
-                "bring the other voters back, or add a voter first",
+                f"only {responsive} of the {len(remaining)} remaining voters respond",
+                "restart the other voters, or add a voter first",
             )
-        return tuple(m for m in group.members if m.id != remove)
+        return tuple(m for m in group.members if m.id != identifier)
 
     def due(self) -> bool:
-        """Return whether the leader has something to do about its members."""
+        """Return whether the leader must step down or promote a learner."""
         return self.removed() or self._ready() is not None
 
     def promote(self) -> None:
-        """Make a learner that is caught up and synced a voter."""
+        """Make a learner that is caught up and synced a voter, if there is one."""
         member = self._ready()
         if member is not None:
             promoted = dataclasses.replace(member, role=MemberRole.VOTER)
--- a/packages/log/src/kingcuplug_log/_messages.py
+++ b/packages/log/src/kingcuplug_log/_messages.py
@@ -1,7 +1,7 @@
 """Messages between replicas.
 
-Every request names the identity it is meant for, so that a host that came back
-with an empty disk never answers for its old identity.
+Every request names the member id of its recipient, so that a host that restarts with
+an empty disk never replies under its former identity.
 """
 
 from dataclasses import dataclass
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Header:
-    """Fields of every request."""
+    """Cluster, sender, recipient and term of every request."""
 
     cluster: str
     sender: str
@@ -81,9 +81,9 @@
     Attributes
     ----------
     match_index : int
-        Last index that equals the leader's log and is synced here.
+        Last index up to which the log matches the leader's and is synced.
     next_index : int
-        Where the leader shall go on after a mismatch.
+        Index from which the leader resumes after a mismatch.
     """
 
     term: int
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True)
 class InstallRequest:
-    """Carries one part of a snapshot, as base64 text."""
+    """Carries one chunk of a snapshot, as base64 text."""
 
     header: Header
     index: int
@@ -106,12 +106,12 @@
 
 @dataclass(frozen=True)
 class InstallReply:
-    """Answers one part of a snapshot.
+    """Answers one chunk of a snapshot.
 
     Attributes
     ----------
     offset : int
-        Bytes held so far; the next part starts here.
+        Bytes received so far; the next chunk starts here.
     done : bool
         Whether the snapshot is installed and synced.
     """
@@ -123,7 +123,7 @@
 
 @dataclass(frozen=True)
 class Rejected:
-    """Answers a request that this replica must not act on."""
+    """Answers a request that this replica must not process."""
 
     reason: str
 
--- a/packages/log/src/kingcuplug_log/_progress.py
+++ b/packages/log/src/kingcuplug_log/_progress.py
@@ -1,9 +1,8 @@
-"""What a leader knows of one other member, and the messages to it."""
+"""Replication from a leader to one other member."""
 
 import base64
 import math
 
-from kingcuplug_log._core import Core
 from kingcuplug_log._messages import (
     AppendReply,
     AppendRequest,
@@ -11,6 +10,7 @@
     InstallRequest,
     Reply,
 )
+from kingcuplug_log._replica_state import Core
 from kingcuplug_log._types import Member, MemberRole, PeerStatus
 
 __all__ = ["Progress"]
@@ -19,50 +19,50 @@
 
 
 class Progress:
-    """Replication to one other member in one term.
+    """Replication progress of one other member in one term.
 
     Attributes
     ----------
     match_index : int
-        The member has synced everything up to here.
-    answered_at : float
-        Send time, on the leader's clock, of the newest message that was answered.
+        Index up to which the member has synced the leader's log.
+    last_contact_at : float
+        Send time, on the leader's clock, of the latest request that was answered.
     caught_up : bool
-        Whether the newest answer covered all that was committed when its message
-        was sent.
+        Whether the latest reply covered all entries that were committed when its
+        request was sent.
     """
 
-    def __init__(self, core: Core, member: Member, term: int) -> None:
-        self._core = core
-        self._storage = core.storage
+    def __init__(self, state: Core, member: Member, term: int) -> None:
+        self._core = state
+        self._storage = state.storage
         self._term = term
         self._reachable = False
         self.member = member
-        self.next_index = core.storage.last_index + 1
+        self.next_index = state.storage.last_index + 1
         self.match_index = 0
         self.answered_at = -math.inf
         self.caught_up = False
 
     @property
     def votes(self) -> bool:
-        """Whether the member is a voter in the members in force."""
+        """Whether the member is currently a voter."""
         return self._core.group.votes(self.member.id)
 
     @property
     def promotable(self) -> bool:
-        """Whether the member is a learner that is ready to vote."""
+        """Whether the member is a learner that can be made a voter."""
         member = self._core.group.find(self.member.id)
-        learner = member is not None and member.role is MemberRole.LEARNER
-        return learner and self.healthy
+        is_learner = member is not None and member.role is MemberRole.LEARNER
+        return is_learner and self.healthy
 
     @property
     def healthy(self) -> bool:
-        """Whether the member answered recently and holds all that is committed."""
+        """Whether the member replied recently and has all committed entries."""
         age = self._core.clock() - self.answered_at
         return self.caught_up and age < self._core.settings.election_timeout
 
     def status(self) -> PeerStatus:
-        """Return the progress for operators."""
+        """Return the replication status for operators."""
         age = self._core.clock() - self.answered_at
         return PeerStatus(
             member=self._core.group.find(self.member.id) or self.member,
@@ -72,8 +72,9 @@
         )
 
     async def exchange(self) -> bool:
-        """Send what the member needs next; return whether it answered."""
-        # An unreachable member gets heartbeats only, not the whole snapshot.
+        """Send the next entries or the snapshot; return whether the member replied."""
+        # An unreachable member gets append requests as heartbeats, so that the whole
+        # snapshot is not sent to it again and again.
         if self._reachable and self.next_index < self._storage.first_index:
             self._reachable = await self._install()
         else:
@@ -81,17 +82,17 @@
         return self._reachable
 
     async def _append(self) -> bool:
-        core, sent_at = self._core, self._core.clock()
+        state, sent_at = self._core, self._core.clock()
         first = max(self.next_index, self._storage.first_index)
         previous = first - 1
         request = AppendRequest(
-            header=core.header(self.member.id, self._term),
+            header=state.header(self.member.id, self._term),
             previous_index=previous,
             previous_term=self._storage.term_at(previous) or 0,
-            commit_index=core.commit_index,
-            entries=tuple(self._storage.entries(first, core.settings.batch_entries)),
+            commit_index=state.commit_index,
+            entries=tuple(self._storage.entries(first, state.settings.batch_entries)),
         )
-        reply = await core.call(request)
+        reply = await state.call(request)
         if not isinstance(reply, AppendReply) or not self._answered(reply, sent_at):
             return False
         if reply.success:
@@ -102,22 +103,22 @@
         return True
 
     async def _install(self) -> bool:
-        core = self._core
+        state = self._core
         data = self._storage.read_snapshot()
         index, term = self._storage.snapshot_index, self._storage.snapshot_term
-        offset, size = 0, core.settings.install_chunk_bytes
-        core.metrics.count("log.installs")
+        offset, chunk_bytes = 0, state.settings.install_chunk_bytes
+        state.metrics.count("log.installs")
         while True:
-            sent_at = core.clock()
+            sent_at = state.clock()
             request = InstallRequest(
-                header=core.header(self.member.id, self._term),
+                header=state.header(self.member.id, self._term),
                 index=index,
                 snapshot_term=term,
                 offset=offset,
                 total=len(data),
-                data=base64.b64encode(data[offset : offset + size]).decode(),
+                data=base64.b64encode(data[offset : offset + chunk_bytes]).decode(),
             )
-            reply = await core.call(request)
+            reply = await state.call(request)
             if not isinstance(reply, InstallReply):
                 return False
             if not self._answered(reply, sent_at):
@@ -128,7 +129,7 @@
             offset = reply.offset
 
     def _answered(self, reply: Reply, sent_at: float) -> bool:
-        """Record an answer; return ``False`` if it is not of this term."""
+        """Record a reply; return ``False`` if it is not of this term."""
         leadership = self._core.leadership
         if leadership is None or leadership.term != self._term:
             return False
--- a/packages/log/src/kingcuplug_log/_records.py
+++ b/packages/log/src/kingcuplug_log/_records.py
@@ -1,7 +1,7 @@
 """Checksummed records in a file.
 
 A record is a marker, the payload's length, a CRC-32 of length and payload, and the
-payload as JSON. The marker holds bytes that never occur in UTF-8, so that after an
+payload as JSON. The marker contains bytes that never occur in UTF-8, so that after an
 invalid record the next candidate can be found without trusting the length.
 """
 
@@ -21,13 +21,13 @@
 
 
 def encode(value: Any) -> bytes:
-    """Return the record with this JSON value."""
+    """Encode a JSON value as a record."""
     payload = orjson.dumps(value)
     return _HEADER.pack(_MARKER, len(payload), _checksum(payload)) + payload
 
 
 def scan(data: bytes, file: str) -> tuple[list[Any], int]:
-    """Return all values and the offset at which a torn tail begins.
+    """Decode all records; return their values and the offset of a torn tail.
 
     Raises
     ------
@@ -38,28 +38,28 @@
     values: list[Any] = []
     offset = 0
     while offset < len(data):
-        found = _record(data, offset)
-        if found is None:
+        record = _record(data, offset)
+        if record is None:
             _check_tail(data, offset, file)
             break
-        value, offset = found
+        value, offset = record
         values.append(value)
     return values, offset
 
 
 def decode_one(data: bytes, file: str) -> Any:
-    """Return the value of a file that holds exactly one record.
+    """Decode a file that consists of exactly one record.
 
     Raises
     ------
     CorruptLog
-        If the file holds anything else; such files are replaced by rename, so a
-        crash cannot leave a part of one.
+        If the file contains anything else. Such files are replaced by rename, so a
+        crash cannot leave a partial one.
     """
-    found = _record(data, 0)
-    if found is None or found[1] != len(data):
-        raise CorruptLog(file, 0, "the file is not one valid record")
-    return found[0]
+    record = _record(data, 0)
+    if record is None or record[1] != len(data):
+        raise CorruptLog(file, 0, "the file is not exactly one valid record")
+    return record[0]
 
 
 def _checksum(payload: bytes) -> int:
@@ -70,11 +70,11 @@
     if offset + _HEADER.size > len(data):
         return None
     marker, length, checksum = _HEADER.unpack_from(data, offset)
-    start = offset + _HEADER.size
-    payload = data[start : start + length]
+    payload_start = offset + _HEADER.size
+    payload = data[payload_start : payload_start + length]
     if marker != _MARKER or len(payload) != length or _checksum(payload) != checksum:
         return None
-    return orjson.loads(payload), start + length
+    return orjson.loads(payload), payload_start + length
 
 
 def _check_tail(data: bytes, invalid: int, file: str) -> None:
--- a/packages/log/src/kingcuplug_log/_replica.py
+++ b/packages/log/src/kingcuplug_log/_replica.py
@@ -1,4 +1,4 @@
-"""One replica of the log."""
+"""One replica of the replicated log."""
 
 import asyncio
 import contextlib
@@ -10,7 +10,6 @@
 from kingcuplug_common import Metrics
 
 from kingcuplug_log._applier import Applier
-from kingcuplug_log._core import Core
 from kingcuplug_log._elections import Elections
 from kingcuplug_log._errors import (
     BootstrapRefused,
@@ -18,8 +17,8 @@
     StorageFailed,
     WrongIdentity,
 )
-from kingcuplug_log._following import Following
-from kingcuplug_log._group import members_data
+from kingcuplug_log._follower import Following
+from kingcuplug_log._group_membership import members_data
 from kingcuplug_log._leadership import Leadership
 from kingcuplug_log._messages import (
     AppendRequest,
@@ -32,6 +31,7 @@
     decode_request,
     to_json,
 )
+from kingcuplug_log._replica_state import Core
 from kingcuplug_log._storage import Storage
 from kingcuplug_log._types import (
     Clock,
@@ -49,7 +49,7 @@
 
 
 class Replica:
-    """Takes part in a group that keeps one log.
+    """Member of a group that replicates one log.
 
     Parameters
     ----------
@@ -60,7 +60,8 @@
     transport : Transport
         Sends a message to a peer id and returns the reply.
     machine : Machine
-        State machine; loaded from the snapshot by `start`.
+        State machine to which committed commands are applied; `start` loads it from
+        the snapshot.
     clock : callable
         Monotonic seconds.
     random : random.Random
@@ -91,30 +92,31 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Load the state and begin to take part.
+        """Load the state and start the replica's tasks.
 
         Raises
         ------
         WrongIdentity
-            If the member's id names another disk.
+            If the member's id does not match the storage's disk.
         """
-        core = self._core
-        expected = member_id(core.member.name, self._storage.disk_id)
-        if core.member.id != expected:
+        state = self._core
+        expected = member_id(state.member.name, self._storage.disk_id)
+        if state.member.id != expected:
             raise WrongIdentity(
-                f"member {core.member.id} does not match this disk's {expected}",
+                f"member {state.member.id} does not match this disk's {expected}",
                 "build the id with member_id() from the opened storage",
             )
         self._recover()
-        # A promise made before a restart is forgotten; its time is waited out.
-        core.hear()
+        # Whether this replica supported a leader's lease before a restart is not
+        # stored, so it refuses votes until such a lease would have expired.
+        state.hear()
         self._tasks = [
-            asyncio.create_task(core.supervise(self._take_part())),
-            asyncio.create_task(core.supervise(self._applier.run())),
+            asyncio.create_task(state.supervise(self._take_part())),
+            asyncio.create_task(state.supervise(self._applier.run())),
         ]
 
     async def stop(self) -> None:
-        """Stop taking part; proposals in flight get an unknown outcome.
+        """Stop the replica's tasks; the outcome of pending proposals is unknown.
 
         Raises the error of a task that has failed unexpectedly.
         """
@@ -130,7 +132,7 @@
 
     @property
     def leading(self) -> bool:
-        """Whether this replica takes itself for the leader; it may be cut off."""
+        """Whether this replica considers itself the leader; it may be partitioned."""
         return self._core.leadership is not None
 
     def find(self, identifier: str) -> Member | None:
@@ -138,16 +140,16 @@
         return self._core.group.find(identifier)
 
     def connected(self) -> bool:
-        """Return whether this replica leads under a lease or follows such a leader.
+        """Return whether this replica holds the lease or follows an active leader.
 
-        What it has applied is then at most an election timeout behind.
+        Its applied state is then at most an election timeout behind.
         """
         if self.leading:
             return self.leading_until() > self._core.clock()
         return self._core.leader is not None and self._core.promised()
 
     async def bootstrap(self, cluster_id: str) -> None:
-        """Begin a cluster whose only member is this replica.
+        """Create a cluster whose only member is this replica.
 
         Raises
         ------
@@ -168,35 +170,38 @@
         await self._storage.flush()
 
     async def propose(self, command: Any) -> Any:
-        """Append a command and return the machine's result once it is committed.
+        """Append a command and return the state machine's result after the commit.
 
         Parameters
         ----------
         command : JSON value
-            Copied; the machine gets the copy.
+            Command to append. It is copied, and the state machine gets the copy.
 
         Raises
         ------
         NotLeader
-            If this replica does not lead; the command does not run.
+            If this replica is not the leader; the command is not applied.
         StorageFailed
-            If the storage has failed; the command does not run.
+            If the storage has failed; the command is not applied.
         LostLeadership
-            If the leadership ends first; the outcome is unknown.
+            If the leadership ends before the commit; the outcome is unknown.
         """
-        # All replicas must apply the same value, so the leader's is decoded too.
-        copied = orjson.loads(orjson.dumps(command))
+        # Followers apply the decoded JSON value, so the leader must apply the same.
+        command_copy = orjson.loads(orjson.dumps(command))
         leadership = self._leading()
-        index = leadership.append(EntryKind.COMMAND, copied)
+        index = leadership.append(EntryKind.COMMAND, command_copy)
         return await self._applier.result(index, leadership.term)
 
     async def read_barrier(self) -> int:
-        """Return the index that is applied here and holds all completed commands.
+        """Wait for a linearizable read point and return its index.
+
+        The state applied here then includes every command that was completed before
+        the call.
 
         Raises
         ------
         NotLeader
-            If the leader's lease is over and no quorum confirms the leadership.
+            If the leader's lease has expired and no quorum confirms the leadership.
         """
         try:
             index = await self._leading().confirm()
@@ -206,17 +211,17 @@
         return index
 
     async def wait_applied(self, index: int) -> None:
-        """Return once entry `index` is applied here; callers bound the wait."""
-        core = self._core
-        await core.progressed.until(lambda: core.applied_index >= index)
+        """Wait until entry `index` is applied here, without a timeout."""
+        state = self._core
+        await state.progressed.until(lambda: state.applied_index >= index)
 
     async def change(
         self, add: Member | None = None, remove: str | None = None
     ) -> None:
-        """Add or remove one member and return once this is committed.
+        """Add or remove one member and return once the change is committed.
 
-        A new voter begins as a learner and is promoted without another call once
-        it is caught up and synced.
+        A new voter is added as a learner and promoted automatically once it is
+        caught up and synced.
 
         Raises
         ------
@@ -226,13 +231,13 @@
             As for `propose`.
         """
         if (add is None) == (remove is None):
-            raise ValueError("give exactly one of add and remove")
+            raise ValueError("specify exactly one of add and remove")
         leadership = self._leading()
         index = leadership.changes.start(add, remove)
         await self._applier.result(index, leadership.term)
 
     async def handle(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Answer a message from a peer."""
+        """Handle a message from a peer and return the reply."""
         try:
             request = decode_request(message)
         except ValueError:
@@ -247,7 +252,7 @@
             return to_json(Rejected("storage_failed"))
 
     def leading_until(self) -> float:
-        """Return when the own lease as leader ends, on the clock; -inf without one."""
+        """Return the expiry time of this leader's lease on the clock, or -inf."""
         leadership = self._core.leadership
         if leadership is None or not leadership.lease_valid():
             return -math.inf
@@ -257,17 +262,17 @@
 
     def status(self) -> LogStatus:
         """Return the state of this replica for operators."""
-        core, leadership = self._core, self._core.leadership
+        state, leadership = self._core, self._core.leadership
         return LogStatus(
-            member=core.group.find(core.member.id) or core.member,
+            member=state.group.find(state.member.id) or state.member,
             term=self._storage.term,
-            role=core.role,
+            role=state.role,
             leader=self._hint(),
-            commit_index=core.commit_index,
-            applied_index=core.applied_index,
+            commit_index=state.commit_index,
+            applied_index=state.applied_index,
             last_index=self._storage.last_index,
             snapshot_index=self._storage.snapshot_index,
-            members=core.group.members,
+            members=state.group.members,
             peers=leadership.peers() if leadership else (),
             lease_valid=leadership is not None and leadership.lease_valid(),
             storage_failed=self._storage.failure is not None,
@@ -275,12 +280,12 @@
         )
 
     def _recover(self) -> None:
-        storage, core = self._storage, self._core
+        storage, state = self._storage, self._core
         snapshot, storage.recovered = storage.recovered, None
         if snapshot is not None:
             self._machine.load(snapshot.state)
-            core.commit_index = core.applied_index = snapshot.index
-        core.group.rebuild(snapshot, storage.entries(storage.first_index))
+            state.commit_index = state.applied_index = snapshot.index
+        state.group.rebuild(snapshot, storage.entries(storage.first_index))
 
     async def _take_part(self) -> None:
         with contextlib.suppress(StorageFailed):
--- a/packages/log/src/kingcuplug_log/_core.py
+++ b/packages/log/src/kingcuplug_log/_replica_state.py
@@ -1,4 +1,4 @@
-"""State of one replica that elections, replication and applying share."""
+"""State of one replica, shared by elections, replication and the applier."""
 
 import asyncio
 import random as random_module
@@ -7,7 +7,7 @@
 
 from kingcuplug_common import Metrics, Signal, state_change
 
-from kingcuplug_log._group import Group
+from kingcuplug_log._group_membership import Group
 from kingcuplug_log._messages import (
     Header,
     Rejected,
@@ -31,12 +31,13 @@
 
     Attributes
     ----------
-    promised_until : float
-        Time on the replica's clock until which it refuses votes.
-    election_at : float
-        Time on the replica's clock at which it starts an election.
-    appended, progressed : Signal
-        Notified when the log grows, and when anything else changes.
+    votes_refused_until : float
+        Time on the replica's clock until which it grants no vote.
+    election_due_at : float
+        Time on the replica's clock at which the election timer expires.
+    log_appended, changed : Signal
+        Notified when there may be something to replicate, and when any other state
+        changes.
     """
 
     def __init__(
@@ -68,23 +69,23 @@
         self._random = random
 
     def hear(self) -> None:
-        """Promise not to vote, and wait for the leader again, from now on."""
+        """Refuse votes for an election timeout and reset the election timer."""
         self.promised_until = self.clock() + self.settings.election_timeout
         self.delay_election()
 
     def delay_election(self) -> None:
-        """Wait between one and two election timeouts before the next election."""
-        factor = 1 + self._random.random()
-        self.election_at = self.clock() + self.settings.election_timeout * factor
+        """Set the timer to expire after one to two election timeouts, at random."""
+        random_factor = 1 + self._random.random()
+        self.election_at = self.clock() + self.settings.election_timeout * random_factor
 
     def promised(self) -> bool:
-        """Return whether a vote would break a promise to a leader."""
+        """Return whether granting a vote could violate a current leader's lease."""
         if self.leadership is not None:
             return self.leadership.in_contact()
         return self.clock() < self.promised_until
 
     def adopt(self, term: int) -> None:
-        """Move to a greater term without a vote in it."""
+        """Move to `term`, if it is greater than the current one, without a vote."""
         if term > self.storage.term:
             self.storage.set_vote(term, None)
             self.step_down(None)
@@ -96,7 +97,7 @@
         self.hear()
 
     def step_down(self, leader: str | None) -> None:
-        """Become a follower; everything proposed here gets an unknown outcome."""
+        """Become a follower; pending proposals fail with an unknown outcome."""
         leadership, self.leadership = self.leadership, None
         if leadership is not None:
             leadership.close()
@@ -114,7 +115,7 @@
         self._become(ReplicaRole.LEADER, self.member.id)
 
     def fail(self) -> None:
-        """Stop taking part after a failure of the storage."""
+        """Step down and report the failure of the storage."""
         self.step_down(None)
         self.metrics.count("log.storage_failed")
         state_change("storage", "failed", error=str(self.storage.failure))
@@ -122,7 +123,7 @@
     async def supervise(self, work: Coroutine[Any, Any, None]) -> None:
         """Run one of the replica's tasks; an unexpected error halts the replica.
 
-        Without its tasks a replica could hold the leadership and answer nothing.
+        A leader without its tasks could keep its lease but serve no request.
         """
         try:
             await work
--- a/packages/log/src/kingcuplug_log/_snapshot.py
+++ b/packages/log/src/kingcuplug_log/_snapshot.py
@@ -1,4 +1,4 @@
-"""A snapshot of the machine and the group."""
+"""Snapshots of the state machine and the group."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True)
 class Snapshot:
-    """State of the machine and the group after entry `index`."""
+    """State of the state machine and the group's members as of entry `index`."""
 
     index: int
     term: int
--- a/packages/log/src/kingcuplug_log/_storage.py
+++ b/packages/log/src/kingcuplug_log/_storage.py
@@ -2,8 +2,8 @@
 
 Every group commit is one record in the log file, and at most one record is ever
 unsynced, so a crash can only damage the last record. A record whose first index is
-not after the last one replaces the entries from there on: replacing a conflicting
-suffix and writing the new one is a single atomic step without truncation.
+not after the last stored one replaces the entries from there on, so a conflicting
+suffix is replaced atomically, without truncating the file.
 """
 
 import asyncio
@@ -13,10 +13,10 @@
 
 from kingcuplug_common import identifier
 
-from kingcuplug_log._entries import EntryList
+from kingcuplug_log._entry_list import EntryList
 from kingcuplug_log._errors import CorruptLog
 from kingcuplug_log._fail_stop import FailStop
-from kingcuplug_log._files import FileSystem
+from kingcuplug_log._file_system import FileSystem
 from kingcuplug_log._records import decode_one, encode, scan
 from kingcuplug_log._snapshot import Snapshot
 from kingcuplug_log._types import Entry
@@ -30,25 +30,25 @@
 
 
 class Storage:
-    """Files of one replica and the log's entries in memory.
+    """Files of one replica, and the log entries in memory.
 
-    In-memory changes (`set_vote`, `stage`) take effect at once and become durable
-    with `persist` and `flush`. After the first `OSError` every operation raises
-    `StorageFailed`.
+    In-memory changes (`set_term_and_vote`, `stage`) take effect at once and become
+    durable with `persist_vote` and `flush`. After the first `OSError` every operation
+    raises `StorageFailed`.
 
     Parameters
     ----------
     files : FileSystem
-        The data folder; used by this object only.
+        The data folder; used exclusively by this object.
 
     Attributes
     ----------
     disk_id : str
         Random identifier of the data folder, known after `open`.
     durable_index : int
-        All entries up to here are synced.
-    recovered : Snapshot or None
-        The snapshot found by `open`, until the replica has loaded it.
+        Index up to which all entries are synced.
+    recovered_snapshot : Snapshot or None
+        The snapshot read by `open`, until the replica has loaded it.
     """
 
     def __init__(self, files: FileSystem) -> None:
@@ -71,12 +71,12 @@
         self.recovered: Snapshot | None = None
 
     async def open(self) -> None:
-        """Read the data folder and repair a torn tail.
+        """Read the data folder and truncate a torn tail.
 
         Raises
         ------
         CorruptLog
-            If the files cannot be the result of a crash.
+            If the files are damaged in a way that a crash cannot cause.
         StorageFailed
             If the folder cannot be read or repaired.
         """
@@ -91,17 +91,17 @@
         self._close_log()
 
     def halt(self, reason: str) -> None:
-        """Acknowledge nothing from now on, as after a failed write."""
+        """Fail all later operations, as after a failed write."""
         self._guard.fail(OSError(reason))
 
     @property
     def failure(self) -> OSError | None:
-        """The error after which nothing is acknowledged any more."""
+        """The first error, after which all operations fail."""
         return self._guard.failure
 
     @property
     def first_index(self) -> int:
-        """Index of the first entry that is held."""
+        """Index of the first stored entry."""
         return self._log.base_index + 1
 
     @property
@@ -115,7 +115,7 @@
         return self._log.last_term
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry, or ``None`` if it is not held."""
+        """Return the term of an entry, or ``None`` if it is not stored."""
         return self._log.term_at(index)
 
     def entries(self, first: int, limit: int | None = None) -> list[Entry]:
@@ -123,20 +123,23 @@
         return self._log.slice(first, limit)
 
     def set_vote(self, term: int, vote: str | None) -> None:
-        """Set term and vote in memory; `persist` makes them durable."""
+        """Set term and vote in memory; `persist_vote` makes them durable."""
         if term < self.term:
             raise ValueError(f"term {term} is before the current term {self.term}")
         self.term, self.vote = term, vote
 
     async def persist(self) -> None:
-        """Return once the term and vote of the time of the call are durable."""
+        """Make the current term and vote durable."""
         if self._persisted == (self.term, self.vote) and not self._state_lock.locked():
             self._guard.check()
             return
         await self._guard.run(self._state_lock, self._write_state)
 
     def stage(self, entries: Sequence[Entry]) -> None:
-        """Put entries into the log in memory; `flush` makes them durable."""
+        """Append entries to the log in memory; `flush` makes them durable.
+
+        They replace everything from their first index on.
+        """
         first = entries[0].index
         self._log.replace(entries)
         self.durable_index = min(self.durable_index, first - 1)
@@ -144,10 +147,10 @@
         self._staged_from = min(self._staged_from, first)
 
     async def flush(self) -> None:
-        """Return once all entries staged before the call are durable.
+        """Make all entries staged before the call durable.
 
-        Everything staged goes into one write and one sync, so that concurrent
-        calls share them.
+        All staged entries go into one write and one sync, which concurrent calls
+        share.
         """
         if self.durable_index == self.last_index and not self._log_lock.locked():
             self._guard.check()
@@ -155,12 +158,12 @@
         await self._guard.run(self._log_lock, self._write_staged)
 
     async def save_snapshot(self, snapshot: Snapshot, retained: int) -> None:
-        """Replace the snapshot, then drop entries that it covers.
+        """Replace the snapshot, then remove the entries that it covers.
 
         Parameters
         ----------
         retained : int
-            Entries before the snapshot's index that are kept.
+            Number of entries up to the snapshot's index that are kept.
         """
 
         async def save() -> None:
@@ -176,7 +179,7 @@
         await self._guard.run(self._snapshot_lock, save)
 
     def read_snapshot(self) -> bytes:
-        """Return the record that holds the current snapshot."""
+        """Return the encoded record of the current snapshot."""
         self._guard.check()
         try:
             return self._files.read(_SNAPSHOT)
@@ -189,12 +192,16 @@
             self._handle = None
 
     async def _write_state(self) -> None:
-        state = (self.term, self.vote)
-        if state == self._persisted:
+        hard_state = (self.term, self.vote)
+        if hard_state == self._persisted:
             return
-        value = {"term": state[0], "vote": state[1], "disk_id": self.disk_id}
+        value = {
+            "term": hard_state[0],
+            "vote": hard_state[1],
+            "disk_id": self.disk_id,
+        }
         self._files.close(await self._replace(_STATE, encode(value)))
-        self._persisted = state
+        self._persisted = hard_state
 
     async def _write_staged(self) -> None:
         batch = self._log.slice(self._staged_from)
@@ -210,28 +217,29 @@
         self._staged_from = self.last_index + 1
         self._replaced_from = sys.maxsize
 
-    def _end_write(self, last: int) -> None:
-        # Entries replaced during the sync are not durable in their new form.
-        self.durable_index = min(last, self._replaced_from - 1)
+    def _end_write(self, last_index: int) -> None:
+        # Entries that were replaced during the sync are durable only in their old
+        # version.
+        self.durable_index = min(last_index, self._replaced_from - 1)
 
     async def _compact(self, snapshot: Snapshot, retained: int) -> None:
-        base = snapshot.index
-        if self.term_at(base) == snapshot.term:
-            base = max(self._log.base_index, base - retained)
-            self._log.compact(base, self.term_at(base) or 0)
+        base_index = snapshot.index
+        if self.term_at(base_index) == snapshot.term:
+            base_index = max(self._log.base_index, base_index - retained)
+            self._log.compact(base_index, self.term_at(base_index) or 0)
         else:
-            self._log.compact(base, snapshot.term)
+            self._log.compact(base_index, snapshot.term)
         await self._rewrite_log()
 
     async def _rewrite_log(self) -> None:
         entries = self._log.slice(self.first_index)
-        last = self.last_index
-        self.durable_index = min(self.durable_index, last)
+        last_index = self.last_index
+        self.durable_index = min(self.durable_index, last_index)
         self._begin_write()
         handle = await self._replace(_LOG, self._log_bytes(entries))
         self._close_log()
         self._handle = handle
-        self._end_write(last)
+        self._end_write(last_index)
 
     def _log_bytes(self, entries: Sequence[Entry]) -> bytes:
         header = {"index": self._log.base_index, "term": self._log.base_term}
@@ -241,7 +249,7 @@
         return data
 
     async def _replace(self, name: str, data: bytes) -> int:
-        """Replace a file as a whole and return a handle of the new one."""
+        """Replace a file atomically and return a handle of the new one."""
         handle = self._files.open_append(name + _NEW)
         try:
             self._files.write(handle, data)
@@ -258,7 +266,7 @@
         for name in names:
             if name.endswith(_NEW):
                 self._files.remove(name)
-        # Names that a process left unsynced are visible but not yet durable.
+        # A previous process may have left names that are visible but not synced.
         await self._files.sync_folder()
         if _STATE not in names:
             await self._create(names)
@@ -269,10 +277,10 @@
         self._raise_term()
 
     async def _create(self, names: list[str]) -> None:
-        # The state file is written last: its absence means that nothing was ever
+        # The state file is written last, so without it nothing was ever
         # acknowledged from this folder.
         if _SNAPSHOT in names or (_LOG in names and self._holds_entries()):
-            raise CorruptLog(_STATE, 0, "the file is missing beside a used log")
+            raise CorruptLog(_STATE, 0, "the file is missing, but others hold data")
         self.disk_id = identifier()
         await self._rewrite_log()
         await self._write_state()
@@ -302,7 +310,7 @@
         self._handle = self._files.open_append(_LOG)
         if end < len(data):
             self._files.truncate(self._handle, end)
-        # A record can be complete without having been synced before the crash.
+        # A complete record may not have been synced before the crash.
         await self._files.sync(self._handle)
         self._staged_from = self.last_index + 1
         self.durable_index = self.last_index
@@ -323,7 +331,7 @@
                 raise CorruptLog(_LOG, 0, str(error)) from error
 
     def _raise_term(self) -> None:
-        # Entries of a term can reach the disk before the term itself does. No vote
-        # of that term was given then, because a vote waits for its own sync.
+        # Entries of a term can be synced before the term itself. In that case no vote
+        # was granted in that term, because a vote waits for its own sync.
         if self.last_term > self.term:
             self.set_vote(self.last_term, None)
--- a/packages/log/src/kingcuplug_log/_types.py
+++ b/packages/log/src/kingcuplug_log/_types.py
@@ -27,15 +27,15 @@
 
 
 class Machine(Protocol):
-    """State machine that the log applies.
+    """State machine to which the log's commands are applied.
 
     Commands, results and the dumped state are JSON values. `apply` must be
-    deterministic. If it raises, it must have left its state unchanged; the
-    exception goes to the proposer.
+    deterministic. If it raises, it must leave the state unchanged; the exception is
+    raised to the proposer.
     """
 
     def apply(self, index: int, command: Any) -> Any:
-        """Apply one committed command and return its result."""
+        """Apply a committed command and return its result."""
         ...
 
     def dump(self) -> dict[str, Any]:
@@ -48,7 +48,7 @@
 
 
 class MemberRole(StrEnum):
-    """What a member may do in the group."""
+    """Role of a member in the group."""
 
     VOTER = "voter"
     LEARNER = "learner"
@@ -56,7 +56,7 @@
 
 
 class ReplicaRole(StrEnum):
-    """What a replica does at the moment."""
+    """Current role of a replica in elections and replication."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -70,9 +70,9 @@
     Attributes
     ----------
     id : str
-        ``<host name>/<disk_id>``; a replaced disk makes a new member.
+        ``<host name>/<disk_id>``; a host with a replaced disk is a new member.
     address : str
-        ``ip:port`` of the peer listener.
+        ``ip:port`` at which the member listens for peers.
     """
 
     id: str
@@ -102,7 +102,7 @@
 
 
 class EntryKind(StrEnum):
-    """What an entry of the log carries."""
+    """Kind of a log entry's content."""
 
     COMMAND = "command"
     MEMBERS = "members"
@@ -130,19 +130,19 @@
 
 @dataclass(frozen=True)
 class LogSettings:
-    """Times and bounds of the replicated log.
+    """Timeouts and limits of the replicated log.
 
     Attributes
     ----------
     drift_bound : float
-        Greatest relative difference of the rates of two hosts' monotonic clocks.
+        Upper bound on the relative rate difference of two hosts' monotonic clocks.
     snapshot_entries : int
-        Applied entries after which a new snapshot is taken.
+        Number of applied entries after which a new snapshot is taken.
     retained_entries : int
-        Entries kept before the snapshot, so that a peer that is slightly behind
-        needs no snapshot.
+        Number of entries kept before the snapshot, so that a peer that is slightly
+        behind needs no snapshot.
     install_chunk_bytes : int
-        Part of a snapshot that goes into one message.
+        Size of the chunk of a snapshot that is sent in one message.
     """
 
     election_timeout_ms: int = 300
@@ -165,12 +165,12 @@
 
     @property
     def election_timeout(self) -> float:
-        """Promise of a follower to its leader, in seconds."""
+        """Time for which a follower of a leader refuses votes, in seconds."""
         return self.election_timeout_ms / _MS_PER_S
 
     @property
     def lease(self) -> float:
-        """Lease of a leader from the send time of a heartbeat, in seconds."""
+        """Lease of a leader, counted from the send time of a heartbeat, in seconds."""
         return self.election_timeout * (1 - self.drift_bound)
 
     @property
@@ -180,13 +180,13 @@
 
     @property
     def rpc_timeout(self) -> float:
-        """Longest wait for a reply, in seconds."""
+        """Timeout of a request to a peer, in seconds."""
         return self.rpc_timeout_ms / _MS_PER_S
 
 
 @dataclass(frozen=True)
 class PeerStatus:
-    """What the leader knows of one other member."""
+    """Replication status of one other member, as seen by the leader."""
 
     member: Member
     match_index: int
@@ -196,14 +196,14 @@
 
 @dataclass(frozen=True)
 class LogStatus:
-    """State of one replica for operators.
+    """Status of one replica for operators.
 
     Attributes
     ----------
     peers : tuple of PeerStatus
         Known on the leader only.
     safe_to_lose_one : bool
-        Whether any one voter can be lost for ever without losing the quorum or a
+        Whether any one voter can be lost permanently without losing the quorum or a
         committed entry. Known on the leader only, ``False`` elsewhere.
     """
 
--- a/tests/log/test_commit.py
+++ b/tests/log/test_commit.py
@@ -1,13 +1,13 @@
-"""Only an entry of the leader's own term may be committed by counting."""
+"""Only entries of the leader's own term are committed by counting replicas."""
 
 from random import Random
 
 from kingcuplug_common import Metrics
 from kingcuplug_log import LogSettings, Member, Storage
-from kingcuplug_log._core import Core
-from kingcuplug_log._group import members_data
+from kingcuplug_log._group_membership import members_data
 from kingcuplug_log._leadership import Leadership
 from kingcuplug_log._progress import Progress
+from kingcuplug_log._replica_state import Core
 from kingcuplug_log._types import Entry, EntryKind
 from kingcuplug_testkit import FakeDisk, FakeNetwork, run_virtual
 
@@ -15,7 +15,7 @@
 
 
 async def _core() -> Core:
-    """Return a replica that has just won term 3 with entries of term 1."""
+    """Return a replica that was just elected in term 3, with entries of term 1."""
     storage = Storage(FakeDisk(Random(0)).mount())
     await storage.open()
     members = Entry(1, 1, EntryKind.MEMBERS, members_data("test", _MEMBERS))
@@ -24,26 +24,27 @@
     await storage.flush()
     transport = FakeNetwork(Random(0)).transport("a")
     settings = LogSettings()
-    core = Core(
+    state = Core(
         _MEMBERS[0], storage, transport, settings, lambda: 0.0, Random(0), Metrics()
     )
-    core.group.rebuild(None, storage.entries(1))
-    return core
+    state.group.rebuild(None, storage.entries(1))
+    return state
 
 
 def test_older_term_is_not_committed_by_counting() -> None:
-    # Guards against a commit that a later leader with a newer entry takes back.
+    # Guards against committing an entry that a later leader can still replace
+    # with an entry of a newer term.
     async def main() -> None:
-        core = await _core()
-        leadership = Leadership(core, lambda: None)
-        progress = Progress(core, _MEMBERS[1], leadership.term)
+        state = await _core()
+        leadership = Leadership(state, lambda: None)
+        progress = Progress(state, _MEMBERS[1], leadership.term)
         leadership._progress["b"] = progress
         progress.match_index = 2
         leadership._advance()
-        assert core.commit_index == 0
+        assert state.commit_index == 0
         progress.match_index = leadership.append(EntryKind.NOOP, None)
-        await core.storage.flush()
+        await state.storage.flush()
         leadership._advance()
-        assert core.commit_index == 3
+        assert state.commit_index == 3
 
     run_virtual(main())
--- a/tests/log/test_matrix.py
+++ b/tests/log/test_matrix.py
@@ -1,7 +1,7 @@
-"""Every fault at every protocol step must leave the log's promises intact.
+"""Every fault at every protocol step must preserve the log's guarantees.
 
-Each cell checks: one leader per term, no acknowledged command lost or reverted, one
-sequence on all machines, no superseded read under a lease, and progress after the
+Each cell checks: one leader per term, no acknowledged command lost or reverted, the
+same sequence on all state machines, no stale read under a lease, and progress after the
 fault has ended.
 """
 
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize("fault", FAULTS)
 def test_single_fault(fault: str, step: str) -> None:
-    # Guards against a fault at this step that breaks a promise or stops the group.
+    # Guards against a fault at this step that violates a guarantee or blocks the group.
     result = run_cell([fault], step)
     assert result.sprung, "the fault did not happen"
     assert result.reads > 0
@@ -36,5 +36,6 @@
 
 @pytest.mark.parametrize(("first", "second", "step"), _pairs())
 def test_pair_of_faults(first: str, second: str, step: str) -> None:
-    # Guards against two faults at once that break a promise or stop the group.
+    # Guards against two simultaneous faults that violate a guarantee or block the
+    # group.
     run_cell([first, second], step)
--- a/tests/log/test_replica.py
+++ b/tests/log/test_replica.py
@@ -1,4 +1,4 @@
-"""A group must keep what it acknowledged and go on after a loss."""
+"""A group must keep acknowledged commands and stay available after a loss."""
 
 import asyncio
 import contextlib
@@ -36,7 +36,7 @@
 
 
 def test_group_survives_loss_of_leader() -> None:
-    # Guards against a group that loses commands or stalls when its leader dies.
+    # Guards against lost commands or a blocked group after the leader crashes.
     async def main() -> None:
         group = await _three("loss of leader")
         for number in range(1, 50):
@@ -55,11 +55,11 @@
 
 @pytest.mark.parametrize("slow_leader", [False, True])
 def test_commit_waits_for_sync_of_quorum(slow_leader: bool) -> None:
-    # Guards against an acknowledged command that a power failure takes back.
+    # Guards against acknowledging a command that a power failure can revert.
     async def main() -> None:
         group = await _three("slow sync")
-        leader, (follower, cut_off) = _lead(group)
-        cut_off.disk.crash()
+        leader, (follower, crashed) = _lead(group)
+        crashed.disk.crash()
         (leader if slow_leader else follower).disk.sync_s = _SLOW_SYNC_S
         proposal = asyncio.ensure_future(group.replica(leader.name).propose({"n": 1}))
         await asyncio.sleep(_SLOW_SYNC_S * 0.9)
@@ -71,7 +71,7 @@
 
 
 def test_leader_with_failed_storage_steps_down() -> None:
-    # Guards against acknowledgements from a disk that has lost pages.
+    # Guards against acknowledgements after a failed sync has dropped dirty pages.
     async def main() -> None:
         group = await _three("failed storage")
         leader, _ = _lead(group)
@@ -101,7 +101,7 @@
 def test_failed_task_halts_replica(
     monkeypatch: pytest.MonkeyPatch, dump: Callable[[], dict[str, Any]]
 ) -> None:
-    # Guards against a leader that holds its lease but applies nothing any more.
+    # Guards against a leader that keeps its lease but no longer applies entries.
     async def main() -> None:
         group = await _three("failed task", LogSettings(snapshot_entries=5))
         leader, _ = _lead(group)
@@ -120,30 +120,31 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_lease_allows_for_drift(seed: int) -> None:
-    # Guards against old state from a cut-off leader whose clock is slow by the bound.
-    # The bound is large here, so that a lease without it overlaps the next term.
+    # Guards against stale reads from a partitioned leader whose clock is slow by the
+    # drift bound. The bound is large here, so that a lease computed without it
+    # overlaps the next term.
     async def main() -> None:
         settings = LogSettings(drift_bound=0.4)
         group = await _three(f"drift {seed}", settings)
-        old, followers = _lead(group)
-        stale = group.replica(old.name)
-        old.clock.drift(1 - settings.drift_bound)
-        group.network.isolate(old.name, list(group.hosts))
+        old_leader, followers = _lead(group)
+        old_replica = group.replica(old_leader.name)
+        old_leader.clock.drift(1 - settings.drift_bound)
+        group.network.isolate(old_leader.name, list(group.hosts))
         await group.until(
             lambda: any(group.replica(host.name).leading for host in followers),
             poll_s=0.001,
         )
-        assert not stale.status().lease_valid
+        assert not old_replica.status().lease_valid
         with pytest.raises(NotLeader):
-            await stale.read_barrier()
+            await old_replica.read_barrier()
         await group.stop()
 
     run_virtual(main())
 
 
 def test_read_without_lease_needs_quorum_round() -> None:
-    # Guards against refusing reads although a quorum still follows, and against
-    # serving them without asking.
+    # Guards against refusing reads although a quorum still follows the leader, and
+    # against serving them without confirmation by the quorum.
     async def main() -> None:
         group = await _three("quorum round", LogSettings(drift_bound=0.9))
         leader, _ = _lead(group)
@@ -161,7 +162,7 @@
 
 
 def test_follower_names_leader() -> None:
-    # Guards against a caller that cannot find the leader.
+    # Guards against a caller that cannot learn who the leader is.
     async def main() -> None:
         group = await _three("hint")
         leader, (follower, _) = _lead(group)
@@ -174,7 +175,7 @@
 
 
 def test_unusable_command_is_refused_early() -> None:
-    # Guards against a command that ends the writer of the whole group.
+    # Guards against a command that stops the leader's log writer.
     async def main() -> None:
         group = await _three("unusable")
         leader, _ = _lead(group)
@@ -187,7 +188,7 @@
 
 
 def test_used_folder_is_not_bootstrapped() -> None:
-    # Guards against a second cluster on the disk of a voter.
+    # Guards against bootstrapping a second cluster on the disk of a voter.
     async def main() -> None:
         group = await _three("bootstrap")
         with pytest.raises(BootstrapRefused):
@@ -198,12 +199,13 @@
 
 
 def test_identity_must_match_disk() -> None:
-    # Guards against a host that votes with the identity of its former disk.
+    # Guards against a host that votes under another identity, such as the one of
+    # its former disk.
     async def main() -> None:
         group = await _three("identity")
         replica = group.replica("a")
         core = replica._core
-        other = Replica(
+        replica_with_wrong_id = Replica(
             group.hosts["b"].member,
             core.storage,
             group.network.transport("a"),
@@ -213,7 +215,7 @@
             group.random,
         )
         with pytest.raises(WrongIdentity):
-            await other.start()
+            await replica_with_wrong_id.start()
         await group.stop()
 
     run_virtual(main())
--- a/tests/log/test_storage.py
+++ b/tests/log/test_storage.py
@@ -1,4 +1,4 @@
-"""Whatever the storage has acknowledged must survive any crash of its host."""
+"""All state that the storage has acknowledged must survive a crash of the host."""
 
 import asyncio
 import errno
@@ -15,7 +15,7 @@
 
 @dataclass
 class _Acknowledged:
-    """What the script has been told is durable."""
+    """State that the storage has acknowledged as durable."""
 
     disk_id: str = ""
     term: int = 0
@@ -28,44 +28,44 @@
     return Entry(index, term, EntryKind.COMMAND, {"index": index, "term": term})
 
 
-async def _script(disk: FakeDisk, told: _Acknowledged) -> None:
-    """Use every operation of the storage once, and some of them again."""
+async def _script(disk: FakeDisk, acknowledged: _Acknowledged) -> None:
+    """Use every operation of the storage at least once."""
     storage = Storage(disk.mount())
     await storage.open()
-    told.disk_id = storage.disk_id
+    acknowledged.disk_id = storage.disk_id
     storage.set_vote(1, "a")
     await storage.persist()
-    told.term, told.vote = 1, "a"
+    acknowledged.term, acknowledged.vote = 1, "a"
     for index in (1, 2, 3):
         storage.stage([_entry(index, 1)])
         await storage.flush()
-        told.terms += (1,)
+        acknowledged.terms += (1,)
     storage.set_vote(2, None)
     await storage.persist()
-    told.term, told.vote = 2, None
-    told.terms = told.terms[:2]
+    acknowledged.term, acknowledged.vote = 2, None
+    acknowledged.terms = acknowledged.terms[:2]
     storage.stage([_entry(3, 2), _entry(4, 2)])
     await storage.flush()
-    told.terms += (2, 2)
+    acknowledged.terms += (2, 2)
     await storage.save_snapshot(Snapshot(3, 2, "test", (), {}), retained=1)
-    told.snapshot = 3
+    acknowledged.snapshot = 3
     storage.stage([_entry(5, 2)])
     await storage.flush()
-    told.terms += (2,)
+    acknowledged.terms += (2,)
     await storage.save_snapshot(Snapshot(9, 3, "test", (), {}), retained=1)
-    told.snapshot, told.terms = 9, ()
+    acknowledged.snapshot, acknowledged.terms = 9, ()
     await storage.close()
 
 
-async def _check(disk: FakeDisk, told: _Acknowledged) -> None:
+async def _check(disk: FakeDisk, acknowledged: _Acknowledged) -> None:
     storage = Storage(disk.mount())
     await storage.open()
-    assert told.disk_id in ("", storage.disk_id)
-    assert storage.term >= told.term
-    if storage.term == told.term and told.vote:
-        assert storage.vote == told.vote
-    assert storage.snapshot_index >= told.snapshot
-    for index, term in enumerate(told.terms, start=1):
+    assert acknowledged.disk_id in ("", storage.disk_id)
+    assert storage.term >= acknowledged.term
+    if storage.term == acknowledged.term and acknowledged.vote:
+        assert storage.vote == acknowledged.vote
+    assert storage.snapshot_index >= acknowledged.snapshot
+    for index, term in enumerate(acknowledged.terms, start=1):
         if index > max(storage.snapshot_index, storage.first_index - 1):
             assert storage.term_at(index) == term
     await storage.close()
@@ -79,15 +79,15 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_crash_after_each_call(seed: int) -> None:
-    # Guards against a missing sync, folder sync or wrong order at any single call.
+    # Guards against a missing sync or folder sync, or a wrong order, at any call.
     async def main(crash_at: int) -> None:
         disk = FakeDisk(Random(f"{seed}/{crash_at}"))
         disk.crash_at = crash_at
-        told = _Acknowledged()
+        acknowledged = _Acknowledged()
         with pytest.raises(StorageFailed):
-            await _script(disk, told)
+            await _script(disk, acknowledged)
         disk.crash_at = None
-        await _check(disk, told)
+        await _check(disk, acknowledged)
 
     for crash_at in range(1, len(_calls()) + 1):
         run_virtual(main(crash_at))
@@ -96,7 +96,7 @@
 @pytest.mark.parametrize("code", [errno.EIO, errno.ENOSPC])
 @pytest.mark.parametrize("call", ["write", "sync", "rename", "sync_folder"])
 def test_failure_is_final(call: str, code: int) -> None:
-    # Guards against a retry that reports success for pages dropped by a failure.
+    # Guards against a retry that reports success for pages that a failure dropped.
     async def main() -> None:
         disk = FakeDisk(Random(0))
         storage = Storage(disk.mount())
@@ -113,7 +113,8 @@
 
 
 def test_failed_sync_ends_group_commit() -> None:
-    # Guards against entries that are acknowledged by a later sync of the same file.
+    # Guards against acknowledging the entries of a failed sync after a later sync of
+    # the same file.
     async def main() -> None:
         disk = FakeDisk(Random(0))
         storage = Storage(disk.mount())
@@ -154,7 +155,7 @@
 
 
 def test_torn_tail_is_cut() -> None:
-    # Guards against a host that cannot start after a crash in the middle of a write.
+    # Guards against a host that cannot start after a crash during a write.
     disk = _disk_with_entries(3)
     size = len(disk.names["log"].durable)
     disk.tear("log")
@@ -163,27 +164,27 @@
 
 
 def test_corrupt_middle_is_refused() -> None:
-    # Guards against dropping synced entries that follow a damaged one.
+    # Guards against discarding synced entries that follow a corrupt one.
     disk = _disk_with_entries(3)
-    first = disk.names["log"].durable.index(b"\xf5KL\xfa", 1)
-    disk.damage("log", first + 20)
+    corrupt_offset = disk.names["log"].durable.index(b"\xf5KL\xfa", 1)
+    disk.damage("log", corrupt_offset + 20)
     with pytest.raises(CorruptLog) as caught:
         _open(disk)
-    assert (caught.value.file, caught.value.offset) == ("log", first)
+    assert (caught.value.file, caught.value.offset) == ("log", corrupt_offset)
 
 
 def test_damaged_length_is_refused() -> None:
-    # Guards against taking everything after a damaged length for a torn tail.
+    # Guards against treating everything after a corrupt length field as a torn tail.
     disk = _disk_with_entries(3)
-    first = disk.names["log"].durable.index(b"\xf5KL\xfa", 1)
-    disk.damage("log", first + 4)
+    corrupt_offset = disk.names["log"].durable.index(b"\xf5KL\xfa", 1)
+    disk.damage("log", corrupt_offset + 4)
     with pytest.raises(CorruptLog):
         _open(disk)
 
 
 @pytest.mark.parametrize("name", ["state", "log"])
 def test_missing_file_is_refused(name: str) -> None:
-    # Guards against a folder that forgets its vote or its entries unnoticed.
+    # Guards against a data folder that silently loses its vote or its entries.
     disk = _disk_with_entries(1)
     del disk.names[name]
     with pytest.raises(CorruptLog, match="missing"):
@@ -191,7 +192,7 @@
 
 
 def test_real_files_survive_reopening(tmp_path: Path) -> None:
-    # Guards against a file system that behaves otherwise than the fake one.
+    # Guards against a real file system that behaves differently from the fake one.
     async def main() -> None:
         storage = Storage(DiskFileSystem(tmp_path / "data"))
         await storage.open()
@@ -205,11 +206,19 @@
         await storage.close()
         with (tmp_path / "data" / "log").open("ab") as log:
             log.write(b"\xf5KL\xfa\0\0\1\0torn")
-        again = Storage(DiskFileSystem(tmp_path / "data"))
-        await again.open()
-        assert (again.disk_id, again.term, again.vote) == (storage.disk_id, 4, "a")
-        assert (again.first_index, again.last_index, again.last_term) == (3, 6, 2)
-        assert again.recovered == Snapshot(3, 1, "test", (), {"n": 1})
-        await again.close()
+        reopened = Storage(DiskFileSystem(tmp_path / "data"))
+        await reopened.open()
+        assert (reopened.disk_id, reopened.term, reopened.vote) == (
+            storage.disk_id,
+            4,
+            "a",
+        )
+        assert (reopened.first_index, reopened.last_index, reopened.last_term) == (
+            3,
+            6,
+            2,
+        )
+        assert reopened.recovered == Snapshot(3, 1, "test", (), {"n": 1})
+        await reopened.close()
 
     asyncio.run(main())
--- a/tests/log/test_votes.py
+++ b/tests/log/test_votes.py
@@ -1,4 +1,4 @@
-"""No replica may break a promise that it has made with an answer."""
+"""A replica must honour the votes and acknowledgements that it has sent."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -42,7 +42,7 @@
 
 
 def test_vote_survives_crash() -> None:
-    # Guards against two leaders of one term after a voter forgot its vote.
+    # Guards against two leaders in one term after a voter loses its vote in a crash.
     async def main() -> None:
         async with _follower() as host:
             await asyncio.sleep(_PROMISE_S)
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("restart", [False, True])
 def test_promise_to_leader(restart: bool) -> None:
-    # Guards against a vote within the leader's lease, also after a restart.
+    # Guards against granting a vote during the leader's lease, also after a restart.
     async def main() -> None:
         async with _follower() as host:
             if restart:
@@ -76,14 +76,14 @@
 
 
 def test_empty_disk_does_not_vote() -> None:
-    # Guards against a quorum made of a host that forgot what it acknowledged.
+    # Guards against a quorum that includes a host that lost its acknowledged entries.
     async def main() -> None:
         async with _follower() as host:
-            old = host.member.id
+            former_id = host.member.id
             host.disk.lose()
             await host.start()
             await asyncio.sleep(_PROMISE_S)
-            reply = await _ask(host, _vote(host, "x/1", 50, to=old))
+            reply = await _ask(host, _vote(host, "x/1", 50, to=former_id))
             assert reply == {"kind": "rejected", "reason": "wrong_identity"}
             assert not (await _ask(host, _vote(host, "x/1", 50)))["granted"]
 
@@ -91,7 +91,7 @@
 
 
 def test_older_log_gets_no_vote() -> None:
-    # Guards against a leader that lacks committed entries.
+    # Guards against electing a leader that lacks committed entries.
     async def main() -> None:
         async with _follower() as host:
             await asyncio.sleep(_PROMISE_S)
@@ -102,7 +102,7 @@
 
 
 def test_other_cluster_is_rejected() -> None:
-    # Guards against two clusters that mix their entries after a wrong address.
+    # Guards against mixing the entries of two clusters because of a wrong address.
     async def main() -> None:
         async with _follower() as host:
             message = _vote(host, "x/1", 50)
