--- a/packages/log/src/kingcuplug_log/_applier.py
+++ b/packages/log/src/kingcuplug_log/_applier.py
@@ -5,38 +5,38 @@
 from typing import Any
 
 from kingcuplug_log._errors import LostLeadership, StorageFailed
-from kingcuplug_log._replica_state import Core
+from kingcuplug_log._replica_state import ReplicaState
 from kingcuplug_log._snapshot import Snapshot
-from kingcuplug_log._types import Entry, EntryKind, Machine
+from kingcuplug_log._types import Entry, EntryKind, StateMachine
 
 __all__ = ["Applier"]
 
-_APPLY_BATCH = 256  # Limits how long one batch blocks the event loop.
+_APPLY_BATCH_ENTRIES = 256  # Limits how long one batch blocks the event loop.
 
 
 class Applier:
     """Applies committed entries in order and completes the pending proposals."""
 
-    def __init__(self, state: Core, machine: Machine) -> None:
-        self._core = state
+    def __init__(self, state: ReplicaState, machine: StateMachine) -> None:
+        self._state = state
         self._storage = state.storage
         self._machine = machine
-        self._waiting: dict[int, tuple[int, asyncio.Future[Any]]] = {}
-        self._saving: asyncio.Task[None] | None = None
+        self._pending: dict[int, tuple[int, asyncio.Future[Any]]] = {}
+        self._snapshot_task: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
         """Apply entries as they are committed, until cancelled."""
         try:
             while True:
-                await self._core.progressed.until(self._has_work)
+                await self._state.changed.until(self._has_entries_to_apply)
                 self._apply_batch()
-                self._start_snapshot()
+                self._start_snapshot_if_due()
                 await asyncio.sleep(0)
         finally:
-            if self._saving is not None:
-                self._saving.cancel()
+            if self._snapshot_task is not None:
+                self._snapshot_task.cancel()
 
-    async def result(self, index: int, term: int) -> Any:
+    async def wait_result(self, index: int, term: int) -> Any:
         """Wait for the state machine's result of the entry proposed at `index`.
 
         Raises
@@ -45,41 +45,41 @@
             If leadership ended first, or another entry was committed at `index`.
         """
         future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self._waiting[index] = (term, future)
+        self._pending[index] = (term, future)
         return await future
 
-    def abandon(self) -> None:
+    def fail_pending(self) -> None:
         """Fail all pending proposals; their outcome is unknown."""
-        waiting, self._waiting = self._waiting, {}
+        waiting, self._pending = self._pending, {}
         for index, (_, future) in waiting.items():
             if not future.done():
                 future.set_exception(LostLeadership(index))
 
-    def install(self, snapshot: Snapshot) -> None:
+    def install_snapshot(self, snapshot: Snapshot) -> None:
         """Replace the state machine's state with a snapshot that is already durable."""
-        state = self._core
+        state = self._state
         if snapshot.index > state.applied_index:
             self._machine.load(snapshot.state)
             state.applied_index = snapshot.index
         first = max(self._storage.first_index, snapshot.index + 1)
-        state.group.rebuild(snapshot, self._storage.entries(first))
-        state.commit(snapshot.index)
-        state.progressed.notify()
+        state.group.restore(snapshot, self._storage.entries(first))
+        state.advance_commit_index(snapshot.index)
+        state.changed.notify()
 
-    def _has_work(self) -> bool:
+    def _has_entries_to_apply(self) -> bool:
         # While a snapshot is being installed, the entries it covers are already
         # removed from the log and cannot be applied.
-        state = self._core
+        state = self._state
         next_is_stored = self._storage.first_index <= state.applied_index + 1
         return next_is_stored and state.commit_index > state.applied_index
 
     def _apply_batch(self) -> None:
-        state = self._core
-        count = min(state.commit_index - state.applied_index, _APPLY_BATCH)
+        state = self._state
+        count = min(state.commit_index - state.applied_index, _APPLY_BATCH_ENTRIES)
         for entry in self._storage.entries(state.applied_index + 1, count):
             self._apply(entry)
         state.metrics.count("log.applied", count)
-        state.progressed.notify()
+        state.changed.notify()
 
     def _apply(self, entry: Entry) -> None:
         result: Any = None
@@ -89,11 +89,13 @@
                 result = self._machine.apply(entry.index, entry.data)
             except Exception as raised:  # Goes to the proposer; later entries apply.
                 error = raised
-        self._core.applied_index = entry.index
-        self._answer(entry, result, error)
+        self._state.applied_index = entry.index
+        self._complete_proposal(entry, result, error)
 
-    def _answer(self, entry: Entry, result: Any, error: Exception | None) -> None:
-        term, future = self._waiting.pop(entry.index, (0, None))
+    def _complete_proposal(
+        self, entry: Entry, result: Any, error: Exception | None
+    ) -> None:
+        term, future = self._pending.pop(entry.index, (0, None))
         if future is None or future.done():
             return
         if term != entry.term:
@@ -103,31 +105,31 @@
         else:
             future.set_result(result)
 
-    def _start_snapshot(self) -> None:
-        state = self._core
+    def _start_snapshot_if_due(self) -> None:
+        state = self._state
         due_index = self._storage.snapshot_index + state.settings.snapshot_entries
         if state.applied_index < due_index or self._storage.failure:
             return
-        if self._saving is None or self._saving.done():
-            self._saving = asyncio.ensure_future(
-                state.supervise(self._save(self._snapshot()))
+        if self._snapshot_task is None or self._snapshot_task.done():
+            self._snapshot_task = asyncio.ensure_future(
+                state.supervise(self._save_snapshot(self._make_snapshot()))
             )
 
-    def _snapshot(self) -> Snapshot:
-        state = self._core
+    def _make_snapshot(self) -> Snapshot:
+        state = self._state
         index = state.applied_index
         return Snapshot(
             index=index,
             term=self._storage.term_at(index) or 0,
             cluster=state.group.cluster or "",
-            members=state.group.at(index),
+            members=state.group.members_at(index),
             state=self._machine.dump(),
         )
 
-    async def _save(self, snapshot: Snapshot) -> None:
+    async def _save_snapshot(self, snapshot: Snapshot) -> None:
         with contextlib.suppress(StorageFailed):
-            retained = self._core.settings.retained_entries
+            retained = self._state.settings.retained_entries
             await self._storage.save_snapshot(snapshot, retained)
-            self._core.metrics.count("log.snapshots")
+            self._state.metrics.count("log.snapshots")
             return
-        self._core.fail()
+        self._state.handle_storage_failure()
--- a/packages/log/src/kingcuplug_log/_elections.py
+++ b/packages/log/src/kingcuplug_log/_elections.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from kingcuplug_log._group_membership import majority
+from kingcuplug_log._group_membership import quorum_size
 from kingcuplug_log._messages import (
     Header,
     PreVoteRequest,
@@ -11,12 +11,12 @@
     VoteReply,
     VoteRequest,
 )
-from kingcuplug_log._replica_state import Core
+from kingcuplug_log._replica_state import ReplicaState
 
 __all__ = ["Elections"]
 
 # Avoids many short sleeps when the replica's clock is slower than the event loop's.
-_SHORTEST_SLEEP_S = 0.001
+_MIN_SLEEP_S = 0.001
 
 
 class Elections:
@@ -26,90 +26,92 @@
     not depose a working leader with a greater term.
     """
 
-    def __init__(self, state: Core) -> None:
-        self._core = state
+    def __init__(self, state: ReplicaState) -> None:
+        self._state = state
         self._storage = state.storage
 
-    async def run(self) -> None:
+    async def run_until_elected(self) -> None:
         """Hold elections until this replica has been elected."""
-        state = self._core
+        state = self._state
         while True:
-            remaining_s = state.election_at - state.clock()
+            remaining_s = state.election_due_at - state.clock()
             if remaining_s > 0:
-                await asyncio.sleep(max(remaining_s, _SHORTEST_SLEEP_S))
+                await asyncio.sleep(max(remaining_s, _MIN_SLEEP_S))
             elif await self._campaign():
                 return
 
-    async def pre_vote(self, request: PreVoteRequest) -> VoteReply:
+    async def handle_pre_vote(self, request: PreVoteRequest) -> VoteReply:
         """Reply whether a vote would be granted."""
         granted = (
             request.header.term > self._storage.term
-            and not self._core.promised()
-            and self._may_vote()
-            and self._is_current(request.last_index, request.last_term)
+            and not self._state.must_refuse_votes()
+            and self._can_vote()
+            and self._is_up_to_date(request.last_index, request.last_term)
         )
-        await self._storage.persist()
+        await self._storage.persist_vote()
         return VoteReply(self._storage.term, granted)
 
-    async def vote(self, request: VoteRequest) -> VoteReply:
+    async def handle_vote(self, request: VoteRequest) -> VoteReply:
         """Grant or refuse a vote; reply only after the decision is durable."""
         term, candidate = request.header.term, request.header.sender
-        if self._core.promised() or not self._may_vote():
+        if self._state.must_refuse_votes() or not self._can_vote():
             return VoteReply(self._storage.term, False)
-        self._core.adopt(term)
+        self._state.advance_term(term)
         granted = (
             term == self._storage.term
             and self._storage.vote in (None, candidate)
-            and self._is_current(request.last_index, request.last_term)
+            and self._is_up_to_date(request.last_index, request.last_term)
         )
         if granted:
-            self._storage.set_vote(term, candidate)
-            self._core.delay_election()
-        await self._storage.persist()
+            self._storage.set_term_and_vote(term, candidate)
+            self._state.reset_election_timer()
+        await self._storage.persist_vote()
         return VoteReply(self._storage.term, granted)
 
-    def _may_vote(self) -> bool:
+    def _can_vote(self) -> bool:
         # A replica with an empty log has a new disk, or has lost its former one.
         # A replica that is a learner in its own log may vote, because its log
         # can lack the members entry that makes it a voter.
         return self._storage.last_index > 0
 
-    def _is_current(self, last_index: int, last_term: int) -> bool:
+    def _is_up_to_date(self, last_index: int, last_term: int) -> bool:
         own_last = (self._storage.last_term, self._storage.last_index)
         return (last_term, last_index) >= own_last
 
     async def _campaign(self) -> bool:
-        state = self._core
-        state.delay_election()
-        if not state.group.votes(state.member.id) or self._storage.failure:
+        state = self._state
+        state.reset_election_timer()
+        if not state.group.is_voter(state.member.id) or self._storage.failure:
             return False
-        if not await self._poll(self._storage.term + 1, PreVoteRequest):
+        if not await self._request_votes(self._storage.term + 1, PreVoteRequest):
             return False
-        if state.promised():
+        if state.must_refuse_votes():
             return False
-        state.stand()
-        await self._storage.persist()
-        return await self._poll(self._storage.term, VoteRequest)
+        state.become_candidate()
+        await self._storage.persist_vote()
+        return await self._request_votes(self._storage.term, VoteRequest)
 
-    async def _poll(
-        self, term: int, kind: type[PreVoteRequest] | type[VoteRequest]
+    async def _request_votes(
+        self, term: int, request_type: type[PreVoteRequest] | type[VoteRequest]
     ) -> bool:
-        state, role_and_term = self._core, (self._core.role, self._storage.term)
+        state, role_and_term = self._state, (self._state.role, self._storage.term)
         last_entry = (self._storage.last_index, self._storage.last_term)
 
         def make_request(to: str) -> Request:
-            header: Header = state.header(to, term)
-            return kind(header, *last_entry)
+            header: Header = state.make_header(to, term)
+            return request_type(header, *last_entry)
 
-        granted = await self._gather(make_request)
+        granted = await self._collect_quorum(make_request)
         return granted and (state.role, self._storage.term) == role_and_term
 
-    async def _gather(self, request: Callable[[str], Request]) -> bool:
-        state = self._core
+    async def _collect_quorum(self, make_request: Callable[[str], Request]) -> bool:
+        state = self._state
         voters = state.group.voters
-        votes_needed = majority(len(voters)) - 1
+        votes_needed = quorum_size(len(voters)) - 1
         other_ids = [voter.id for voter in voters if voter.id != state.member.id]
-        pending = {asyncio.ensure_future(state.call(request(to))) for to in other_ids}
+        pending = {
+            asyncio.ensure_future(state.call(make_request(to))) for to in other_ids
+        }
         try:
             while pending and votes_needed > 0:
                 done, pending = await asyncio.wait(
--- a/packages/log/src/kingcuplug_log/_fail_stop.py
+++ b/packages/log/src/kingcuplug_log/_fail_stop.py
@@ -5,10 +5,10 @@
 
 from kingcuplug_log._errors import StorageFailed
 
-__all__ = ["FailStop"]
+__all__ = ["FailStopExecutor"]
 
 
-class FailStop:
+class FailStopExecutor:
     """Runs operations one at a time per lock, until one raises `OSError`.
 
     After that every operation raises `StorageFailed`: a failed fsync can drop
@@ -24,12 +24,12 @@
         self.failure: OSError | None = None
         self._running: set[asyncio.Task[None]] = set()
 
-    def check(self) -> None:
+    def raise_if_failed(self) -> None:
         """Raise `StorageFailed` if an operation has failed."""
         if self.failure is not None:
             raise StorageFailed(self.failure)
 
-    def fail(self, error: OSError) -> StorageFailed:
+    def record_failure(self, error: OSError) -> StorageFailed:
         """Record a failure and return the error to raise."""
         self.failure = self.failure or error
         return StorageFailed(error)
@@ -38,9 +38,9 @@
         self, lock: asyncio.Lock, operation: Callable[[], Awaitable[None]]
     ) -> None:
         """Run an operation to completion even if the caller is cancelled."""
-        task = asyncio.ensure_future(self._locked(lock, operation))
+        task = asyncio.ensure_future(self._run_locked(lock, operation))
         self._running.add(task)
-        task.add_done_callback(self._forget)
+        task.add_done_callback(self._discard_task)
         await asyncio.shield(task)
 
     async def drain(self) -> None:
@@ -48,17 +48,17 @@
         if self._running:
             await asyncio.wait(self._running)
 
-    def _forget(self, task: asyncio.Task[None]) -> None:
+    def _discard_task(self, task: asyncio.Task[None]) -> None:
         self._running.discard(task)
         if not task.cancelled():
             task.exception()  # Marks it as retrieved if the caller was cancelled.
 
-    async def _locked(
+    async def _run_locked(
         self, lock: asyncio.Lock, operation: Callable[[], Awaitable[None]]
     ) -> None:
         async with lock:
-            self.check()
+            self.raise_if_failed()
             try:
                 await operation()
             except OSError as error:
-                raise self.fail(error) from error
+                raise self.record_failure(error) from error
--- a/packages/log/src/kingcuplug_log/_file_system.py
+++ b/packages/log/src/kingcuplug_log/_file_system.py
@@ -7,7 +7,7 @@
 
 __all__ = ["DiskFileSystem", "FileSystem"]
 
-_APPEND = os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
+_APPEND_FLAGS = os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
 
 
 class FileSystem(Protocol):
@@ -77,7 +77,7 @@
 
     def open_append(self, name: str) -> int:
         """Open a file for appending, create it if absent; return its handle."""
-        return os.open(self._folder / name, _APPEND, 0o600)
+        return os.open(self._folder / name, _APPEND_FLAGS, 0o600)
 
     def write(self, handle: int, data: bytes) -> None:
         """Buffer `data`, which the next `sync` appends."""
--- a/packages/log/src/kingcuplug_log/_follower.py
+++ b/packages/log/src/kingcuplug_log/_follower.py
@@ -12,116 +12,118 @@
     InstallReply,
     InstallRequest,
 )
-from kingcuplug_log._records import decode_one
-from kingcuplug_log._replica_state import Core
+from kingcuplug_log._records import decode_single_record
+from kingcuplug_log._replica_state import ReplicaState
 from kingcuplug_log._snapshot import Snapshot
 from kingcuplug_log._types import Entry
 
-__all__ = ["Following"]
+__all__ = ["Follower"]
 
 
-class Following:
+class Follower:
     """Receives entries and snapshots from the leader."""
 
-    def __init__(self, state: Core, applier: Applier) -> None:
-        self._core = state
+    def __init__(self, state: ReplicaState, applier: Applier) -> None:
+        self._state = state
         self._storage = state.storage
         self._applier = applier
-        self._parts_key: tuple[int, int] = (0, 0)
-        self._parts = bytearray()
+        self._snapshot_key: tuple[int, int] = (0, 0)
+        self._snapshot_data = bytearray()
 
-    async def append(self, request: AppendRequest) -> AppendReply:
+    async def handle_append(self, request: AppendRequest) -> AppendReply:
         """Append entries; the reply acknowledges only entries that are synced."""
-        if not self._accept(request.header.term, request.header.sender):
-            return await self._refuse_append()
-        conflict_index = self._mismatch(request)
+        if not self._accept_leader(request.header.term, request.header.sender):
+            return await self._reject_append()
+        conflict_index = self._find_conflict_index(request)
         if conflict_index is None:
-            self._stage(request.entries)
-            await self._flush()
-        await self._storage.persist()
+            self._stage_new_entries(request.entries)
+            await self._flush_within_heartbeat()
+        await self._storage.persist_vote()
         if request.header.term != self._storage.term:
-            return await self._refuse_append()
+            return await self._reject_append()
         if conflict_index is not None:
             return AppendReply(request.header.term, False, 0, conflict_index)
         last_sent = request.previous_index + len(request.entries)
         match_index = min(last_sent, self._storage.durable_index)
-        self._core.commit(min(request.commit_index, match_index))
+        self._state.advance_commit_index(min(request.commit_index, match_index))
         return AppendReply(request.header.term, True, match_index, match_index + 1)
 
-    async def install(self, request: InstallRequest) -> InstallReply:
+    async def handle_install(self, request: InstallRequest) -> InstallReply:
         """Store a chunk of a snapshot, and install the snapshot after the last one."""
         term = request.header.term
-        if not self._accept(term, request.header.sender):
-            await self._storage.persist()
+        if not self._accept_leader(term, request.header.sender):
+            await self._storage.persist_vote()
             return InstallReply(self._storage.term, 0, False)
-        installed = request.index <= self._core.applied_index
+        installed = request.index <= self._state.applied_index
         if not installed:
-            self._collect(request)
-            if len(self._parts) == request.total:
-                installed = await self._install(bytes(self._parts))
-        await self._storage.persist()
-        return InstallReply(self._storage.term, len(self._parts), installed)
+            self._add_chunk(request)
+            if len(self._snapshot_data) == request.total:
+                installed = await self._install_snapshot(bytes(self._snapshot_data))
+        await self._storage.persist_vote()
+        return InstallReply(self._storage.term, len(self._snapshot_data), installed)
 
-    def _accept(self, term: int, leader: str) -> bool:
+    def _accept_leader(self, term: int, leader: str) -> bool:
         if term < self._storage.term:
             return False
-        self._core.adopt(term)
-        self._core.follow(leader)
+        self._state.advance_term(term)
+        self._state.follow_leader(leader)
         return True
 
-    async def _refuse_append(self) -> AppendReply:
-        await self._storage.persist()
+    async def _reject_append(self) -> AppendReply:
+        await self._storage.persist_vote()
         return AppendReply(self._storage.term, False, 0, 0)
 
-    def _mismatch(self, request: AppendRequest) -> int | None:
+    def _find_conflict_index(self, request: AppendRequest) -> int | None:
         """Return the index to resume from, or ``None`` if the logs match."""
         previous = request.previous_index
         if previous > self._storage.last_index:
             return self._storage.last_index + 1
-        if previous <= self._core.commit_index:
+        if previous <= self._state.commit_index:
             return None
         term = self._storage.term_at(previous)
         if term == request.previous_term:
             return None
         first = previous
-        while first > self._core.commit_index + 1:
+        while first > self._state.commit_index + 1:
             if self._storage.term_at(first - 1) != term:
                 break
             first -= 1
         return first
 
-    def _stage(self, entries: tuple[Entry, ...]) -> None:
-        uncommitted = [e for e in entries if e.index > self._core.commit_index]
+    def _stage_new_entries(self, entries: tuple[Entry, ...]) -> None:
+        uncommitted = [e for e in entries if e.index > self._state.commit_index]
         for position, entry in enumerate(uncommitted):
             if self._storage.term_at(entry.index) != entry.term:
                 self._storage.stage(uncommitted[position:])
-                self._core.group.extend(uncommitted[position:])
+                self._state.group.append_entries(uncommitted[position:])
                 return
 
-    async def _flush(self) -> None:
+    async def _flush_within_heartbeat(self) -> None:
         if self._storage.durable_index == self._storage.last_index:
             return
         # A slow disk must not let the leader's lease expire, so the reply is sent
         # after at most one heartbeat interval and covers what is durable by then.
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(self._core.settings.heartbeat):
+            async with asyncio.timeout(self._state.settings.heartbeat_interval):
                 await self._storage.flush()
 
-    def _collect(self, request: InstallRequest) -> None:
+    def _add_chunk(self, request: InstallRequest) -> None:
         key = (request.header.term, request.index)
-        if key != self._parts_key:
-            self._parts_key = key
-            self._parts = bytearray()
-        if request.offset == len(self._parts):
-            self._parts += base64.b64decode(request.data)
+        if key != self._snapshot_key:
+            self._snapshot_key = key
+            self._snapshot_data = bytearray()
+        if request.offset == len(self._snapshot_data):
+            self._snapshot_data += base64.b64decode(request.data)
 
-    async def _install(self, data: bytes) -> bool:
+    async def _install_snapshot(self, data: bytes) -> bool:
         try:
-            snapshot = Snapshot.from_json(decode_one(data, "received snapshot"))
+            snapshot = Snapshot.from_json(
+                decode_single_record(data, "received snapshot")
+            )
         except CorruptLog:
-            self._parts = bytearray()
+            self._snapshot_data = bytearray()
             return False
         await self._storage.save_snapshot(snapshot, retained=0)
-        self._applier.install(snapshot)
-        self._parts = bytearray()
+        self._applier.install_snapshot(snapshot)
+        self._snapshot_data = bytearray()
         return True
--- a/packages/log/src/kingcuplug_log/_messages.py
+++ b/packages/log/src/kingcuplug_log/_messages.py
@@ -131,19 +131,19 @@
 Request = PreVoteRequest | VoteRequest | AppendRequest | InstallRequest
 Reply = VoteReply | AppendReply | InstallReply | Rejected
 
-_REQUESTS: dict[str, Any] = {
+_REQUEST_TYPES: dict[str, Any] = {
     "pre_vote": PreVoteRequest,
     "vote": VoteRequest,
     "append": AppendRequest,
     "install": InstallRequest,
 }
-_REPLIES: dict[str, Any] = {
+_REPLY_TYPES: dict[str, Any] = {
     "vote_reply": VoteReply,
     "append_reply": AppendReply,
     "install_reply": InstallReply,
     "rejected": Rejected,
 }
-_KINDS = {cls: kind for kind, cls in (_REQUESTS | _REPLIES).items()}
+_KIND_BY_TYPE = {cls: kind for kind, cls in (_REQUEST_TYPES | _REPLY_TYPES).items()}
 
 
 def to_json(message: Request | Reply) -> dict[str, Any]:
@@ -153,7 +153,7 @@
         fields["header"] = vars(fields["header"])
     if "entries" in fields:
         fields["entries"] = [entry.to_json() for entry in fields["entries"]]
-    return {"kind": _KINDS[type(message)]} | fields
+    return {"kind": _KIND_BY_TYPE[type(message)]} | fields
 
 
 def decode_request(value: dict[str, Any]) -> Request:
@@ -164,12 +164,12 @@
     ValueError
         If the kind is unknown or a field is missing or unknown.
     """
-    fields = _fields(value, _REQUESTS)
+    fields = _message_fields(value, _REQUEST_TYPES)
     try:
         fields["header"] = Header(**fields["header"])
         if "entries" in fields:
             fields["entries"] = tuple(map(Entry.from_json, fields["entries"]))
-        request: Request = _REQUESTS[value["kind"]](**fields)
+        request: Request = _REQUEST_TYPES[value["kind"]](**fields)
     except (KeyError, TypeError, IndexError) as error:
         raise ValueError(f"malformed {value['kind']} request: {error}") from error
     return request
@@ -183,15 +183,17 @@
     ValueError
         If the kind is unknown or a field is missing or unknown.
     """
-    fields = _fields(value, _REPLIES)
+    fields = _message_fields(value, _REPLY_TYPES)
     try:
-        reply: Reply = _REPLIES[value["kind"]](**fields)
+        reply: Reply = _REPLY_TYPES[value["kind"]](**fields)
     except TypeError as error:
         raise ValueError(f"malformed {value['kind']}: {error}") from error
     return reply
 
 
-def _fields(value: dict[str, Any], kinds: dict[str, Any]) -> dict[str, Any]:
-    if value.get("kind") not in kinds:
+def _message_fields(
+    value: dict[str, Any], types_by_kind: dict[str, Any]
+) -> dict[str, Any]:
+    if value.get("kind") not in types_by_kind:
         raise ValueError(f"unknown message kind {value.get('kind')!r}")
     return {name: field for name, field in value.items() if name != "kind"}
--- a/packages/log/src/kingcuplug_log/_progress.py
+++ b/packages/log/src/kingcuplug_log/_progress.py
@@ -10,7 +10,7 @@
     InstallRequest,
     Reply,
 )
-from kingcuplug_log._replica_state import Core
+from kingcuplug_log._replica_state import ReplicaState
 from kingcuplug_log._types import Member, MemberRole, PeerStatus
 
 __all__ = ["Progress"]
@@ -32,78 +32,78 @@
         request was sent.
     """
 
-    def __init__(self, state: Core, member: Member, term: int) -> None:
-        self._core = state
+    def __init__(self, state: ReplicaState, member: Member, term: int) -> None:
+        self._state = state
         self._storage = state.storage
         self._term = term
         self._reachable = False
         self.member = member
         self.next_index = state.storage.last_index + 1
         self.match_index = 0
-        self.answered_at = -math.inf
+        self.last_contact_at = -math.inf
         self.caught_up = False
 
     @property
-    def votes(self) -> bool:
+    def is_voter(self) -> bool:
         """Whether the member is currently a voter."""
-        return self._core.group.votes(self.member.id)
+        return self._state.group.is_voter(self.member.id)
 
     @property
     def promotable(self) -> bool:
         """Whether the member is a learner that can be made a voter."""
-        member = self._core.group.find(self.member.id)
+        member = self._state.group.find_member(self.member.id)
         is_learner = member is not None and member.role is MemberRole.LEARNER
         return is_learner and self.healthy
 
     @property
     def healthy(self) -> bool:
         """Whether the member replied recently and has all committed entries."""
-        age = self._core.clock() - self.answered_at
-        return self.caught_up and age < self._core.settings.election_timeout
+        age = self._state.clock() - self.last_contact_at
+        return self.caught_up and age < self._state.settings.election_timeout
 
     def status(self) -> PeerStatus:
         """Return the replication status for operators."""
-        age = self._core.clock() - self.answered_at
+        age = self._state.clock() - self.last_contact_at
         return PeerStatus(
-            member=self._core.group.find(self.member.id) or self.member,
+            member=self._state.group.find_member(self.member.id) or self.member,
             match_index=self.match_index,
             caught_up=self.caught_up,
             answered_ms_ago=age * _MS_PER_S if math.isfinite(age) else None,
         )
 
-    async def exchange(self) -> bool:
+    async def replicate_next(self) -> bool:
         """Send the next entries or the snapshot; return whether the member replied."""
         # An unreachable member gets append requests as heartbeats, so that the whole
         # snapshot is not sent to it again and again.
         if self._reachable and self.next_index < self._storage.first_index:
-            self._reachable = await self._install()
+            self._reachable = await self._send_snapshot()
         else:
-            self._reachable = await self._append()
+            self._reachable = await self._send_append()
         return self._reachable
 
-    async def _append(self) -> bool:
-        state, sent_at = self._core, self._core.clock()
+    async def _send_append(self) -> bool:
+        state, sent_at = self._state, self._state.clock()
         first = max(self.next_index, self._storage.first_index)
         previous = first - 1
         request = AppendRequest(
-            header=state.header(self.member.id, self._term),
+            header=state.make_header(self.member.id, self._term),
             previous_index=previous,
             previous_term=self._storage.term_at(previous) or 0,
             commit_index=state.commit_index,
             entries=tuple(self._storage.entries(first, state.settings.batch_entries)),
         )
         reply = await state.call(request)
-        if not isinstance(reply, AppendReply) or not self._answered(reply, sent_at):
+        if not isinstance(reply, AppendReply) or not self._record_reply(reply, sent_at):
             return False
         if reply.success:
-            self._matched(reply.match_index, request.commit_index)
+            self._record_match(reply.match_index, request.commit_index)
         else:
             self.next_index = max(1, min(reply.next_index, previous))
             self.caught_up = False
         return True
 
-    async def _install(self) -> bool:
-        state = self._core
+    async def _send_snapshot(self) -> bool:
+        state = self._state
         data = self._storage.read_snapshot()
         index, term = self._storage.snapshot_index, self._storage.snapshot_term
         offset, chunk_bytes = 0, state.settings.install_chunk_bytes
@@ -111,7 +111,7 @@
         while True:
             sent_at = state.clock()
             request = InstallRequest(
-                header=state.header(self.member.id, self._term),
+                header=state.make_header(self.member.id, self._term),
                 index=index,
                 snapshot_term=term,
                 offset=offset,
@@ -121,26 +121,26 @@
             reply = await state.call(request)
             if not isinstance(reply, InstallReply):
                 return False
-            if not self._answered(reply, sent_at):
+            if not self._record_reply(reply, sent_at):
                 return False
             if reply.done:
-                self._matched(index, index)
+                self._record_match(index, index)
                 return True
             offset = reply.offset
 
-    def _answered(self, reply: Reply, sent_at: float) -> bool:
+    def _record_reply(self, reply: Reply, sent_at: float) -> bool:
         """Record a reply; return ``False`` if it is not of this term."""
-        leadership = self._core.leadership
+        leadership = self._state.leadership
         if leadership is None or leadership.term != self._term:
             return False
         if not isinstance(reply, AppendReply | InstallReply):
             return False
         if reply.term != self._term:
             return False
-        self.answered_at = max(self.answered_at, sent_at)
+        self.last_contact_at = max(self.last_contact_at, sent_at)
         return True
 
-    def _matched(self, index: int, committed: int) -> None:
-        self.match_index = max(self.match_index, index)
-        self.next_index = index + 1
-        self.caught_up = index >= committed
+    def _record_match(self, match_index: int, commit_index: int) -> None:
+        self.match_index = max(self.match_index, match_index)
+        self.next_index = match_index + 1
+        self.caught_up = match_index >= commit_index
--- a/packages/log/src/kingcuplug_log/_records.py
+++ b/packages/log/src/kingcuplug_log/_records.py
@@ -13,20 +13,20 @@
 
 from kingcuplug_log._errors import CorruptLog
 
-__all__ = ["decode_one", "encode", "scan"]
+__all__ = ["decode_single_record", "encode_record", "scan_records"]
 
 _MARKER = b"\xf5KL\xfa"
 _HEADER = struct.Struct(">4sII")
 _LENGTH = struct.Struct(">I")
 
 
-def encode(value: Any) -> bytes:
+def encode_record(value: Any) -> bytes:
     """Encode a JSON value as a record."""
     payload = orjson.dumps(value)
     return _HEADER.pack(_MARKER, len(payload), _checksum(payload)) + payload
 
 
-def scan(data: bytes, file: str) -> tuple[list[Any], int]:
+def scan_records(data: bytes, file: str) -> tuple[list[Any], int]:
     """Decode all records; return their values and the offset of a torn tail.
 
     Raises
@@ -38,16 +38,16 @@
     values: list[Any] = []
     offset = 0
     while offset < len(data):
-        record = _record(data, offset)
+        record = _decode_record_at(data, offset)
         if record is None:
-            _check_tail(data, offset, file)
+            _check_torn_tail(data, offset, file)
             break
         value, offset = record
         values.append(value)
     return values, offset
 
 
-def decode_one(data: bytes, file: str) -> Any:
+def decode_single_record(data: bytes, file: str) -> Any:
     """Decode a file that consists of exactly one record.
 
     Raises
@@ -56,7 +56,7 @@
         If the file contains anything else. Such files are replaced by rename, so a
         crash cannot leave a partial one.
     """
-    record = _record(data, 0)
+    record = _decode_record_at(data, 0)
     if record is None or record[1] != len(data):
         raise CorruptLog(file, 0, "the file is not exactly one valid record")
     return record[0]
@@ -66,7 +66,7 @@
     return zlib.crc32(payload, zlib.crc32(_LENGTH.pack(len(payload))))
 
 
-def _record(data: bytes, offset: int) -> tuple[Any, int] | None:
+def _decode_record_at(data: bytes, offset: int) -> tuple[Any, int] | None:
     if offset + _HEADER.size > len(data):
         return None
     marker, length, checksum = _HEADER.unpack_from(data, offset)
@@ -77,10 +77,10 @@
     return orjson.loads(payload), payload_start + length
 
 
-def _check_tail(data: bytes, invalid: int, file: str) -> None:
-    offset = data.find(_MARKER, invalid + 1)
+def _check_torn_tail(data: bytes, invalid_offset: int, file: str) -> None:
+    offset = data.find(_MARKER, invalid_offset + 1)
     while offset >= 0:
-        if _record(data, offset) is not None:
+        if _decode_record_at(data, offset) is not None:
             reason = f"an invalid record is followed by a valid one at {offset}"
-            raise CorruptLog(file, invalid, reason)
+            raise CorruptLog(file, invalid_offset, reason)
         offset = data.find(_MARKER, offset + 1)
--- a/packages/log/src/kingcuplug_log/_replica.py
+++ b/packages/log/src/kingcuplug_log/_replica.py
@@ -17,8 +17,8 @@
     StorageFailed,
     WrongIdentity,
 )
-from kingcuplug_log._follower import Following
-from kingcuplug_log._group_membership import members_data
+from kingcuplug_log._follower import Follower
+from kingcuplug_log._group_membership import members_entry_data
 from kingcuplug_log._leadership import Leadership
 from kingcuplug_log._messages import (
     AppendRequest,
@@ -31,7 +31,7 @@
     decode_request,
     to_json,
 )
-from kingcuplug_log._replica_state import Core
+from kingcuplug_log._replica_state import ReplicaState
 from kingcuplug_log._storage import Storage
 from kingcuplug_log._types import (
     Clock,
@@ -39,8 +39,8 @@
     EntryKind,
     LogSettings,
     LogStatus,
-    Machine,
     Member,
+    StateMachine,
     Transport,
     member_id,
 )
@@ -59,7 +59,7 @@
         Opened storage, used by this replica only and closed by `stop`.
     transport : Transport
         Sends a message to a peer id and returns the reply.
-    machine : Machine
+    machine : StateMachine
         State machine to which committed commands are applied; `start` loads it from
         the snapshot.
     clock : callable
@@ -75,20 +75,20 @@
         member: Member,
         storage: Storage,
         transport: Transport,
-        machine: Machine,
+        machine: StateMachine,
         settings: LogSettings,
         clock: Clock,
         random: random_module.Random,
         metrics: Metrics | None = None,
     ) -> None:
-        self._core = Core(
+        self._state = ReplicaState(
             member, storage, transport, settings, clock, random, metrics or Metrics()
         )
         self._storage = storage
         self._machine = machine
-        self._applier = Applier(self._core, machine)
-        self._elections = Elections(self._core)
-        self._following = Following(self._core, self._applier)
+        self._applier = Applier(self._state, machine)
+        self._elections = Elections(self._state)
+        self._follower = Follower(self._state, self._applier)
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
@@ -99,19 +99,19 @@
         WrongIdentity
             If the member's id does not match the storage's disk.
         """
-        state = self._core
+        state = self._state
         expected = member_id(state.member.name, self._storage.disk_id)
         if state.member.id != expected:
             raise WrongIdentity(
                 f"member {state.member.id} does not match this disk's {expected}",
                 "build the id with member_id() from the opened storage",
             )
-        self._recover()
+        self._load_storage()
         # Whether this replica supported a leader's lease before a restart is not
         # stored, so it refuses votes until such a lease would have expired.
-        state.hear()
+        state.record_leader_contact()
         self._tasks = [
-            asyncio.create_task(state.supervise(self._take_part())),
+            asyncio.create_task(state.supervise(self._run_elections())),
             asyncio.create_task(state.supervise(self._applier.run())),
         ]
 
@@ -120,7 +120,7 @@
 
         Raises the error of a task that has failed unexpectedly.
         """
-        self._core.step_down(None)
+        self._state.step_down(None)
         for task in self._tasks:
             task.cancel()
         results = await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -133,11 +133,11 @@
     @property
     def leading(self) -> bool:
         """Whether this replica considers itself the leader; it may be partitioned."""
-        return self._core.leadership is not None
+        return self._state.leadership is not None
 
     def find(self, identifier: str) -> Member | None:
         """Return the member with this identifier."""
-        return self._core.group.find(identifier)
+        return self._state.group.find_member(identifier)
 
     def connected(self) -> bool:
         """Return whether this replica holds the lease or follows an active leader.
@@ -145,8 +145,8 @@
         Its applied state is then at most an election timeout behind.
         """
         if self.leading:
-            return self.leading_until() > self._core.clock()
-        return self._core.leader is not None and self._core.promised()
+            return self.leading_until() > self._state.clock()
+        return self._state.leader is not None and self._state.must_refuse_votes()
 
     async def bootstrap(self, cluster_id: str) -> None:
         """Create a cluster whose only member is this replica.
@@ -156,17 +156,17 @@
         BootstrapRefused
             If the data folder already belongs to a cluster.
         """
-        if self._storage.last_index > 0 or self._core.group.cluster is not None:
+        if self._storage.last_index > 0 or self._state.group.cluster is not None:
             raise BootstrapRefused(
-                f"the data folder belongs to cluster {self._core.group.cluster}",
+                f"the data folder belongs to cluster {self._state.group.cluster}",
                 "use an empty data folder, or add this host to that cluster",
             )
-        data = members_data(cluster_id, [self._core.member])
+        data = members_entry_data(cluster_id, [self._state.member])
         entry = Entry(1, 1, EntryKind.MEMBERS, data)
-        self._core.adopt(1)
+        self._state.advance_term(1)
         self._storage.stage([entry])
-        self._core.group.extend([entry])
-        await self._storage.persist()
+        self._state.group.append_entries([entry])
+        await self._storage.persist_vote()
         await self._storage.flush()
 
     async def propose(self, command: Any) -> Any:
@@ -188,9 +188,9 @@
         """
         # Followers apply the decoded JSON value, so the leader must apply the same.
         command_copy = orjson.loads(orjson.dumps(command))
-        leadership = self._leading()
+        leadership = self._current_leadership()
         index = leadership.append(EntryKind.COMMAND, command_copy)
-        return await self._applier.result(index, leadership.term)
+        return await self._applier.wait_result(index, leadership.term)
 
     async def read_barrier(self) -> int:
         """Wait for a linearizable read point and return its index.
@@ -204,16 +204,16 @@
             If the leader's lease has expired and no quorum confirms the leadership.
         """
         try:
-            index = await self._leading().confirm()
+            index = await self._current_leadership().confirm_read_index()
         except NotLeader:
-            raise NotLeader(self._hint()) from None
+            raise NotLeader(self._known_leader()) from None
         await self.wait_applied(index)
         return index
 
     async def wait_applied(self, index: int) -> None:
         """Wait until entry `index` is applied here, without a timeout."""
-        state = self._core
-        await state.progressed.until(lambda: state.applied_index >= index)
+        state = self._state
+        await state.changed.until(lambda: state.applied_index >= index)
 
     async def change(
         self, add: Member | None = None, remove: str | None = None
@@ -232,9 +232,9 @@
         """
         if (add is None) == (remove is None):
             raise ValueError("specify exactly one of add and remove")
-        leadership = self._leading()
-        index = leadership.changes.start(add, remove)
-        await self._applier.result(index, leadership.term)
+        leadership = self._current_leadership()
+        index = leadership.membership_changes.start(add, remove)
+        await self._applier.wait_result(index, leadership.term)
 
     async def handle(self, message: dict[str, Any]) -> dict[str, Any]:
         """Handle a message from a peer and return the reply."""
@@ -242,96 +242,96 @@
             request = decode_request(message)
         except ValueError:
             return to_json(Rejected("malformed"))
-        reason = self._rejection(request.header)
+        reason = self._rejection_reason(request.header)
         if reason is not None:
             return to_json(Rejected(reason))
         try:
-            return to_json(await self._answer(request))
+            return to_json(await self._dispatch_request(request))
         except StorageFailed:
-            self._core.fail()
+            self._state.handle_storage_failure()
             return to_json(Rejected("storage_failed"))
 
     def leading_until(self) -> float:
         """Return the expiry time of this leader's lease on the clock, or -inf."""
-        leadership = self._core.leadership
+        leadership = self._state.leadership
         if leadership is None or not leadership.lease_valid():
             return -math.inf
-        if self._core.applied_index < leadership.first_index:
+        if self._state.applied_index < leadership.term_start_index:
             return -math.inf
-        return leadership.contact_at() + self._core.settings.lease
+        return leadership.quorum_contact_at() + self._state.settings.lease_duration
 
     def status(self) -> LogStatus:
         """Return the state of this replica for operators."""
-        state, leadership = self._core, self._core.leadership
+        state, leadership = self._state, self._state.leadership
         return LogStatus(
-            member=state.group.find(state.member.id) or state.member,
+            member=state.group.find_member(state.member.id) or state.member,
             term=self._storage.term,
             role=state.role,
-            leader=self._hint(),
+            leader=self._known_leader(),
             commit_index=state.commit_index,
             applied_index=state.applied_index,
             last_index=self._storage.last_index,
             snapshot_index=self._storage.snapshot_index,
             members=state.group.members,
-            peers=leadership.peers() if leadership else (),
+            peers=leadership.peer_statuses() if leadership else (),
             lease_valid=leadership is not None and leadership.lease_valid(),
             storage_failed=self._storage.failure is not None,
             safe_to_lose_one=leadership is not None and leadership.safe_to_lose_one(),
         )
 
-    def _recover(self) -> None:
-        storage, state = self._storage, self._core
-        snapshot, storage.recovered = storage.recovered, None
+    def _load_storage(self) -> None:
+        storage, state = self._storage, self._state
+        snapshot, storage.recovered_snapshot = storage.recovered_snapshot, None
         if snapshot is not None:
             self._machine.load(snapshot.state)
             state.commit_index = state.applied_index = snapshot.index
-        state.group.rebuild(snapshot, storage.entries(storage.first_index))
+        state.group.restore(snapshot, storage.entries(storage.first_index))
 
-    async def _take_part(self) -> None:
+    async def _run_elections(self) -> None:
         with contextlib.suppress(StorageFailed):
             while True:
-                await self._elections.run()
-                await self._lead()
-        self._core.fail()
+                await self._elections.run_until_elected()
+                await self._run_leadership()
+        self._state.handle_storage_failure()
 
-    async def _lead(self) -> None:
-        leadership = Leadership(self._core, self._applier.abandon)
-        self._core.lead(leadership)
+    async def _run_leadership(self) -> None:
+        leadership = Leadership(self._state, self._applier.fail_pending)
+        self._state.become_leader(leadership)
         try:
             await leadership.run()
         except* StorageFailed as failures:
             raise failures.exceptions[0] from None
         finally:
-            if self._core.leadership is leadership:
-                self._core.step_down(None)
+            if self._state.leadership is leadership:
+                self._state.step_down(None)
 
-    def _leading(self) -> Leadership:
+    def _current_leadership(self) -> Leadership:
         if self._storage.failure is not None:
             raise StorageFailed(self._storage.failure)
-        leadership = self._core.leadership
+        leadership = self._state.leadership
         if leadership is None:
-            raise NotLeader(self._hint())
+            raise NotLeader(self._known_leader())
         return leadership
 
-    def _hint(self) -> Member | None:
-        return self._core.group.find(self._core.leader)
+    def _known_leader(self) -> Member | None:
+        return self._state.group.find_member(self._state.leader)
 
-    def _rejection(self, header: Header) -> str | None:
+    def _rejection_reason(self, header: Header) -> str | None:
         if not self._tasks:
             return "not_running"
         if self._storage.failure is not None:
             return "storage_failed"
-        if header.to != self._core.member.id:
+        if header.to != self._state.member.id:
             return "wrong_identity"
-        if self._core.group.cluster not in (None, header.cluster):
+        if self._state.group.cluster not in (None, header.cluster):
             return "wrong_cluster"
         return None
 
-    async def _answer(self, request: Request) -> Reply:
+    async def _dispatch_request(self, request: Request) -> Reply:
         if isinstance(request, AppendRequest):
-            return await self._following.append(request)
+            return await self._follower.handle_append(request)
         if isinstance(request, InstallRequest):
-            return await self._following.install(request)
+            return await self._follower.handle_install(request)
         if isinstance(request, PreVoteRequest):
-            return await self._elections.pre_vote(request)
-        return await self._elections.vote(request)
+            return await self._elections.handle_pre_vote(request)
+        return await self._elections.handle_vote(request)
--- a/packages/log/src/kingcuplug_log/_replica_state.py
+++ b/packages/log/src/kingcuplug_log/_replica_state.py
@@ -7,7 +7,7 @@
 
 from kingcuplug_common import Metrics, Signal, state_change
 
-from kingcuplug_log._group_membership import Group
+from kingcuplug_log._group_membership import GroupMembership
 from kingcuplug_log._messages import (
     Header,
     Rejected,
@@ -23,10 +23,10 @@
     from kingcuplug_log._leadership import Leadership
 
 
-__all__ = ["Core"]
+__all__ = ["ReplicaState"]
 
 
-class Core:
+class ReplicaState:
     """Shared state of one replica and its transitions between roles.
 
     Attributes
@@ -55,66 +55,68 @@
         self.settings = settings
         self.clock = clock
         self.metrics = metrics
-        self.group = Group()
+        self.group = GroupMembership()
         self.role = ReplicaRole.FOLLOWER
         self.leader: str | None = None
         self.leadership: Leadership | None = None
         self.commit_index = 0
         self.applied_index = 0
-        self.promised_until = 0.0
-        self.election_at = 0.0
-        self.appended = Signal()
-        self.progressed = Signal()
+        self.votes_refused_until = 0.0
+        self.election_due_at = 0.0
+        self.log_appended = Signal()
+        self.changed = Signal()
         self._transport = transport
         self._random = random
 
-    def hear(self) -> None:
+    def record_leader_contact(self) -> None:
         """Refuse votes for an election timeout and reset the election timer."""
-        self.promised_until = self.clock() + self.settings.election_timeout
-        self.delay_election()
+        self.votes_refused_until = self.clock() + self.settings.election_timeout
+        self.reset_election_timer()
 
-    def delay_election(self) -> None:
+    def reset_election_timer(self) -> None:
         """Set the timer to expire after one to two election timeouts, at random."""
         random_factor = 1 + self._random.random()
-        self.election_at = self.clock() + self.settings.election_timeout * random_factor
+        self.election_due_at = (
+            self.clock() + self.settings.election_timeout * random_factor
+        )
 
-    def promised(self) -> bool:
+    def must_refuse_votes(self) -> bool:
         """Return whether granting a vote could violate a current leader's lease."""
         if self.leadership is not None:
-            return self.leadership.in_contact()
-        return self.clock() < self.promised_until
+            return self.leadership.has_quorum_contact()
+        return self.clock() < self.votes_refused_until
 
-    def adopt(self, term: int) -> None:
+    def advance_term(self, term: int) -> None:
         """Move to `term`, if it is greater than the current one, without a vote."""
         if term > self.storage.term:
-            self.storage.set_vote(term, None)
+            self.storage.set_term_and_vote(term, None)
             self.step_down(None)
 
-    def follow(self, leader: str) -> None:
+    def follow_leader(self, leader: str) -> None:
         """Follow the leader of the current term."""
         if self.leader != leader or self.role is not ReplicaRole.FOLLOWER:
             self.step_down(leader)
-        self.hear()
+        self.record_leader_contact()
 
     def step_down(self, leader: str | None) -> None:
         """Become a follower; pending proposals fail with an unknown outcome."""
         leadership, self.leadership = self.leadership, None
         if leadership is not None:
             leadership.close()
-            self.delay_election()
-        self._become(ReplicaRole.FOLLOWER, leader)
+            self.reset_election_timer()
+        self._set_role(ReplicaRole.FOLLOWER, leader)
 
-    def stand(self) -> None:
+    def become_candidate(self) -> None:
         """Become a candidate in the next term and vote for this replica."""
-        self.storage.set_vote(self.storage.term + 1, self.member.id)
-        self._become(ReplicaRole.CANDIDATE, None)
+        self.storage.set_term_and_vote(self.storage.term + 1, self.member.id)
+        self._set_role(ReplicaRole.CANDIDATE, None)
 
-    def lead(self, leadership: "Leadership") -> None:
+    def become_leader(self, leadership: "Leadership") -> None:
         """Become the leader of the current term."""
         self.leadership = leadership
-        self._become(ReplicaRole.LEADER, self.member.id)
+        self._set_role(ReplicaRole.LEADER, self.member.id)
 
-    def fail(self) -> None:
+    def handle_storage_failure(self) -> None:
         """Step down and report the failure of the storage."""
         self.step_down(None)
         self.metrics.count("log.storage_failed")
@@ -130,18 +132,18 @@
         except Exception as error:
             self.metrics.count("log.task_failed")
             self.storage.halt(f"a task of the replica failed: {error!r}")
-            self.fail()
+            self.handle_storage_failure()
             raise
 
-    def commit(self, index: int) -> None:
+    def advance_commit_index(self, index: int) -> None:
         """Record that entries up to `index` are committed."""
         if index > self.commit_index:
             self.commit_index = index
-            self.progressed.notify()
+            self.changed.notify()
 
-    def header(self, to: str, term: int) -> Header:
+    def make_header(self, recipient: str, term: int) -> Header:
         """Return the header of a request to another member."""
-        return Header(self.group.cluster or "", self.member.id, to, term)
+        return Header(self.group.cluster or "", self.member.id, recipient, term)
 
     async def call(self, request: Request) -> Reply | None:
         """Send a request; return ``None`` if there is no usable reply."""
@@ -155,14 +157,14 @@
         if isinstance(reply, Rejected):
             self.metrics.count(f"log.rejected.{reply.reason}")
             return None
-        self.adopt(reply.term)
+        self.advance_term(reply.term)
         return reply
 
-    def _become(self, role: ReplicaRole, leader: str | None) -> None:
+    def _set_role(self, role: ReplicaRole, leader: str | None) -> None:
         changed = role is not self.role or leader != self.leader
         self.role, self.leader = role, leader
-        self.progressed.notify()
-        self.appended.notify()
+        self.changed.notify()
+        self.log_appended.notify()
         if changed:
             self.metrics.count(f"log.became.{role}")
             term = self.storage.term
--- a/packages/log/src/kingcuplug_log/_types.py
+++ b/packages/log/src/kingcuplug_log/_types.py
@@ -11,11 +11,11 @@
     "EntryKind",
     "LogSettings",
     "LogStatus",
-    "Machine",
     "Member",
     "MemberRole",
     "PeerStatus",
     "ReplicaRole",
+    "StateMachine",
     "Transport",
     "member_id",
 ]
@@ -26,7 +26,7 @@
 Transport = Callable[[str, dict[str, Any]], Awaitable[dict[str, Any]]]
 
 
-class Machine(Protocol):
+class StateMachine(Protocol):
     """State machine to which the log's commands are applied.
 
     Commands, results and the dumped state are JSON values. `apply` must be
@@ -169,12 +169,12 @@
         return self.election_timeout_ms / _MS_PER_S
 
     @property
-    def lease(self) -> float:
+    def lease_duration(self) -> float:
         """Lease of a leader, counted from the send time of a heartbeat, in seconds."""
         return self.election_timeout * (1 - self.drift_bound)
 
     @property
-    def heartbeat(self) -> float:
+    def heartbeat_interval(self) -> float:
         """Interval of heartbeats, in seconds."""
         return self.heartbeat_ms / _MS_PER_S
 
--- a/tests/log/test_matrix.py
+++ b/tests/log/test_matrix.py
@@ -11,10 +11,10 @@
 import pytest
 from kingcuplug_testkit import FAULTS, STEPS, run_cell
 
-_PAIRS = 24
+_PAIR_COUNT = 24
 
 
-def _pairs() -> list[tuple[str, str, str]]:
+def _sample_fault_pairs() -> list[tuple[str, str, str]]:
     possible = [
         (first, second, step)
         for first, second in itertools.combinations(FAULTS, 2)
@@ -22,7 +22,7 @@
         # Three voters tolerate the loss of one disk at a time.
         if not (FAULTS[first].loses_disk and FAULTS[second].loses_disk)
     ]
-    return Random(0).sample(possible, _PAIRS)
+    return Random(0).sample(possible, _PAIR_COUNT)
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -34,7 +34,7 @@
     assert result.reads > 0
 
 
-@pytest.mark.parametrize(("first", "second", "step"), _pairs())
+@pytest.mark.parametrize(("first", "second", "step"), _sample_fault_pairs())
 def test_pair_of_faults(first: str, second: str, step: str) -> None:
     # Guards against two simultaneous faults that violate a guarantee or block the
     # group.
--- a/tests/log/test_members.py
+++ b/tests/log/test_members.py
@@ -8,29 +8,29 @@
 from kingcuplug_testkit import LogGroup, run_virtual
 
 
-def _safe(group: LogGroup) -> bool:
+def _is_safe_to_lose_one(group: LogGroup) -> bool:
     leader = group.leader()
     return leader is not None and group.replica(leader.name).status().safe_to_lose_one
 
 
-def test_second_loss_after_repair() -> None:
+def test_repaired_group_survives_second_disk_loss() -> None:
     # Guards against reporting a second loss as safe before the repair is done.
     async def main() -> None:
         group = LogGroup("second loss")
         await group.start("a", "b", "c")
         await group.propose({"n": 1})
-        await group.until(lambda: _safe(group))
+        await group.until(lambda: _is_safe_to_lose_one(group))
         lost = group.followers()[0]
         lost_id = lost.member.id
         lost.disk.lose()
         await asyncio.sleep(group.settings.election_timeout)
-        assert not _safe(group)
+        assert not _is_safe_to_lose_one(group)
         await lost.start()
         await group.join(lost.name)
         # One of the four voters is permanently lost: a second loss breaks the quorum.
-        assert not _safe(group)
+        assert not _is_safe_to_lose_one(group)
         await group.change(remove=lost_id)
-        await group.until(lambda: _safe(group))
+        await group.until(lambda: _is_safe_to_lose_one(group))
         second_lost = await group.wait_leader()
         second_lost.disk.lose()
         second_lost.gone = True
@@ -42,7 +42,7 @@
     run_virtual(main())
 
 
-def test_one_change_at_a_time() -> None:
+def test_second_change_is_refused_while_one_is_pending() -> None:
     # Guards against two concurrent changes whose quorums may not overlap.
     async def main() -> None:
         group = LogGroup("one change")
@@ -60,7 +60,7 @@
     run_virtual(main())
 
 
-def test_change_waits_for_own_term() -> None:
+def test_change_is_refused_before_commit_in_own_term() -> None:
     # Guards against a new leader that starts a change while a previous one may not
     # be committed.
     async def main() -> None:
@@ -79,7 +79,7 @@
     run_virtual(main())
 
 
-def test_last_quorum_is_not_removed() -> None:
+def test_removal_that_breaks_quorum_is_refused() -> None:
     # Guards against removing a live voter instead of the crashed one by mistake.
     async def main() -> None:
         group = LogGroup("last quorum")
@@ -96,7 +96,7 @@
     run_virtual(main())
 
 
-def test_observer_does_not_count() -> None:
+def test_observer_is_not_counted_in_quorum() -> None:
     # Guards against an observer whose loss blocks the group, or that becomes a voter.
     async def main() -> None:
         group = LogGroup("observer")
--- a/tests/log/test_replica.py
+++ b/tests/log/test_replica.py
@@ -21,7 +21,9 @@
 _SLOW_SYNC_S = 0.2  # Longer than a heartbeat, shorter than the lease.
 
 
-async def _three(name: str, settings: LogSettings | None = None) -> LogGroup:
+async def _start_three_voters(
+    name: str, settings: LogSettings | None = None
+) -> LogGroup:
     group = LogGroup(name, settings)
     await group.start("a", "b", "c")
     await group.propose({"number": 0})
@@ -29,7 +31,7 @@
     return group
 
 
-def _lead(group: LogGroup) -> tuple[Host, list[Host]]:
+def _leader_and_followers(group: LogGroup) -> tuple[Host, list[Host]]:
     leader = group.leader()
     assert leader is not None
     return leader, group.followers()
@@ -38,7 +40,7 @@
 def test_group_survives_loss_of_leader() -> None:
     # Guards against lost commands or a blocked group after the leader crashes.
     async def main() -> None:
-        group = await _three("loss of leader")
+        group = await _start_three_voters("loss of leader")
         for number in range(1, 50):
             await group.propose({"number": number})
         leader = await group.wait_leader()
@@ -57,8 +59,8 @@
 def test_commit_waits_for_sync_of_quorum(slow_leader: bool) -> None:
     # Guards against acknowledging a command that a power failure can revert.
     async def main() -> None:
-        group = await _three("slow sync")
-        leader, (follower, crashed) = _lead(group)
+        group = await _start_three_voters("slow sync")
+        leader, (follower, crashed) = _leader_and_followers(group)
         crashed.disk.crash()
         (leader if slow_leader else follower).disk.sync_s = _SLOW_SYNC_S
         proposal = asyncio.ensure_future(group.replica(leader.name).propose({"n": 1}))
@@ -73,8 +75,8 @@
 def test_leader_with_failed_storage_steps_down() -> None:
     # Guards against acknowledgements after a failed sync has dropped dirty pages.
     async def main() -> None:
-        group = await _three("failed storage")
-        leader, _ = _lead(group)
+        group = await _start_three_voters("failed storage")
+        leader, _ = _leader_and_followers(group)
         replica = group.replica(leader.name)
         leader.disk.traps.append(Trap("sync", "log", error=errno.EIO))
         with pytest.raises(LostLeadership):
@@ -89,7 +91,7 @@
     run_virtual(main())
 
 
-def _unusable_state() -> dict[str, Any]:
+def _unserializable_state() -> dict[str, Any]:
     return {"state": object()}
 
 
@@ -97,14 +99,16 @@
     raise RuntimeError("the machine cannot be dumped")
 
 
-@pytest.mark.parametrize("dump", [_failing_dump, _unusable_state])
+@pytest.mark.parametrize("dump", [_failing_dump, _unserializable_state])
 def test_failed_task_halts_replica(
     monkeypatch: pytest.MonkeyPatch, dump: Callable[[], dict[str, Any]]
 ) -> None:
     # Guards against a leader that keeps its lease but no longer applies entries.
     async def main() -> None:
-        group = await _three("failed task", LogSettings(snapshot_entries=5))
-        leader, _ = _lead(group)
+        group = await _start_three_voters(
+            "failed task", LogSettings(snapshot_entries=5)
+        )
+        leader, _ = _leader_and_followers(group)
 
         monkeypatch.setattr(leader.machine, "dump", dump)
         for number in range(1, 10):
@@ -125,8 +129,8 @@
     # overlaps the next term.
     async def main() -> None:
         settings = LogSettings(drift_bound=0.4)
-        group = await _three(f"drift {seed}", settings)
-        old_leader, followers = _lead(group)
+        group = await _start_three_voters(f"drift {seed}", settings)
+        old_leader, followers = _leader_and_followers(group)
         old_replica = group.replica(old_leader.name)
         old_leader.clock.drift(1 - settings.drift_bound)
         group.network.isolate(old_leader.name, list(group.hosts))
@@ -146,8 +150,8 @@
     # Guards against refusing reads although a quorum still follows the leader, and
     # against serving them without confirmation by the quorum.
     async def main() -> None:
-        group = await _three("quorum round", LogSettings(drift_bound=0.9))
-        leader, _ = _lead(group)
+        group = await _start_three_voters("quorum round", LogSettings(drift_bound=0.9))
+        leader, _ = _leader_and_followers(group)
         replica = group.replica(leader.name)
         await group.until(lambda: not replica.status().lease_valid, poll_s=0.001)
         applied = replica.status().applied_index
@@ -161,11 +165,11 @@
     run_virtual(main())
 
 
-def test_follower_names_leader() -> None:
+def test_follower_error_names_leader() -> None:
     # Guards against a caller that cannot learn who the leader is.
     async def main() -> None:
-        group = await _three("hint")
-        leader, (follower, _) = _lead(group)
+        group = await _start_three_voters("hint")
+        leader, (follower, _) = _leader_and_followers(group)
         with pytest.raises(NotLeader) as caught:
             await group.replica(follower.name).propose({"n": 1})
         assert caught.value.hint == leader.member
@@ -174,11 +178,11 @@
     run_virtual(main())
 
 
-def test_unusable_command_is_refused_early() -> None:
+def test_unserializable_command_is_rejected_by_propose() -> None:
     # Guards against a command that stops the leader's log writer.
     async def main() -> None:
-        group = await _three("unusable")
-        leader, _ = _lead(group)
+        group = await _start_three_voters("unusable")
+        leader, _ = _leader_and_followers(group)
         with pytest.raises(TypeError):
             await group.replica(leader.name).propose({"n": object()})
         await group.propose({"n": 1})
@@ -190,7 +194,7 @@
 def test_used_folder_is_not_bootstrapped() -> None:
     # Guards against bootstrapping a second cluster on the disk of a voter.
     async def main() -> None:
-        group = await _three("bootstrap")
+        group = await _start_three_voters("bootstrap")
         with pytest.raises(BootstrapRefused):
             await group.replica("b").bootstrap("other")
         await group.stop()
@@ -202,16 +206,16 @@
     # Guards against a host that votes under another identity, such as the one of
     # its former disk.
     async def main() -> None:
-        group = await _three("identity")
+        group = await _start_three_voters("identity")
         replica = group.replica("a")
-        core = replica._core
+        state = replica._state
         replica_with_wrong_id = Replica(
             group.hosts["b"].member,
-            core.storage,
+            state.storage,
             group.network.transport("a"),
             group.hosts["a"].machine,
             group.settings,
-            core.clock,
+            state.clock,
             group.random,
         )
         with pytest.raises(WrongIdentity):
--- a/tests/log/test_storage.py
+++ b/tests/log/test_storage.py
@@ -14,7 +14,7 @@
 
 
 @dataclass
-class _Acknowledged:
+class _AcknowledgedState:
     """State that the storage has acknowledged as durable."""
 
     disk_id: str = ""
@@ -28,20 +28,20 @@
     return Entry(index, term, EntryKind.COMMAND, {"index": index, "term": term})
 
 
-async def _script(disk: FakeDisk, acknowledged: _Acknowledged) -> None:
+async def _run_all_operations(disk: FakeDisk, acknowledged: _AcknowledgedState) -> None:
     """Use every operation of the storage at least once."""
     storage = Storage(disk.mount())
     await storage.open()
     acknowledged.disk_id = storage.disk_id
-    storage.set_vote(1, "a")
-    await storage.persist()
+    storage.set_term_and_vote(1, "a")
+    await storage.persist_vote()
     acknowledged.term, acknowledged.vote = 1, "a"
     for index in (1, 2, 3):
         storage.stage([_entry(index, 1)])
         await storage.flush()
         acknowledged.terms += (1,)
-    storage.set_vote(2, None)
-    await storage.persist()
+    storage.set_term_and_vote(2, None)
+    await storage.persist_vote()
     acknowledged.term, acknowledged.vote = 2, None
     acknowledged.terms = acknowledged.terms[:2]
     storage.stage([_entry(3, 2), _entry(4, 2)])
@@ -57,7 +57,9 @@
     await storage.close()
 
 
-async def _check(disk: FakeDisk, acknowledged: _Acknowledged) -> None:
+async def _check_recovered_state(
+    disk: FakeDisk, acknowledged: _AcknowledgedState
+) -> None:
     storage = Storage(disk.mount())
     await storage.open()
     assert acknowledged.disk_id in ("", storage.disk_id)
@@ -71,9 +73,9 @@
     await storage.close()
 
 
-def _calls() -> list[tuple[str, str]]:
+def _record_calls() -> list[tuple[str, str]]:
     disk = FakeDisk(Random(0))
-    run_virtual(_script(disk, _Acknowledged()))
+    run_virtual(_run_all_operations(disk, _AcknowledgedState()))
     return disk.calls
 
 
@@ -83,13 +85,13 @@
     async def main(crash_at: int) -> None:
         disk = FakeDisk(Random(f"{seed}/{crash_at}"))
         disk.crash_at = crash_at
-        acknowledged = _Acknowledged()
+        acknowledged = _AcknowledgedState()
         with pytest.raises(StorageFailed):
-            await _script(disk, acknowledged)
+            await _run_all_operations(disk, acknowledged)
         disk.crash_at = None
-        await _check(disk, acknowledged)
+        await _check_recovered_state(disk, acknowledged)
 
-    for crash_at in range(1, len(_calls()) + 1):
+    for crash_at in range(1, len(_record_calls()) + 1):
         run_virtual(main(crash_at))
 
 
@@ -102,9 +104,9 @@
         storage = Storage(disk.mount())
         await storage.open()
         disk.traps.append(Trap(call, error=code))
-        storage.set_vote(1, "a")
+        storage.set_term_and_vote(1, "a")
         storage.stage([_entry(1, 1)])
-        for operation in (storage.persist, storage.flush, storage.persist):
+        for operation in (storage.persist_vote, storage.flush, storage.persist_vote):
             with pytest.raises(StorageFailed):
                 await operation()
         assert storage.durable_index == 0
@@ -163,7 +165,7 @@
     assert len(disk.names["log"].durable) == size
 
 
-def test_corrupt_middle_is_refused() -> None:
+def test_corrupt_record_before_valid_one_is_refused() -> None:
     # Guards against discarding synced entries that follow a corrupt one.
     disk = _disk_with_entries(3)
     corrupt_offset = disk.names["log"].durable.index(b"\xf5KL\xfa", 1)
@@ -173,7 +175,7 @@
     assert (caught.value.file, caught.value.offset) == ("log", corrupt_offset)
 
 
-def test_damaged_length_is_refused() -> None:
+def test_corrupt_length_field_is_refused() -> None:
     # Guards against treating everything after a corrupt length field as a torn tail.
     disk = _disk_with_entries(3)
     corrupt_offset = disk.names["log"].durable.index(b"\xf5KL\xfa", 1)
@@ -196,8 +198,8 @@
     async def main() -> None:
         storage = Storage(DiskFileSystem(tmp_path / "data"))
         await storage.open()
-        storage.set_vote(4, "a")
-        await storage.persist()
+        storage.set_term_and_vote(4, "a")
+        await storage.persist_vote()
         storage.stage([_entry(index, 1) for index in range(1, 6)])
         await storage.flush()
         await storage.save_snapshot(Snapshot(3, 1, "test", (), {"n": 1}), retained=1)
@@ -218,7 +220,7 @@
             6,
             2,
         )
-        assert reopened.recovered == Snapshot(3, 1, "test", (), {"n": 1})
+        assert reopened.recovered_snapshot == Snapshot(3, 1, "test", (), {"n": 1})
         await reopened.close()
 
     asyncio.run(main())
--- a/tests/log/test_votes.py
+++ b/tests/log/test_votes.py
@@ -9,11 +9,11 @@
 from kingcuplug_log import LogSettings
 from kingcuplug_testkit import Host, LogGroup, run_virtual
 
-_PROMISE_S = LogSettings().election_timeout
+_VOTE_REFUSAL_S = LogSettings().election_timeout
 
 
 @asynccontextmanager
-async def _follower() -> AsyncIterator[Host]:
+async def _surviving_follower() -> AsyncIterator[Host]:
     """Yield a follower of a group of three whose other hosts have just crashed."""
     group = LogGroup("votes")
     await group.start("a", "b", "c")
@@ -26,7 +26,9 @@
     await group.stop()
 
 
-def _vote(host: Host, sender: str, term: int, to: str | None = None) -> dict[str, Any]:
+def _vote_request(
+    host: Host, sender: str, term: int, to: str | None = None
+) -> dict[str, Any]:
     header = {
         "cluster": "test",
         "sender": sender,
@@ -36,7 +38,7 @@
     return {"kind": "vote", "header": header, "last_index": 99, "last_term": 99}
 
 
-async def _ask(host: Host, message: dict[str, Any]) -> dict[str, Any]:
+async def _send_message(host: Host, message: dict[str, Any]) -> dict[str, Any]:
     assert host.replica is not None
     return await host.replica.handle(message)
 
@@ -44,33 +46,43 @@
 def test_vote_survives_crash() -> None:
     # Guards against two leaders in one term after a voter loses its vote in a crash.
     async def main() -> None:
-        async with _follower() as host:
-            await asyncio.sleep(_PROMISE_S)
-            assert (await _ask(host, _vote(host, "x/1", 50)))["granted"]
+        async with _surviving_follower() as host:
+            await asyncio.sleep(_VOTE_REFUSAL_S)
+            assert (await _send_message(host, _vote_request(host, "x/1", 50)))[
+                "granted"
+            ]
             host.disk.crash()
             await host.start()
-            await asyncio.sleep(_PROMISE_S)
-            assert not (await _ask(host, _vote(host, "y/1", 50)))["granted"]
-            assert (await _ask(host, _vote(host, "x/1", 50)))["granted"]
+            await asyncio.sleep(_VOTE_REFUSAL_S)
+            assert not (await _send_message(host, _vote_request(host, "y/1", 50)))[
+                "granted"
+            ]
+            assert (await _send_message(host, _vote_request(host, "x/1", 50)))[
+                "granted"
+            ]
 
     run_virtual(main())
 
 
 @pytest.mark.parametrize("restart", [False, True])
-def test_promise_to_leader(restart: bool) -> None:
+def test_no_vote_within_election_timeout_of_leader_contact(restart: bool) -> None:
     # Guards against granting a vote during the leader's lease, also after a restart.
     async def main() -> None:
-        async with _follower() as host:
+        async with _surviving_follower() as host:
             if restart:
                 host.disk.crash()
                 await host.start()
-            await asyncio.sleep(_PROMISE_S * 0.8)
-            message = _vote(host, "x/1", 50)
-            assert not (await _ask(host, message))["granted"]
-            assert not (await _ask(host, message | {"kind": "pre_vote"}))["granted"]
-            await asyncio.sleep(_PROMISE_S * 0.2)
-            assert (await _ask(host, message | {"kind": "pre_vote"}))["granted"]
-            assert (await _ask(host, message))["granted"]
+            await asyncio.sleep(_VOTE_REFUSAL_S * 0.8)
+            message = _vote_request(host, "x/1", 50)
+            assert not (await _send_message(host, message))["granted"]
+            assert not (await _send_message(host, message | {"kind": "pre_vote"}))[
+                "granted"
+            ]
+            await asyncio.sleep(_VOTE_REFUSAL_S * 0.2)
+            assert (await _send_message(host, message | {"kind": "pre_vote"}))[
+                "granted"
+            ]
+            assert (await _send_message(host, message))["granted"]
 
     run_virtual(main())
 
@@ -78,25 +90,29 @@
 def test_empty_disk_does_not_vote() -> None:
     # Guards against a quorum that includes a host that lost its acknowledged entries.
     async def main() -> None:
-        async with _follower() as host:
+        async with _surviving_follower() as host:
             former_id = host.member.id
             host.disk.lose()
             await host.start()
-            await asyncio.sleep(_PROMISE_S)
-            reply = await _ask(host, _vote(host, "x/1", 50, to=former_id))
+            await asyncio.sleep(_VOTE_REFUSAL_S)
+            reply = await _send_message(
+                host, _vote_request(host, "x/1", 50, to=former_id)
+            )
             assert reply == {"kind": "rejected", "reason": "wrong_identity"}
-            assert not (await _ask(host, _vote(host, "x/1", 50)))["granted"]
+            assert not (await _send_message(host, _vote_request(host, "x/1", 50)))[
+                "granted"
+            ]
 
     run_virtual(main())
 
 
-def test_older_log_gets_no_vote() -> None:
+def test_candidate_with_older_log_gets_no_vote() -> None:
     # Guards against electing a leader that lacks committed entries.
     async def main() -> None:
-        async with _follower() as host:
-            await asyncio.sleep(_PROMISE_S)
-            message = _vote(host, "x/1", 50) | {"last_term": 1}
-            assert not (await _ask(host, message))["granted"]
+        async with _surviving_follower() as host:
+            await asyncio.sleep(_VOTE_REFUSAL_S)
+            message = _vote_request(host, "x/1", 50) | {"last_term": 1}
+            assert not (await _send_message(host, message))["granted"]
 
     run_virtual(main())
 
@@ -104,10 +120,12 @@
 def test_other_cluster_is_rejected() -> None:
     # Guards against mixing the entries of two clusters because of a wrong address.
     async def main() -> None:
-        async with _follower() as host:
-            message = _vote(host, "x/1", 50)
+        async with _surviving_follower() as host:
+            message = _vote_request(host, "x/1", 50)
             message["header"]["cluster"] = "other"
-            assert (await _ask(host, message))["reason"] == "wrong_cluster"
-            assert (await _ask(host, {"kind": "vote"}))["reason"] == "malformed"
+            assert (await _send_message(host, message))["reason"] == "wrong_cluster"
+            assert (await _send_message(host, {"kind": "vote"}))[
+                "reason"
+            ] == "malformed"
 
     run_virtual(main())
