--- a/packages/log/src/kingcuplug_log/_applier.py
+++ b/packages/log/src/kingcuplug_log/_applier.py
@@ -50,8 +50,8 @@
 
     def fail_pending(self) -> None:
         """Fail all pending proposals; their outcome is unknown."""
-        waiting, self._pending = self._pending, {}
-        for index, (_, future) in waiting.items():
+        pending, self._pending = self._pending, {}
+        for index, (_, future) in pending.items():
             if not future.done():
                 future.set_exception(LostLeadership(index))
 
