--- a/packages/log/src/kingcuplug_log/_elections.py
+++ b/packages/log/src/kingcuplug_log/_elections.py
@@ -48,7 +48,7 @@
             and self._can_vote()
             and self._is_up_to_date(request.last_index, request.last_term)
         )
-        await self._storage.persist_vote()
+        await self._storage.persist_term_and_vote()
         return VoteReply(self._storage.term, granted)
 
     async def handle_vote(self, request: VoteRequest) -> VoteReply:
@@ -65,7 +65,7 @@
         if granted:
             self._storage.set_term_and_vote(term, candidate)
             self._state.reset_election_timer()
-        await self._storage.persist_vote()
+        await self._storage.persist_term_and_vote()
         return VoteReply(self._storage.term, granted)
 
     def _can_vote(self) -> bool:
@@ -88,7 +88,7 @@
         if state.must_refuse_votes():
             return False
         state.become_candidate()
-        await self._storage.persist_vote()
+        await self._storage.persist_term_and_vote()
         return await self._request_votes(self._storage.term, VoteRequest)
 
     async def _request_votes(
--- a/packages/log/src/kingcuplug_log/_following.py
+++ b/packages/log/src/kingcuplug_log/_following.py
@@ -38,7 +38,7 @@
         if conflict_index is None:
             self._stage_new_entries(request.entries)
             await self._flush_within_heartbeat()
-        await self._storage.persist_vote()
+        await self._storage.persist_term_and_vote()
         if request.header.term != self._storage.term:
             return await self._reject_append()
         if conflict_index is not None:
@@ -49,17 +49,17 @@
         return AppendReply(request.header.term, True, match_index, match_index + 1)
 
     async def handle_install(self, request: InstallRequest) -> InstallReply:
-        """Store a chunk of a snapshot, and install the snapshot after the last one."""
+        """Store a chunk of a snapshot; install the snapshot after the last chunk."""
         term = request.header.term
         if not self._accept_leader(term, request.header.sender):
-            await self._storage.persist_vote()
+            await self._storage.persist_term_and_vote()
             return InstallReply(self._storage.term, 0, False)
         installed = request.index <= self._state.applied_index
         if not installed:
             self._add_chunk(request)
             if len(self._snapshot_data) == request.total:
                 installed = await self._install_snapshot(bytes(self._snapshot_data))
-        await self._storage.persist_vote()
+        await self._storage.persist_term_and_vote()
         return InstallReply(self._storage.term, len(self._snapshot_data), installed)
 
     def _accept_leader(self, term: int, leader: str) -> bool:
@@ -70,7 +70,7 @@
         return True
 
     async def _reject_append(self) -> AppendReply:
-        await self._storage.persist_vote()
+        await self._storage.persist_term_and_vote()
         return AppendReply(self._storage.term, False, 0, 0)
 
     def _find_conflict_index(self, request: AppendRequest) -> int | None:
--- a/packages/log/src/kingcuplug_log/_replica.py
+++ b/packages/log/src/kingcuplug_log/_replica.py
@@ -166,7 +166,7 @@
         self._state.advance_term(1)
         self._storage.stage([entry])
         self._state.group.append_entries([entry])
-        await self._storage.persist_vote()
+        await self._storage.persist_term_and_vote()
         await self._storage.flush()
 
     async def propose(self, command: Any) -> Any:
--- a/packages/log/src/kingcuplug_log/_replica_state.py
+++ b/packages/log/src/kingcuplug_log/_replica_state.py
@@ -161,11 +161,11 @@
         return reply
 
     def _set_role(self, role: ReplicaRole, leader: str | None) -> None:
-        changed = role is not self.role or leader != self.leader
+        role_changed = role is not self.role or leader != self.leader
         self.role, self.leader = role, leader
         self.changed.notify()
         self.log_appended.notify()
-        if changed:
+        if role_changed:
             self.metrics.count(f"log.became.{role}")
             term = self.storage.term
             state_change("replica", role, id=self.member.id, term=term, leader=leader)
--- a/packages/log/src/kingcuplug_log/_storage.py
+++ b/packages/log/src/kingcuplug_log/_storage.py
@@ -33,8 +33,8 @@
     """Files of one replica, and the log entries in memory.
 
     In-memory changes (`set_term_and_vote`, `stage`) take effect at once and become
-    durable with `persist_vote` and `flush`. After the first `OSError` every operation
-    raises `StorageFailed`.
+    durable with `persist_term_and_vote` and `flush`. After the first `OSError` every
+    operation raises `StorageFailed`.
 
     Parameters
     ----------
@@ -60,7 +60,7 @@
         self._snapshot_lock = asyncio.Lock()
         self._staged_from_index = 1
         self._replaced_from_index = sys.maxsize
-        self._persisted_vote: tuple[int, str | None] | None = None
+        self._persisted_hard_state: tuple[int, str | None] | None = None
         self._executor = FailStopExecutor()
         self.durable_index = 0
         self.term = 0
@@ -123,15 +123,15 @@
         return self._log.slice(first, limit)
 
     def set_term_and_vote(self, term: int, vote: str | None) -> None:
-        """Set term and vote in memory; `persist_vote` makes them durable."""
+        """Set term and vote in memory; `persist_term_and_vote` makes them durable."""
         if term < self.term:
             raise ValueError(f"term {term} is before the current term {self.term}")
         self.term, self.vote = term, vote
 
-    async def persist_vote(self) -> None:
+    async def persist_term_and_vote(self) -> None:
         """Make the current term and vote durable."""
         if (
-            self._persisted_vote == (self.term, self.vote)
+            self._persisted_hard_state == (self.term, self.vote)
             and not self._state_lock.locked()
         ):
             self._executor.raise_if_failed()
@@ -196,7 +196,7 @@
 
     async def _write_hard_state(self) -> None:
         hard_state = (self.term, self.vote)
-        if hard_state == self._persisted_vote:
+        if hard_state == self._persisted_hard_state:
             return
         value = {
             "term": hard_state[0],
@@ -204,7 +204,7 @@
             "disk_id": self.disk_id,
         }
         self._files.close(await self._replace_file(_STATE_FILE, encode_record(value)))
-        self._persisted_vote = hard_state
+        self._persisted_hard_state = hard_state
 
     async def _write_staged(self) -> None:
         batch = self._log.slice(self._staged_from_index)
@@ -299,7 +299,7 @@
         value = decode_single_record(self._files.read(_STATE_FILE), _STATE_FILE)
         self.term, self.vote = value["term"], value["vote"]
         self.disk_id = value["disk_id"]
-        self._persisted_vote = (self.term, self.vote)
+        self._persisted_hard_state = (self.term, self.vote)
 
     def _read_snapshot(self, names: list[str]) -> None:
         if _SNAPSHOT_FILE in names:
--- a/tests/log/test_storage.py
+++ b/tests/log/test_storage.py
@@ -34,14 +34,14 @@
     await storage.open()
     acknowledged.disk_id = storage.disk_id
     storage.set_term_and_vote(1, "a")
-    await storage.persist_vote()
+    await storage.persist_term_and_vote()
     acknowledged.term, acknowledged.vote = 1, "a"
     for index in (1, 2, 3):
         storage.stage([_entry(index, 1)])
         await storage.flush()
         acknowledged.terms += (1,)
     storage.set_term_and_vote(2, None)
-    await storage.persist_vote()
+    await storage.persist_term_and_vote()
     acknowledged.term, acknowledged.vote = 2, None
     acknowledged.terms = acknowledged.terms[:2]
     storage.stage([_entry(3, 2), _entry(4, 2)])
@@ -106,7 +106,11 @@
         disk.traps.append(Trap(call, error=code))
         storage.set_term_and_vote(1, "a")
         storage.stage([_entry(1, 1)])
-        for operation in (storage.persist_vote, storage.flush, storage.persist_vote):
+        for operation in (
+            storage.persist_term_and_vote,
+            storage.flush,
+            storage.persist_term_and_vote,
+        ):
             with pytest.raises(StorageFailed):
                 await operation()
         assert storage.durable_index == 0
@@ -199,7 +203,7 @@
         storage = Storage(DiskFileSystem(tmp_path / "data"))
         await storage.open()
         storage.set_term_and_vote(4, "a")
-        await storage.persist_vote()
+        await storage.persist_term_and_vote()
         storage.stage([_entry(index, 1) for index in range(1, 6)])
         await storage.flush()
         await storage.save_snapshot(Snapshot(3, 1, "test", (), {"n": 1}), retained=1)
--- a/tests/log/test_votes.py
+++ b/tests/log/test_votes.py
@@ -38,7 +38,7 @@
     return {"kind": "vote", "header": header, "last_index": 99, "last_term": 99}
 
 
-async def _send_message(host: Host, message: dict[str, Any]) -> dict[str, Any]:
+async def _send(host: Host, message: dict[str, Any]) -> dict[str, Any]:
     assert host.replica is not None
     return await host.replica.handle(message)
 
@@ -48,18 +48,12 @@
     async def main() -> None:
         async with _surviving_follower() as host:
             await asyncio.sleep(_VOTE_REFUSAL_S)
-            assert (await _send_message(host, _vote_request(host, "x/1", 50)))[
-                "granted"
-            ]
+            assert (await _send(host, _vote_request(host, "x/1", 50)))["granted"]
             host.disk.crash()
             await host.start()
             await asyncio.sleep(_VOTE_REFUSAL_S)
-            assert not (await _send_message(host, _vote_request(host, "y/1", 50)))[
-                "granted"
-            ]
-            assert (await _send_message(host, _vote_request(host, "x/1", 50)))[
-                "granted"
-            ]
+            assert not (await _send(host, _vote_request(host, "y/1", 50)))["granted"]
+            assert (await _send(host, _vote_request(host, "x/1", 50)))["granted"]
 
     run_virtual(main())
 
@@ -74,15 +68,11 @@
                 await host.start()
             await asyncio.sleep(_VOTE_REFUSAL_S * 0.8)
             message = _vote_request(host, "x/1", 50)
-            assert not (await _send_message(host, message))["granted"]
-            assert not (await _send_message(host, message | {"kind": "pre_vote"}))[
-                "granted"
-            ]
+            assert not (await _send(host, message))["granted"]
+            assert not (await _send(host, message | {"kind": "pre_vote"}))["granted"]
             await asyncio.sleep(_VOTE_REFUSAL_S * 0.2)
-            assert (await _send_message(host, message | {"kind": "pre_vote"}))[
-                "granted"
-            ]
-            assert (await _send_message(host, message))["granted"]
+            assert (await _send(host, message | {"kind": "pre_vote"}))["granted"]
+            assert (await _send(host, message))["granted"]
 
     run_virtual(main())
 
@@ -95,13 +85,9 @@
             host.disk.lose()
             await host.start()
             await asyncio.sleep(_VOTE_REFUSAL_S)
-            reply = await _send_message(
-                host, _vote_request(host, "x/1", 50, to=former_id)
-            )
+            reply = await _send(host, _vote_request(host, "x/1", 50, to=former_id))
             assert reply == {"kind": "rejected", "reason": "wrong_identity"}
-            assert not (await _send_message(host, _vote_request(host, "x/1", 50)))[
-                "granted"
-            ]
+            assert not (await _send(host, _vote_request(host, "x/1", 50)))["granted"]
 
     run_virtual(main())
 
@@ -112,7 +98,7 @@
         async with _surviving_follower() as host:
             await asyncio.sleep(_VOTE_REFUSAL_S)
             message = _vote_request(host, "x/1", 50) | {"last_term": 1}
-            assert not (await _send_message(host, message))["granted"]
+            assert not (await _send(host, message))["granted"]
 
     run_virtual(main())
 
@@ -123,9 +109,7 @@
         async with _surviving_follower() as host:
             message = _vote_request(host, "x/1", 50)
             message["header"]["cluster"] = "other"
-            assert (await _send_message(host, message))["reason"] == "wrong_cluster"
-            assert (await _send_message(host, {"kind": "vote"}))[
-                "reason"
-            ] == "malformed"
+            assert (await _send(host, message))["reason"] == "wrong_cluster"
+            assert (await _send(host, {"kind": "vote"}))["reason"] == "malformed"
 
     run_virtual(main())
