--- a/packages/log/src/kingcuplug_log/__init__.py
+++ b/packages/log/src/kingcuplug_log/__init__.py
@@ -9,18 +9,18 @@
     StorageFailed,
     WrongIdentity,
 )
-from kingcuplug_log._files import DiskFileSystem, FileSystem
+from kingcuplug_log._file_system import DiskFileSystem, FileSystem
 from kingcuplug_log._replica import Replica
 from kingcuplug_log._storage import Storage
 from kingcuplug_log._types import (
     Clock,
     LogSettings,
     LogStatus,
-    Machine,
     Member,
     MemberRole,
     PeerStatus,
     ReplicaRole,
+    StateMachine,
     Transport,
     member_id,
 )
@@ -35,13 +35,13 @@
     "LogSettings",
     "LogStatus",
     "LostLeadership",
-    "Machine",
     "Member",
     "MemberRole",
     "NotLeader",
     "PeerStatus",
     "Replica",
     "ReplicaRole",
+    "StateMachine",
     "Storage",
     "StorageFailed",
     "Transport",
--- a/packages/log/src/kingcuplug_log/_replica.py
+++ b/packages/log/src/kingcuplug_log/_replica.py
@@ -1,4 +1,4 @@
-"""One replica of the log."""
+"""One replica of the replicated log."""
 
 import asyncio
 import contextlib
@@ -10,7 +10,6 @@
 from kingcuplug_common import Metrics
 
 from kingcuplug_log._applier import Applier
-from kingcuplug_log._core import Core
 from kingcuplug_log._elections import Elections
 from kingcuplug_log._errors import (
     BootstrapRefused,
@@ -18,8 +17,8 @@
     StorageFailed,
     WrongIdentity,
 )
-from kingcuplug_log._following import Following
-from kingcuplug_log._group import members_data
+from kingcuplug_log._following import Follower
+from kingcuplug_log._group_membership import members_entry_data
 from kingcuplug_log._leadership import Leadership
 from kingcuplug_log._messages import (
     AppendRequest,
@@ -32,6 +31,7 @@
     decode_request,
     to_json,
 )
+from kingcuplug_log._replica_state import ReplicaState
 from kingcuplug_log._storage import Storage
 from kingcuplug_log._types import (
     Clock,
@@ -39,8 +39,8 @@
     EntryKind,
     LogSettings,
     LogStatus,
-    Machine,
     Member,
+    StateMachine,
     Transport,
     member_id,
 )
@@ -49,7 +49,7 @@
 
 
 class Replica:
-    """Takes part in a group that keeps one log.
+    """Member of a group that replicates one log.
 
     Parameters
     ----------
@@ -59,8 +59,9 @@
         Opened storage, used by this replica only and closed by `stop`.
     transport : Transport
         Sends a message to a peer id and returns the reply.
-    machine : Machine
-        State machine; loaded from the snapshot by `start`.
+    machine : StateMachine
+        State machine to which committed commands are applied; `start` loads it from
+        the snapshot.
     clock : callable
         Monotonic seconds.
     random : random.Random
@@ -74,51 +75,52 @@
         member: Member,
         storage: Storage,
         transport: Transport,
-        machine: Machine,
+        machine: StateMachine,
         settings: LogSettings,
         clock: Clock,
         random: random_module.Random,
         metrics: Metrics | None = None,
     ) -> None:
-        self._core = Core(
+        self._state = ReplicaState(
             member, storage, transport, settings, clock, random, metrics or Metrics()
         )
         self._storage = storage
         self._machine = machine
-        self._applier = Applier(self._core, machine)
-        self._elections = Elections(self._core)
-        self._following = Following(self._core, self._applier)
+        self._applier = Applier(self._state, machine)
+        self._elections = Elections(self._state)
+        self._follower = Follower(self._state, self._applier)
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Load the state and begin to take part.
+        """Load the state and start the replica's tasks.
 
         Raises
         ------
         WrongIdentity
-            If the member's id names another disk.
+            If the member's id does not match the storage's disk.
         """
-        core = self._core
-        expected = member_id(core.member.name, self._storage.disk_id)
-        if core.member.id != expected:
+        state = self._state
+        expected = member_id(state.member.name, self._storage.disk_id)
+        if state.member.id != expected:
             raise WrongIdentity(
-                f"member {core.member.id} does not match this disk's {expected}",
+                f"member {state.member.id} does not match this disk's {expected}",
                 "build the id with member_id() from the opened storage",
             )
-        self._recover()
-        # A promise made before a restart is forgotten; its time is waited out.
-        core.hear()
+        self._load_storage()
+        # Whether this replica supported a leader's lease before a restart is not
+        # stored, so it refuses votes until such a lease would have expired.
+        state.record_leader_contact()
         self._tasks = [
-            asyncio.create_task(core.supervise(self._take_part())),
-            asyncio.create_task(core.supervise(self._applier.run())),
+            asyncio.create_task(state.supervise(self._run_elections())),
+            asyncio.create_task(state.supervise(self._applier.run())),
         ]
 
     async def stop(self) -> None:
-        """Stop taking part; proposals in flight get an unknown outcome.
+        """Stop the replica's tasks; the outcome of pending proposals is unknown.
 
         Raises the error of a task that has failed unexpectedly.
         """
-        self._core.step_down(None)
+        self._state.step_down(None)
         for task in self._tasks:
             task.cancel()
         results = await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -130,93 +132,96 @@
 
     @property
     def leading(self) -> bool:
-        """Whether this replica takes itself for the leader; it may be cut off."""
-        return self._core.leadership is not None
+        """Whether this replica considers itself the leader; it may be partitioned."""
+        return self._state.leadership is not None
 
     def find(self, identifier: str) -> Member | None:
         """Return the member with this identifier."""
-        return self._core.group.find(identifier)
+        return self._state.group.find_member(identifier)
 
     def connected(self) -> bool:
-        """Return whether this replica leads under a lease or follows such a leader.
+        """Return whether this replica holds the lease or follows an active leader.
 
-        What it has applied is then at most an election timeout behind.
+        Its applied state is then at most an election timeout behind.
         """
         if self.leading:
-            return self.leading_until() > self._core.clock()
-        return self._core.leader is not None and self._core.promised()
+            return self.leading_until() > self._state.clock()
+        return self._state.leader is not None and self._state.must_refuse_votes()
 
     async def bootstrap(self, cluster_id: str) -> None:
-        """Begin a cluster whose only member is this replica.
+        """Create a cluster whose only member is this replica.
 
         Raises
         ------
         BootstrapRefused
             If the data folder already belongs to a cluster.
         """
-        if self._storage.last_index > 0 or self._core.group.cluster is not None:
+        if self._storage.last_index > 0 or self._state.group.cluster is not None:
             raise BootstrapRefused(
-                f"the data folder belongs to cluster {self._core.group.cluster}",
+                f"the data folder belongs to cluster {self._state.group.cluster}",
                 "use an empty data folder, or add this host to that cluster",
             )
-        data = members_data(cluster_id, [self._core.member])
+        data = members_entry_data(cluster_id, [self._state.member])
         entry = Entry(1, 1, EntryKind.MEMBERS, data)
-        self._core.adopt(1)
+        self._state.advance_term(1)
         self._storage.stage([entry])
-        self._core.group.extend([entry])
-        await self._storage.persist()
+        self._state.group.append_entries([entry])
+        await self._storage.persist_term_and_vote()
         await self._storage.flush()
 
     async def propose(self, command: Any) -> Any:
-        """Append a command and return the machine's result once it is committed.
+        """Append a command and return the state machine's result after the commit.
 
         Parameters
         ----------
         command : JSON value
-            Copied; the machine gets the copy.
+            Command to append. It is copied, and the state machine gets the copy.
 
         Raises
         ------
         NotLeader
-            If this replica does not lead; the command does not run.
+            If this replica is not the leader; the command is not applied.
         StorageFailed
-            If the storage has failed; the command does not run.
+            If the storage has failed; the command is not applied.
         LostLeadership
-            If the leadership ends first; the outcome is unknown.
+            If the leadership ends before the commit; the outcome is unknown.
         """
-        # All replicas must apply the same value, so the leader's is decoded too.
-        copied = orjson.loads(orjson.dumps(command))
-        leadership = self._leading()
-        index = leadership.append(EntryKind.COMMAND, copied)
-        return await self._applier.result(index, leadership.term)
+        # Followers apply the decoded JSON value, so the leader must apply the same.
+        command_copy = orjson.loads(orjson.dumps(command))
+        leadership = self._current_leadership()
+        index = leadership.append(EntryKind.COMMAND, command_copy)
+        return await self._applier.wait_result(index, leadership.term)
 
     async def read_barrier(self) -> int:
-        """Return the index that is applied here and holds all completed commands.
+        """Wait for a linearizable read point and return its index.
+
+        The state applied here then includes every command that was completed before
+        the call.
 
         Raises
         ------
         NotLeader
-            If the leader's lease is over and no quorum confirms the leadership.
+            If the leader's lease has expired and no quorum confirms the leadership.
         """
         try:
-            index = await self._leading().confirm()
+            index = await self._current_leadership().confirm_read_index()
         except NotLeader:
-            raise NotLeader(self._hint()) from None
+            raise NotLeader(self._known_leader()) from None
         await self.wait_applied(index)
         return index
 
     async def wait_applied(self, index: int) -> None:
-        """Return once entry `index` is applied here; callers bound the wait."""
-        core = self._core
-        await core.progressed.until(lambda: core.applied_index >= index)
+        """Wait until entry `index` is applied here, without a timeout."""
+        state = self._state
+        await state.changed.until(lambda: state.applied_index >= index)
 
     async def change(
         self, add: Member | None = None, remove: str | None = None
     ) -> None:
-        """Add or remove one member and return once this is committed.
+        """Add or remove one member and return once the change is committed.
 
-        A new voter begins as a learner and is promoted without another call once
-        it is caught up and synced.
+        A new voter is added as a learner and promoted automatically once it is
+        caught up and synced.
 
         Raises
         ------
@@ -226,107 +231,107 @@
             As for `propose`.
         """
         if (add is None) == (remove is None):
-            raise ValueError("give exactly one of add and remove")
-        leadership = self._leading()
-        index = leadership.changes.start(add, remove)
-        await self._applier.result(index, leadership.term)
+            raise ValueError("specify exactly one of add and remove")
+        leadership = self._current_leadership()
+        index = leadership.membership_changes.start(add, remove)
+        await self._applier.wait_result(index, leadership.term)
 
     async def handle(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Answer a message from a peer."""
+        """Handle a message from a peer and return the reply."""
         try:
             request = decode_request(message)
         except ValueError:
             return to_json(Rejected("malformed"))
-        reason = self._rejection(request.header)
+        reason = self._rejection_reason(request.header)
         if reason is not None:
             return to_json(Rejected(reason))
         try:
-            return to_json(await self._answer(request))
+            return to_json(await self._dispatch_request(request))
         except StorageFailed:
-            self._core.fail()
+            self._state.handle_storage_failure()
             return to_json(Rejected("storage_failed"))
 
     def leading_until(self) -> float:
-        """Return when the own lease as leader ends, on the clock; -inf without one."""
-        leadership = self._core.leadership
+        """Return the expiry time of this leader's lease on the clock, or -inf."""
+        leadership = self._state.leadership
         if leadership is None or not leadership.lease_valid():
             return -math.inf
-        if self._core.applied_index < leadership.first_index:
+        if self._state.applied_index < leadership.term_start_index:
             return -math.inf
-        return leadership.contact_at() + self._core.settings.lease
+        return leadership.quorum_contact_at() + self._state.settings.lease_duration
 
     def status(self) -> LogStatus:
         """Return the state of this replica for operators."""
-        core, leadership = self._core, self._core.leadership
+        state, leadership = self._state, self._state.leadership
         return LogStatus(
-            member=core.group.find(core.member.id) or core.member,
+            member=state.group.find_member(state.member.id) or state.member,
             term=self._storage.term,
-            role=core.role,
-            leader=self._hint(),
-            commit_index=core.commit_index,
-            applied_index=core.applied_index,
+            role=state.role,
+            leader=self._known_leader(),
+            commit_index=state.commit_index,
+            applied_index=state.applied_index,
             last_index=self._storage.last_index,
             snapshot_index=self._storage.snapshot_index,
-            members=core.group.members,
-            peers=leadership.peers() if leadership else (),
+            members=state.group.members,
+            peers=leadership.peer_statuses() if leadership else (),
             lease_valid=leadership is not None and leadership.lease_valid(),
             storage_failed=self._storage.failure is not None,
             safe_to_lose_one=leadership is not None and leadership.safe_to_lose_one(),
         )
 
-    def _recover(self) -> None:
-        storage, core = self._storage, self._core
-        snapshot, storage.recovered = storage.recovered, None
+    def _load_storage(self) -> None:
+        storage, state = self._storage, self._state
+        snapshot, storage.recovered_snapshot = storage.recovered_snapshot, None
         if snapshot is not None:
             self._machine.load(snapshot.state)
-            core.commit_index = core.applied_index = snapshot.index
-        core.group.rebuild(snapshot, storage.entries(storage.first_index))
+            state.commit_index = state.applied_index = snapshot.index
+        state.group.restore(snapshot, storage.entries(storage.first_index))
 
-    async def _take_part(self) -> None:
+    async def _run_elections(self) -> None:
         with contextlib.suppress(StorageFailed):
             while True:
-                await self._elections.run()
-                await self._lead()
-        self._core.fail()
+                await self._elections.run_until_elected()
+                await self._run_leadership()
+        self._state.handle_storage_failure()
 
-    async def _lead(self) -> None:
-        leadership = Leadership(self._core, self._applier.abandon)
-        self._core.lead(leadership)
+    async def _run_leadership(self) -> None:
+        leadership = Leadership(self._state, self._applier.fail_pending)
+        self._state.become_leader(leadership)
         try:
             await leadership.run()
         except* StorageFailed as failures:
             raise failures.exceptions[0] from None
         finally:
-            if self._core.leadership is leadership:
-                self._core.step_down(None)
+            if self._state.leadership is leadership:
+                self._state.step_down(None)
 
-    def _leading(self) -> Leadership:
+    def _current_leadership(self) -> Leadership:
         if self._storage.failure is not None:
             raise StorageFailed(self._storage.failure)
-        leadership = self._core.leadership
+        leadership = self._state.leadership
         if leadership is None:
-            raise NotLeader(self._hint())
+            raise NotLeader(self._known_leader())
         return leadership
 
-    def _hint(self) -> Member | None:
-        return self._core.group.find(self._core.leader)
+    def _known_leader(self) -> Member | None:
+        return self._state.group.find_member(self._state.leader)
 
-    def _rejection(self, header: Header) -> str | None:
+    def _rejection_reason(self, header: Header) -> str | None:
         if not self._tasks:
             return "not_running"
         if self._storage.failure is not None:
             return "storage_failed"
-        if header.to != self._core.member.id:
+        if header.to != self._state.member.id:
             return "wrong_identity"
-        if self._core.group.cluster not in (None, header.cluster):
+        if self._state.group.cluster not in (None, header.cluster):
             return "wrong_cluster"
         return None
 
-    async def _answer(self, request: Request) -> Reply:
+    async def _dispatch_request(self, request: Request) -> Reply:
         if isinstance(request, AppendRequest):
-            return await self._following.append(request)
+            return await self._follower.handle_append(request)
         if isinstance(request, InstallRequest):
-            return await self._following.install(request)
+            return await self._follower.handle_install(request)
         if isinstance(request, PreVoteRequest):
-            return await self._elections.pre_vote(request)
-        return await self._elections.vote(request)
+            return await self._elections.handle_pre_vote(request)
+        return await self._elections.handle_vote(request)
--- a/tests/log/test_matrix.py
+++ b/tests/log/test_matrix.py
@@ -1,7 +1,7 @@
-"""Every fault at every protocol step must leave the log's promises intact.
+"""Every fault at every protocol step must preserve the log's guarantees.
 
-Each cell checks: one leader per term, no acknowledged command lost or reverted, one
-sequence on all machines, no superseded read under a lease, and progress after the
+Each cell checks: one leader per term, no acknowledged command lost or reverted, the
+same sequence on all state machines, no stale read under a lease, and progress after the
 fault has ended.
 """
 
@@ -11,10 +11,10 @@
 import pytest
 from kingcuplug_testkit import FAULTS, STEPS, run_cell
 
-_PAIRS = 24
+_PAIR_COUNT = 24
 
 
-def _pairs() -> list[tuple[str, str, str]]:
+def _sample_fault_pairs() -> list[tuple[str, str, str]]:
     possible = [
         (first, second, step)
         for first, second in itertools.combinations(FAULTS, 2)
@@ -22,19 +22,20 @@
         # Three voters tolerate the loss of one disk at a time.
         if not (FAULTS[first].loses_disk and FAULTS[second].loses_disk)
     ]
-    return Random(0).sample(possible, _PAIRS)
+    return Random(0).sample(possible, _PAIR_COUNT)
 
 
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize("fault", FAULTS)
 def test_single_fault(fault: str, step: str) -> None:
-    # Guards against a fault at this step that breaks a promise or stops the group.
+    # Guards against a fault at this step that violates a guarantee or blocks the group.
     result = run_cell([fault], step)
     assert result.sprung, "the fault did not happen"
     assert result.reads > 0
 
 
-@pytest.mark.parametrize(("first", "second", "step"), _pairs())
+@pytest.mark.parametrize(("first", "second", "step"), _sample_fault_pairs())
 def test_pair_of_faults(first: str, second: str, step: str) -> None:
-    # Guards against two faults at once that break a promise or stop the group.
+    # Guards against two simultaneous faults that violate a guarantee or block the
+    # group.
     run_cell([first, second], step)
