--- a/packages/fleet/src/kingcuplug_fleet/_core.py
+++ b/packages/fleet/src/kingcuplug_fleet/_control_replica.py
@@ -1,4 +1,4 @@
-"""The control part of a host with a disk: its replica of the log of routes."""
+"""The control part of a host with a disk: its replica of the replicated route log."""
 
 import asyncio
 import contextlib
@@ -31,9 +31,9 @@
     member_id,
 )
 
-from kingcuplug_fleet._peers import PeerFailed, Peers
-from kingcuplug_fleet._register import RouteRegister
-from kingcuplug_fleet._succession import Joiner, next_change
+from kingcuplug_fleet._membership import Joiner, next_change
+from kingcuplug_fleet._peer_client import PeerFailed, Peers
+from kingcuplug_fleet._route_register import RouteRegister
 
 __all__ = ["Core", "CoreSettings", "CoreUnavailable"]
 
@@ -42,9 +42,9 @@
 PROPOSE_PATH = "/peer/v2/propose"
 JOIN_PATH = "/peer/v2/join"
 
-# Small hosts share a processor with the request path and their disks may take
-# 150 ms for a sync, so elections are slower than the log's defaults. An operator
-# tries another host after one second without an answer.
+# On small hosts the log shares a processor with the request path, and a sync of the
+# disk may take 150 ms, so the election time-out is longer than the log's default. An
+# operator's client tries another host after one second without a response.
 LOG_SETTINGS = LogSettings(
     election_timeout_ms=480,
     heartbeat_ms=100,
@@ -58,18 +58,18 @@
 _STEWARD_INTERVAL_S = 0.2
 _CHANGE_TIMEOUT_S = 2.0
 _REOPEN_AFTER_S = 0.5
-# A founding group that has not gathered all seeds by then goes on with most of them.
-# A single voter never acknowledges anything where there are more seeds, because the
-# loss of its disk would lose it (models/formation.pml, ACK_WHILE_FORMING).
+# A new group waits this long for all seeds to join, and then accepts a majority of
+# them. A single voter of several seeds never acknowledges a change, because the loss
+# of its disk would lose the change (models/formation.pml, ACK_WHILE_FORMING).
 _FORMATION_S = 6.0
 _MS_PER_S = 1_000
 
 
 class CoreUnavailable(KingcuplugError):
-    """The control hosts cannot confirm a change or a read at the moment."""
+    """The control hosts cannot currently confirm a change or a read."""
 
     def __init__(self, reason: str) -> None:
-        super().__init__(reason, "try again, here or at another control host")
+        super().__init__(reason, "retry on this control host or on another one")
 
 
 @dataclass(frozen=True)
@@ -81,7 +81,7 @@
     address : str
         ``ip:port`` at which other hosts reach this one.
     seeds : tuple of str
-        Addresses of control hosts; the first one founds the group.
+        Addresses of control hosts; the first one bootstraps the group.
     first_start : bool
         Whether the whole system starts for the first time.
     """
@@ -94,12 +94,12 @@
 
 
 def is_formed(voters: int, seeds: int, waited_s: float) -> bool:
-    """Return whether a group bears a loss, as far as it ever will.
+    """Return whether a new group has enough voters to acknowledge changes.
 
     Parameters
     ----------
     waited_s : float
-        Since this host's replica was opened.
+        Time since this host's replica was opened.
     """
     if voters >= seeds:
         return True
@@ -107,12 +107,12 @@
 
 
 class Core:
-    """Takes part in the replicated log, and reopens it after a failure of the disk.
+    """Runs a replica of the log, and reopens it after a failure of the disk.
 
     Parameters
     ----------
-    known_control : callable
-        Addresses of control hosts that this host has learnt of.
+    known_control_hosts : callable
+        Return the addresses of the control hosts that this host has discovered.
     """
 
     def __init__(
@@ -137,7 +137,7 @@
         self._random = random_module.Random()
 
     async def run(self) -> None:
-        """Take part for ever."""
+        """Run the replica until cancelled."""
         while True:
             try:
                 await self._take_part()
@@ -146,7 +146,7 @@
             await asyncio.sleep(_REOPEN_AFTER_S)
 
     def connected(self) -> bool:
-        """Return whether what is applied here is at most a second old."""
+        """Return whether the applied state is at most one second old."""
         return self._replica is not None and self._replica.connected()
 
     def members(self) -> list[str]:
@@ -156,23 +156,23 @@
         return [member.address for member in self._replica.status().members]
 
     def leader(self) -> str | None:
-        """Return the address of the leader, if one is known and followed."""
+        """Return the leader's address while connected to it, otherwise ``None``."""
         if self._replica is None or not self._replica.connected():
             return None
         leader = self._replica.status().leader
         return leader.address if leader is not None else None
 
     def leads(self) -> bool:
-        """Return whether this host leads the group."""
+        """Return whether this host is the leader of the group."""
         return self._replica is not None and self._replica.leading
 
     async def submit(self, version: int, document: str) -> int:
-        """Make a document durable; return the version then held.
+        """Replicate a document durably; return the version held afterwards.
 
         Raises
         ------
         CoreUnavailable
-            If that is not known to have happened.
+            If the replication could not be confirmed.
         """
         command = {"version": version, "document": document}
         try:
@@ -186,17 +186,17 @@
                 )
                 return int(value["version"])
         except (TimeoutError, PeerFailed, NotLeader, LostLeadership) as error:
-            raise CoreUnavailable(f"not confirmed: {error!r}") from error
+            raise CoreUnavailable(f"change not confirmed: {error!r}") from error
         except StorageFailed as error:
-            raise CoreUnavailable(f"the disk failed: {error}") from error
+            raise CoreUnavailable(f"log storage failed: {error}") from error
 
     async def read(self) -> RouteRegister:
-        """Return the register once it holds every document acknowledged before.
+        """Return the register once it reflects all documents acknowledged before.
 
         Raises
         ------
         CoreUnavailable
-            If this host cannot be sure.
+            If this host cannot confirm that it does.
         """
         try:
             async with asyncio.timeout(_CALL_TIMEOUT_S):
@@ -210,16 +210,16 @@
                     )
                     await replica.wait_applied(int(value["index"]))
         except (TimeoutError, PeerFailed, NotLeader) as error:
-            raise CoreUnavailable(f"not confirmed: {error!r}") from error
+            raise CoreUnavailable(f"read not confirmed: {error!r}") from error
         return self._register
 
     async def answer(self, path: str, value: Any) -> Any:
-        """Answer a call of another control host.
+        """Execute a call of another control host and return the reply.
 
         Raises
         ------
         CoreUnavailable, NotLeader, LostLeadership, StorageFailed, TimeoutError
-            If the call cannot be served here.
+            If this host cannot execute the call.
         """
         replica = self._running()
         if path == LOG_PATH:
@@ -233,7 +233,7 @@
 
     def _running(self) -> Replica:
         if self._replica is None:
-            raise CoreUnavailable("this host's log is not open")
+            raise CoreUnavailable("the log replica of this host is not open")
         return self._replica
 
     def _leader(self, replica: Replica) -> str:
@@ -244,11 +244,11 @@
 
     async def _propose(self, replica: Replica, command: Any) -> int:
         if not self._formed(replica.status()):
-            raise CoreUnavailable("the group is still forming")
+            raise CoreUnavailable("too few control hosts have joined the new group")
         return int(await replica.propose(command))
 
     def _formed(self, status: LogStatus) -> bool:
-        """Return whether the group bears a loss, as far as it ever will."""
+        """Return whether the group has enough voters to acknowledge changes."""
         voters = sum(m.role is MemberRole.VOTER for m in status.members)
         waited_s = boot_time() - self._started_at
         return is_formed(voters, len(self._settings.seeds), waited_s)
@@ -273,14 +273,14 @@
             self._random,
             self._metrics,
         )
-        founder = settings.first_start and settings.seeds[:1] == (settings.address,)
-        if founder and self._fresh:
+        is_founder = settings.first_start and settings.seeds[:1] == (settings.address,)
+        if is_founder and self._fresh:
             await replica.bootstrap(identifier())
         self._replica = replica
         await replica.start()
         self._log.write(
             "replica_started",
-            {"member": member.id, "fresh": self._fresh, "founder": founder},
+            {"member": member.id, "fresh": self._fresh, "founder": is_founder},
             always=True,
         )
         try:
@@ -291,7 +291,7 @@
                 await replica.stop()
 
     async def _attend(self, replica: Replica, member: Member) -> None:
-        """Join the group while not in it, and lead its changes while leading."""
+        """Ask to join while this host is no voter; change members while it leads."""
         while not replica.status().storage_failed:
             if replica.leading:
                 await self._change_members(replica)
@@ -299,11 +299,11 @@
                 continue
             self._successors = 0
             own = replica.find(member.id)
-            votes = own is not None and own.role is MemberRole.VOTER
-            if not votes or not replica.connected():
+            is_voter = own is not None and own.role is MemberRole.VOTER
+            if not is_voter or not replica.connected():
                 await self._ask_to_join(member)
             await asyncio.sleep(_JOIN_INTERVAL_S)
-        raise OSError("the log's storage has failed")
+        raise OSError("log storage failed")
 
     async def _ask_to_join(self, member: Member) -> None:
         value = {
@@ -330,8 +330,8 @@
             forwarded = {**value, "forwarded": True}
             return await self._peers.call(leader, JOIN_PATH, forwarded, _CALL_TIMEOUT_S)
         member = Member.from_json(value["member"])
-        joiner = Joiner(member, value["fresh"], value["founding"])
-        self._joiners[member.id] = (joiner, boot_time())
+        request = Joiner(member, value["fresh"], value["founding"])
+        self._joiners[member.id] = (request, boot_time())
         return {}
 
     async def _change_members(self, replica: Replica) -> None:
@@ -341,8 +341,8 @@
             for i, entry in self._joiners.items()
             if now - entry[1] < _JOINER_KEPT_S
         }
-        joiners = {i: joiner for i, (joiner, _) in self._joiners.items()}
-        change = next_change(replica.status(), joiners, self._successors)
+        requests = {i: request for i, (request, _) in self._joiners.items()}
+        change = next_change(replica.status(), requests, self._successors)
         if change is None:
             return
         added = change if isinstance(change, Member) else None
@@ -352,7 +352,7 @@
                 await replica.change(add=added, remove=removed)
         except (ChangeRefused, NotLeader, LostLeadership, StorageFailed, TimeoutError):
             return
-        self._count_successor(added, joiners)
+        self._count_successor(added, requests)
         self._log.write(
             "members_changed",
             {"added": added.id if added else None, "removed": removed},
@@ -371,7 +371,7 @@
         replica = self._replica
         member = replica.find(peer) if replica is not None else None
         if member is None:
-            raise ConnectionError(f"{peer} is not a member")
+            raise ConnectionError(f"{peer} is not a member of the group")
         timeout_s = LOG_SETTINGS.rpc_timeout_ms / _MS_PER_S
         try:
             value = await self._peers.call(member.address, LOG_PATH, message, timeout_s)
--- a/packages/fleet/src/kingcuplug_fleet/_directory.py
+++ b/packages/fleet/src/kingcuplug_fleet/_directory.py
@@ -1,22 +1,21 @@
-"""The backend servers that this host has heard of."""
+"""Directory of the backend servers that this host has discovered."""
 
 import hashlib
 from collections.abc import Collection
 from dataclasses import dataclass
 
-from kingcuplug_fleet._records import ServerRecord, ServerState
+from kingcuplug_fleet._server_record import ServerRecord, ServerState
 
 __all__ = ["Directory"]
 
-# Late statements of servers that are gone arrive within the length of a network
-# partition; after this time a host no longer has to recognize them.
+# Late records of ended servers may arrive until a network partition has healed. After
+# this time a host no longer has to recognize them as outdated.
 _ENDED_KEPT_S = 120.0
-# A server that says nothing for so long is gone without a word. One that was only
-# cut off is kept, because its statements count from where they were.
+# A server without a heartbeat for this long has crashed or was removed. One that is
+# only partitioned must be kept, because its sequence continues when it returns.
 _SILENT_KEPT_S = 3_600.0
-
-
-_DIGEST_BYTES = 8  # Two directories differ unnoticed once in 2**64 comparisons.
+# Two different directories have equal digests with a probability of 1 in 2**64.
+_DIGEST_BYTES = 8
 
 
 @dataclass(slots=True)
@@ -28,22 +27,22 @@
 
 
 class Directory:
-    """The greatest statement of each server, with a version for each change.
+    """The record with the highest rank of each server, versioned by change.
 
     Parameters
     ----------
     silent_after_s : float
-        Without a statement for this long, a server counts as silent.
+        Time without a heartbeat after which a server counts as silent.
 
     Attributes
     ----------
     version : int
-        Grows with every change that other hosts must learn.
-    first_hand_version : int
-        The version of the last change that a server itself told this host.
+        Increases with every change that other hosts must learn.
+    direct_version : int
+        Version of the last change that this host received directly from a server.
     digest : int
-        Equal at hosts that hold the same statements, whatever their order. Servers
-        that have ended do not count, because hosts forget them at different times.
+        Equal on hosts that hold the same records, in any order. Ended servers are
+        excluded, because hosts drop them at different times.
     """
 
     def __init__(self, silent_after_s: float) -> None:
@@ -55,12 +54,12 @@
         self.digest = 0
 
     def merge(self, record: ServerRecord, now: float, first_hand: bool = False) -> bool:
-        """Take a statement; return whether other hosts must learn of it.
+        """Merge a record; return whether it must be propagated to other hosts.
 
         Parameters
         ----------
-        first_hand : bool
-            Whether the server itself made it here.
+        direct : bool
+            Whether the record was received directly from the server.
         """
         entry = self._entries.get(record.id)
         if entry is not None and record.rank <= entry.record.rank:
@@ -80,7 +79,7 @@
         return True
 
     def heard(self, identifier: str, born_ms: int, sequence: int, now: float) -> None:
-        """Take the news that another host has heard a server."""
+        """Record a heartbeat that another host has received from a server."""
         entry = self._entries.get(identifier)
         if entry is None or entry.record.born_ms != born_ms:
             return
@@ -88,23 +87,23 @@
             entry.heard_at = now
 
     def find(self, identifier: str) -> ServerRecord | None:
-        """Return the greatest statement of a server."""
+        """Return the record of a server, ``None`` if it is unknown."""
         entry = self._entries.get(identifier)
         return entry.record if entry else None
 
     def refresh(self, now: float, silent: Collection[str]) -> None:
-        """Take the news that all servers but the silent ones were heard elsewhere."""
+        """Reset the heartbeat times of all servers except the silent ones."""
         for identifier, entry in self._entries.items():
             if identifier not in silent:
                 entry.heard_at = now
 
     def since(self, version: int, first_hand: bool = False) -> list[ServerRecord]:
-        """Return the statements that changed after a version.
+        """Return the records that changed after a version.
 
         Parameters
         ----------
-        first_hand : bool
-            Only those that servers themselves made here.
+        direct : bool
+            Whether to return only records received directly from servers.
         """
         return [
             entry.record
@@ -113,7 +112,7 @@
         ]
 
     def leaving(self) -> list[ServerRecord]:
-        """Return the statements of servers that take no new work."""
+        """Return the records of servers that are draining or have ended."""
         return [
             entry.record
             for entry in self._entries.values()
@@ -121,9 +120,10 @@
         ]
 
     def usable(self) -> list[ServerRecord]:
-        """Return the servers that take new work.
+        """Return the records of servers that accept new requests.
 
-        Of several servers that claim one address the one that started last has it.
+        Of several servers with the same address, only the one that started last is
+        returned.
         """
         return [
             entry.record
@@ -133,12 +133,12 @@
         ]
 
     def silent(self, now: float) -> set[str]:
-        """Return the ids of servers whose statements have stopped."""
+        """Return the ids of servers whose heartbeats have stopped."""
         limit = now - self._silent_after_s
         return {i for i, entry in self._entries.items() if entry.heard_at < limit}
 
     def forget(self, now: float) -> None:
-        """Drop servers that are long gone."""
+        """Remove servers whose retention time has passed."""
         for identifier, entry in tuple(self._entries.items()):
             ended = entry.record.state is ServerState.ENDED
             kept_s = _ENDED_KEPT_S if ended else _SILENT_KEPT_S
@@ -149,16 +149,16 @@
                     del self._newest_at[entry.record.address]
 
     def _claim_address(self, record: ServerRecord) -> None:
-        holder = self.find(self._newest_at.get(record.address, ""))
-        if holder is None or holder.born_ms <= record.born_ms:
+        current = self.find(self._newest_at.get(record.address, ""))
+        if current is None or current.born_ms <= record.born_ms:
             self._newest_at[record.address] = record.id
 
 
 def _digest(record: ServerRecord) -> int:
-    """Return what a record adds to the directory's digest."""
+    """Return the digest of a record, which is combined by XOR into the directory's."""
     if record.state is ServerState.ENDED:
         return 0
-    said = (
+    content = (
         record.id,
         record.born_ms,
         record.service,
@@ -166,5 +166,5 @@
         record.slots,
         record.state.value,
     )
-    hashed = hashlib.blake2b(repr(said).encode(), digest_size=_DIGEST_BYTES)
-    return int.from_bytes(hashed.digest(), "big")
+    digest = hashlib.blake2b(repr(content).encode(), digest_size=_DIGEST_BYTES)
+    return int.from_bytes(digest.digest(), "big")
--- a/packages/fleet/src/kingcuplug_fleet/_knowledge.py
+++ b/packages/fleet/src/kingcuplug_fleet/_fleet_view.py
@@ -1,4 +1,4 @@
-"""What one host knows of the fleet, and the signal that wakes whoever waits for it."""
+"""One host's view of the fleet, with a signal for tasks that wait for changes."""
 
 import asyncio
 import hashlib
@@ -10,51 +10,54 @@
 from kingcuplug_routing import PaceBoard, WindowCount
 
 from kingcuplug_fleet._directory import Directory
-from kingcuplug_fleet._records import ServerRecord
+from kingcuplug_fleet._server_record import ServerRecord
 
 __all__ = ["Knowledge"]
 
-# A host asks its control host at least once a second.
+# A host polls its control host at least once a second.
 _HOST_KEPT_S = 3.5
-# Hosts divide what all of them share by their requests in this window.
+# Hosts divide shared limits in proportion to their requests in this window.
 _REQUESTS_WINDOW_S = 10.0
-# Smaller changes of the number of requests are not told.
+# Smaller relative changes of the number of requests are not published.
 _REQUESTS_STEP = 0.1
-_KEY_BYTES = 8  # Two states share a key once in 2**64 changes.
+_KEY_BYTES = 8  # Two different states collide with a probability of 1 in 2**64.
 
 
 class Knowledge:
-    """Servers, the newest routes, control hosts and live hosts.
+    """A host's view of servers, the newest routes, control hosts and live hosts.
 
     Parameters
     ----------
     silent_after_s : float
-        Without a statement for this long, a server counts as silent.
+        Time without a heartbeat after which a server counts as silent.
 
     Attributes
     ----------
     epoch : str
-        Identifies this run of the process; versions of the directory count in it.
+        Identifies this run of the process; versions of the directory are comparable
+        only within it.
     changed : Signal
-        Notified when something changes that other hosts must learn.
+        Notified on each change that is propagated to other hosts.
     routes_version : int
-        Version of the newest route document known here.
+        Version of the newest route document.
     routes_document : str
-        That document.
-    control : tuple of str
-        Addresses of control hosts, as far as known.
-    hosts : int
+        The newest route document.
+    control_hosts : tuple of str
+        Addresses of the discovered control hosts.
+    host_count : int
         Number of live hosts that serve callers, 0 if unknown.
-    slow : dict
-        Pace of the servers that all hosts together find slow.
+    silent_servers : set of str
+        Ids of servers whose heartbeats have stopped.
+    slow_servers : dict
+        Pace of the servers that are slow by the samples of all hosts, by id.
     zones : dict
         Availability zones of control hosts, by address.
-    reachable : tuple of str
-        Addresses of control hosts that the leader has heard lately.
-    requests : int
+    reachable_control_hosts : tuple of str
+        Addresses of control hosts from which the leader has recently received a push.
+    request_count : int
         Requests of all hosts in the last ten seconds, 0 if unknown.
     paces : PaceBoard
-        What hosts have reported here; used at control hosts only.
+        Response time samples reported by hosts; used on control hosts only.
     """
 
     def __init__(self, silent_after_s: float) -> None:
@@ -82,7 +85,7 @@
         self._state_key = ""
 
     def state(self) -> list[Any]:
-        """Return what hosts take over from their control host beside the servers."""
+        """Return the state that hosts copy from their control host, without servers."""
         return [
             sorted(self.silent),
             dict(sorted(self.slow.items())),
@@ -94,16 +97,16 @@
         ]
 
     def state_key(self) -> str:
-        """Return what is equal only where `state` is equal."""
+        """Return a digest of `state`."""
         data = orjson.dumps(self.state())
         if data != self._state_data:
             self._state_data = data
-            hashed = hashlib.blake2b(data, digest_size=_KEY_BYTES)
-            self._state_key = hashed.hexdigest()
+            digest = hashlib.blake2b(data, digest_size=_KEY_BYTES)
+            self._state_key = digest.hexdigest()
         return self._state_key
 
     def learn_routes(self, version: int, document: str) -> None:
-        """Take a route document if it is newer."""
+        """Replace the route document if the version is newer."""
         if version > self.routes_version:
             self.routes_version, self.routes_document = version, document
             self.changed.notify()
@@ -111,40 +114,40 @@
     def learn_servers(
         self, records: list[ServerRecord], first_hand: bool = False
     ) -> bool:
-        """Take statements about servers; return whether one was news."""
+        """Merge records into the directory; return whether one must be propagated."""
         now, merge = self._loop.time(), self.directory.merge
-        news = [record for record in records if merge(record, now, first_hand)]
-        if news:
+        changes = [record for record in records if merge(record, now, first_hand)]
+        if changes:
             self.changed.notify()
-        return bool(news)
+        return bool(changes)
 
     def learn_control(self, addresses: list[str]) -> None:
-        """Take the addresses of the control hosts."""
-        control = tuple(sorted(addresses))
-        if control and control != self.control:
-            self.control = control
+        """Replace the addresses of the control hosts, unless the list is empty."""
+        control_hosts = tuple(sorted(addresses))
+        if control_hosts and control_hosts != self.control:
+            self.control = control_hosts
             self.changed.notify()
 
     def learn_silent(self, identifiers: set[str]) -> None:
-        """Take which servers have stopped to speak."""
+        """Replace the ids of the servers whose heartbeats have stopped."""
         if identifiers != self.silent:
             self.silent = identifiers
             self.changed.notify()
 
     def learn_slow(self, paces: dict[str, float]) -> None:
-        """Take which servers are slow."""
+        """Replace the paces of slow servers, by id."""
         if paces != self.slow:
             self.slow = paces
             self.changed.notify()
 
     def learn_reachable(self, addresses: tuple[str, ...]) -> None:
-        """Take which control hosts the leader has heard lately."""
+        """Replace the addresses of the control hosts that the leader can reach."""
         if addresses != self.reachable:
             self.reachable = addresses
             self.changed.notify()
 
     def expect_hosts(self, count: int) -> None:
-        """Assume so many hosts until those that live have had time to ask."""
+        """Assume a number of hosts until all live hosts have had time to poll."""
         self._begun_at = self._loop.time()
         self._expected_hosts = count
         self.learn_hosts(count)
@@ -155,38 +158,42 @@
         Parameters
         ----------
         key : str
-            Spreads those who ask: the same key gets the same host while it lives.
+            Key for rendezvous hashing: the same key selects the same control host
+            while that host is reachable.
         """
         near = [a for a in self.reachable if self.zones.get(a) == availability_zone]
         return max(near, key=lambda a: crc32(f"{key} {a}".encode()), default=None)
 
     def count_hosts(self) -> None:
-        """Count the hosts that asked lately, or were there before a restart."""
+        """Update the number of live hosts from recent polls.
+
+        Shortly after a restart the assumed number is the minimum.
+        """
         count = len(self.live_hosts())
         if self._loop.time() - self._begun_at < _HOST_KEPT_S:
             count = max(count, self._expected_hosts)
         self.learn_hosts(count)
 
     def learn_hosts(self, count: int) -> None:
-        """Take the number of live hosts."""
+        """Set the number of live hosts."""
         if count != self.hosts:
             self.hosts = count
             self.changed.notify()
 
     def learn_requests(self, count: int) -> None:
-        """Take the number of requests of all hosts in the last ten seconds."""
+        """Set the number of requests of all hosts in the last ten seconds."""
         if count != self.requests:
             self.requests = count
             self.changed.notify()
 
     def begin_counting_requests(self) -> None:
-        """Forget what was counted; until a whole window has passed it is unknown."""
+        """Restart the request window; the count is unknown until it has passed."""
         self._counted = WindowCount(_REQUESTS_WINDOW_S)
         self._counted_since = self._loop.time()
         self.learn_requests(0)
 
     def count_requests(self, reported: int) -> None:
-        """Take the number of requests that a host has reported."""
+        """Add a reported number of requests, and publish the total if it changed."""
         now = self._loop.time()
         self._counted.add(now, reported)
         if now - self._counted_since < _REQUESTS_WINDOW_S:
@@ -196,20 +203,20 @@
             self.learn_requests(total)
 
     def meet_host(self, name: str) -> None:
-        """Count a host as live that has asked here."""
+        """Record a host's poll of this control host."""
         self._met[name] = self._loop.time()
 
     def hear_of_host(self, name: str) -> None:
-        """Count a host as live that has asked another control host."""
+        """Record a host's poll of another control host."""
         self._told[name] = self._loop.time()
 
     def met_hosts(self) -> list[str]:
-        """Return the hosts that asked here lately."""
+        """Return the hosts that have polled this control host recently."""
         self._met = self._recent(self._met)
         return list(self._met)
 
     def live_hosts(self) -> set[str]:
-        """Return the hosts that asked anywhere lately."""
+        """Return the hosts that have polled any control host recently."""
         self._told = self._recent(self._told)
         return set(self._told) | set(self.met_hosts())
 
--- a/packages/fleet/src/kingcuplug_fleet/_succession.py
+++ b/packages/fleet/src/kingcuplug_fleet/_membership.py
@@ -1,9 +1,10 @@
-"""Which change of voters the leader makes next.
+"""Automatic membership changes of the log's group, decided by the leader.
 
-No operator forms the group or replaces a host, so the leader does both. A voter that
-can never return (its disk is empty) is removed at once; one that does not answer is
-removed early only if a new host has come in its place, because a host that was cut off
-returns with everything it has synced. A host that was removed wrongly joins again.
+No operator forms the group or replaces a host, so the leader does both. A voter whose
+disk was replaced or emptied can never return and is removed at once. A voter that does
+not respond is removed early only if a new host has joined to replace it, because a host
+that was partitioned returns with all its synced data. A host that was removed wrongly
+joins again.
 """
 
 from collections.abc import Iterable, Mapping
@@ -13,26 +14,26 @@
 
 __all__ = ["Joiner", "next_change"]
 
-# Longer than an election and a restart of a process.
+# Longer than an election and the restart of a process.
 _REPLACED_AFTER_MS = 2_500.0
-# A host that is away for so long is treated as lost even without a successor; it
-# joins again when it returns.
+# A host unreachable for this long is removed even without a replacement; it joins
+# again when it returns.
 _LOST_AFTER_MS = 20_000.0
 _LEARNER_LOST_AFTER_MS = 4_000.0
-# Fewer voters than this bear no loss.
+# The smallest group that tolerates the loss of one voter.
 _FEWEST_VOTERS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Joiner:
-    """A control host that asks to be a voter.
+    """A control host's request to become a voter.
 
     Attributes
     ----------
-    fresh : bool
-        Whether its disk held nothing of the group.
-    founding : bool
-        Whether it asks while the whole system starts for the first time.
+    empty_disk : bool
+        Whether its disk held no entries of the log when it was opened.
+    first_start : bool
+        Whether the host joins during the first start of the whole system.
     """
 
     member: Member
@@ -43,38 +44,39 @@
 def next_change(
     status: LogStatus, joiners: Mapping[str, Joiner], successors: int
 ) -> Member | str | None:
-    """Return the member to add, the id to remove, or ``None``.
+    """Return the member to add, the id of the one to remove, or ``None``.
 
     Parameters
     ----------
     status : LogStatus
-        The leader's.
-    joiners : mapping
-        Hosts that asked lately, by member id.
-    successors : int
-        New hosts that have come since the last removal of a silent voter.
+        Status of the leader's replica.
+    requests : mapping
+        Recent join requests, by member id.
+    replacements : int
+        Number of new hosts that have joined and not yet replaced a removed voter.
     """
     members = {member.id: member for member in status.members}
     replaced = _replaced(members.values(), joiners)
     if replaced is not None and replaced != status.member.id:
         return replaced
-    for identifier, joiner in joiners.items():
+    for identifier, request in joiners.items():
         if identifier not in members:
-            return joiner.member
+            return request.member
     return _lost(status.peers, successors)
 
 
 def _replaced(members: Iterable[Member], joiners: Mapping[str, Joiner]) -> str | None:
-    """Return a member whose host has come back with another disk."""
-    addresses = {joiner.member.address: i for i, joiner in joiners.items()}
+    """Return the id of a member whose host asks to join with another disk."""
+    ids_by_address = {request.member.address: i for i, request in joiners.items()}
     for member in members:
-        joiner = addresses.get(member.address)
-        if joiner is not None and joiner != member.id:
+        new_id = ids_by_address.get(member.address)
+        if new_id is not None and new_id != member.id:
             return member.id
     return None
 
 
 def _lost(peers: Iterable[PeerStatus], successors: int) -> str | None:
+    """Return the id of a member that has not responded for too long."""
     peers = tuple(peers)
     voters = 1 + sum(peer.member.role is MemberRole.VOTER for peer in peers)
     for peer in peers:
--- a/packages/fleet/src/kingcuplug_fleet/_mesh.py
+++ b/packages/fleet/src/kingcuplug_fleet/_mesh.py
@@ -1,16 +1,17 @@
-"""How control hosts tell each other what servers and hosts have told them.
-
-Answers this load pattern: many control hosts in several availability zones, where
-bytes are priced, and most statements of servers repeat the last one. A control host
-pushes only what servers themselves told it, to all others at once. Who has spoken and
-who has asked goes to one coordinator alone, which tells all others what follows from
-it. Digests of the directories show what got lost.
-
-The coordinator is the leader of the log. While there is none, each side of a cut has
-its own, the control host with the least address among those that hear each other: what
-it sums up needs no agreement. It hears only a part of the servers then, so it judges
-who is slow, but not who is silent. Without a leader, every control host compares its
-digest with every other one.
+"""Full-mesh replication of the server directory between control hosts.
+
+Designed for many control hosts in several availability zones, where traffic between
+zones is billed and most heartbeats of servers repeat the last record. A control host
+pushes only the records that it received directly from servers, and pushes them to all
+other control hosts at once. Heartbeats and the polls of hosts are reported to a single
+coordinator, which aggregates them and pushes a summary to all others. Digests of the
+directories reveal lost updates.
+
+The coordinator is the leader of the log. While there is none, each side of a network
+partition has its own: the control host with the lowest address among those that can
+reach each other. Its summary needs no consensus. Such a coordinator receives
+heartbeats from only a part of the servers, so it detects slow servers, but not silent
+ones. Without a leader, every control host compares its digest with every other one.
 """
 
 import asyncio
@@ -20,53 +21,55 @@
 
 from kingcuplug_common import EventLog
 
-from kingcuplug_fleet._knowledge import Knowledge
+from kingcuplug_fleet._fleet_view import Knowledge
 from kingcuplug_fleet._mesh_messages import Heard, Report, ShareMessage, Summary
-from kingcuplug_fleet._peers import PeerFailed, Peers
-from kingcuplug_fleet._records import ServerRecord
+from kingcuplug_fleet._peer_client import PeerFailed, Peers
+from kingcuplug_fleet._server_record import ServerRecord
 
 __all__ = ["REPORT_PATH", "SHARE_PATH", "Mesh"]
 
 SHARE_PATH = "/peer/v2/share"
 REPORT_PATH = "/peer/v2/report"
 
-# Several reports fit into the time after which a server or a host counts as gone.
+# Short enough for several reports within the time-outs of servers and hosts.
 _REPORT_INTERVAL_S = 1.0
-# The leader's summary is pushed when it changes; this only shows what got lost.
+# The leader pushes its summary on each change; the interval only reveals lost pushes.
 _SUMMARY_INTERVAL_S = 2.0
-# Between other control hosts only news is pushed.
+# Other pairs of control hosts push only changes, apart from this keep-alive.
 _QUIET_INTERVAL_S = 30.0
-# Servers that start together share a push. A leaving server is told at once.
+# Batches servers that start together into one push. A leaving server is replicated
+# without this delay.
 _GATHER_S = 0.1
 _SHARE_TIMEOUT_S = 0.6
 _RETRY_S = 0.9
 _REPORT_TIMEOUT_S = 0.5
-# Each stage on the way of a report to all hosts delays it by half of this on average.
+# Each forwarding stage of a report adds half of this interval to its delay on average.
 _UPKEEP_S = 0.15
-# Acknowledging a leaving server waits for one other control host this long, so that
-# the news survives the loss of this one.
+# How long the acknowledgement of a leaving server waits for a second control host to
+# store its record, so that the record survives the loss of this control host.
 _TELL_TIMEOUT_S = 0.35
-# News on its way makes digests differ for a moment; after this time something was lost.
+# Updates in flight make digests differ briefly; a longer mismatch means a lost update.
 _LOST_AFTER_S = 2.0
-# A control host whose last report is older than two intervals may be gone.
+# Two report intervals and a margin; a control host silent for longer may be gone.
 _REACHABLE_S = 2.5
 
 
 class _Peer:
-    """What is known of another control host.
+    """Replication state of another control host.
 
     Attributes
     ----------
     epoch : str
         Identifies the run of its process.
-    sent : int
-        Version of the own directory up to which it holds the first-hand statements.
-    heard_at : float
-        Event loop time of its last push.
-    told : Summary or None
-        The last summary that it took.
-    under : str or None
-        The coordinator at the last push.
+    acknowledged_version : int
+        Version of the local directory up to which it holds the directly received
+        records.
+    last_push_at : float
+        Event loop time of the last push received from it.
+    acknowledged_summary : Summary or None
+        The last summary that it acknowledged.
+    last_coordinator : str or None
+        The coordinator at the time of the last push to it.
     """
 
     def __init__(self, task: asyncio.Task[None]) -> None:
@@ -79,37 +82,37 @@
         self._differs_since: float | None = None
 
     def compare(self, equal: bool, now: float) -> None:
-        """Take a comparison of the digests of the two directories."""
+        """Record whether the digests of the two directories are equal."""
         if equal:
             self._differs_since = None
         elif self._differs_since is None:
             self._differs_since = now
 
     def lacks(self, now: float) -> bool:
-        """Return whether something was lost between the two hosts."""
+        """Return whether the digests have differed for too long."""
         since = self._differs_since
         return since is not None and now - since > _LOST_AFTER_S
 
     def filled(self) -> None:
-        """Take the news that it was sent the whole directory."""
+        """Reset the digest mismatch after the whole directory was sent."""
         self._differs_since = None
 
 
 class Mesh:
-    """Pushes what servers tell this control host to the other ones.
+    """Replicates the records that servers send to this control host to all others.
 
     Parameters
     ----------
-    own : str
+    own_address : str
         Control address of this host.
     leader : callable
-        Address of the control host that leads, ``None`` if none is known.
+        Return the address of the log's leader, ``None`` if none is known.
     """
 
     def __init__(
         self,
         host: str,
-        knowledge: Knowledge,
+        view: Knowledge,
         peers: Peers,
         own: str,
         availability_zone: str,
@@ -118,7 +121,7 @@
     ) -> None:
         self._loop = asyncio.get_running_loop()
         self._host = host
-        self._knowledge = knowledge
+        self._view = view
         self._calls = peers
         self._own = own
         self._zone = availability_zone
@@ -131,8 +134,8 @@
         self._led = False
 
     async def run(self) -> None:
-        """Keep one task for each other control host, and what ages."""
-        self._knowledge.zones[self._own] = self._zone
+        """Run one push task per other control host, and expire old state."""
+        self._view.zones[self._own] = self._zone
         try:
             while True:
                 self._follow_members()
@@ -143,80 +146,88 @@
                 peer.task.cancel()
 
     def hear(self, record: ServerRecord) -> None:
-        """Note that a server has spoken to this host."""
+        """Record a heartbeat of a server for the next report."""
         self._heard[record.id] = (record.born_ms, record.sequence)
 
     def take_report(self, report: Report) -> None:
-        """Take what a host, perhaps this one, has seen.
+        """Add the report of a host, which may be this one.
 
-        The coordinator alone sums the reports up, as all to all would cost more bytes
-        than the queries.
+        Only the coordinator aggregates reports, because sending all reports to all
+        control hosts would cost more bytes than the queries.
         """
         if self._coordinator() != self._own:
             self._report.add(report)
             return
-        self._knowledge.paces.add(report.samples, self._loop.time())
-        self._knowledge.count_requests(report.requests)
+        self._view.paces.add(report.samples, self._loop.time())
+        self._view.count_requests(report.requests)
 
     async def tell(self, record: ServerRecord) -> bool:
-        """Return once one other control host knows a record, or in vain."""
-        others = list(self._peers)
-        if not others:
+        """Push a record until one other control host has acknowledged it.
+
+        Returns
+        -------
+        bool
+            Whether one did, or there is no other control host.
+        """
+        addresses = list(self._peers)
+        if not addresses:
             return True
         value = self._message([record]).to_json()
-        calls = [asyncio.ensure_future(self._knows(other, value)) for other in others]
+        calls = [
+            asyncio.ensure_future(self._knows(address, value)) for address in addresses
+        ]
         for call in asyncio.as_completed(calls):
             if await call:
                 return True
         self._log.write("leaving_server_untold", {"server": record.id})
         return False
 
-    async def _knows(self, other: str, value: Any) -> bool:
-        """Return whether another control host has taken a push."""
+    async def _knows(self, address: str, value: Any) -> bool:
+        """Push a message; return whether the other control host acknowledged it."""
         try:
-            await self._calls.call(other, SHARE_PATH, value, _TELL_TIMEOUT_S)
+            await self._calls.call(address, SHARE_PATH, value, _TELL_TIMEOUT_S)
         except PeerFailed:
             return False
         return True
 
     def take(self, value: Any) -> dict[str, Any]:
-        """Take what another control host pushes."""
+        """Apply a push of another control host and return the reply."""
         message = ShareMessage.from_json(value)
-        knowledge, now = self._knowledge, self._loop.time()
-        knowledge.learn_servers(message.servers)
-        for identifier, (born_ms, sequence) in message.heard.items():
-            knowledge.directory.heard(identifier, born_ms, sequence, now)
+        view, now = self._view, self._loop.time()
+        view.learn_servers(message.servers)
+        for server_id, (start_ms, sequence) in message.heard.items():
+            view.directory.heard(server_id, start_ms, sequence, now)
         for host in message.hosts:
-            knowledge.hear_of_host(host)
-        knowledge.zones[message.address] = message.availability_zone
+            view.hear_of_host(host)
+        view.zones[message.address] = message.availability_zone
         peer = self._peers.get(message.address)
         if peer is not None:
             peer.heard_at = now
             self._compare(message.address, peer, message.digest)
         if message.summary is not None and self._coordinator() == message.address:
             self._take_summary(message.summary, now)
-        return {"epoch": knowledge.epoch, "digest": knowledge.directory.digest}
+        return {"epoch": view.epoch, "digest": view.directory.digest}
 
     def _compare(self, address: str, peer: _Peer, digest: int) -> None:
-        """Compare directories with the leader, or with all if there is none."""
+        """Compare digests with the leader, or with every peer if there is none."""
         if self._leader() not in (None, self._own, address):
             return
         now = self._loop.time()
-        peer.compare(digest == self._knowledge.directory.digest, now)
+        peer.compare(digest == self._view.directory.digest, now)
         if peer.lacks(now):
-            self._knowledge.changed.notify()
+            self._view.changed.notify()
 
     def _take_summary(self, summary: Summary, now: float) -> None:
-        knowledge = self._knowledge
-        knowledge.learn_slow(summary.slow)
+        view = self._view
+        view.learn_slow(summary.slow)
         if self._leader() is None:
             return
-        knowledge.learn_silent(set(summary.silent))
-        knowledge.directory.refresh(now, knowledge.silent)
-        knowledge.learn_hosts(summary.hosts)
-        knowledge.learn_requests(summary.requests)
-        knowledge.zones.update(summary.reachable)
-        knowledge.learn_reachable(tuple(summary.reachable))
+        view.learn_silent(set(summary.silent))
+        view.directory.refresh(now, view.silent)
+        view.learn_hosts(summary.hosts)
+        view.learn_requests(summary.requests)
+        view.zones.update(summary.reachable)
+        view.learn_reachable(tuple(summary.reachable))
 
     def _coordinator(self) -> str:
         leader = self._leader()
@@ -225,20 +236,20 @@
         return min((self._own, *self._heard_peers()))
 
     def _heard_peers(self) -> list[str]:
-        oldest = self._loop.time() - _REACHABLE_S
-        return [a for a, peer in self._peers.items() if peer.heard_at > oldest]
+        limit = self._loop.time() - _REACHABLE_S
+        return [a for a, peer in self._peers.items() if peer.heard_at > limit]
 
     def _follow_members(self) -> None:
-        wanted = set(self._knowledge.control) - {self._own}
-        for address in self._peers.keys() - wanted:
+        addresses = set(self._view.control) - {self._own}
+        for address in self._peers.keys() - addresses:
             self._peers.pop(address).task.cancel()
-        for address in wanted - self._peers.keys():
+        for address in addresses - self._peers.keys():
             task = asyncio.ensure_future(self._push_to(address))
             task.add_done_callback(self._on_push_ended)
             self._peers[address] = _Peer(task)
 
     def _on_push_ended(self, task: asyncio.Task[None]) -> None:
-        """Begin anew with a control host whose answer could not be understood."""
+        """Drop the state of a peer whose reply was malformed; it is added again."""
         if task.cancelled():
             return
         self._log.write("push_failed", {"error": repr(task.exception())})
@@ -255,29 +266,30 @@
             )
 
     def _age(self, now: float) -> None:
-        """Find who is gone, and who is slow; only the coordinator hears enough."""
-        knowledge = self._knowledge
-        knowledge.meet_host(self._host)
-        knowledge.directory.forget(now)
-        coordinator, leads = self._coordinator(), self._leader() == self._own
-        if leads and not self._led:
-            # Reports went to another leader until now.
-            knowledge.directory.refresh(now, knowledge.silent)
-            knowledge.expect_hosts(knowledge.hosts)
-            knowledge.begin_counting_requests()
-        self._led = leads
+        """Expire old entries; as coordinator, detect slow and silent servers."""
+        view = self._view
+        view.meet_host(self._host)
+        view.directory.forget(now)
+        coordinator, is_leader = self._coordinator(), self._leader() == self._own
+        if is_leader and not self._led:
+            # Reports were sent to another leader until now, so the local times of
+            # heartbeats and polls are out of date.
+            view.directory.refresh(now, view.silent)
+            view.expect_hosts(view.hosts)
+            view.begin_counting_requests()
+        self._led = is_leader
         if coordinator != self._followed:
             self._followed = coordinator
-            knowledge.changed.notify()
+            view.changed.notify()
         if coordinator == self._own:
-            knowledge.learn_slow(knowledge.paces.slow(now))
-        if leads:
-            knowledge.learn_silent(knowledge.directory.silent(now))
-            knowledge.count_hosts()
-            knowledge.learn_reachable((self._own, *sorted(self._heard_peers())))
+            view.learn_slow(view.paces.slow(now))
+        if is_leader:
+            view.learn_silent(view.directory.silent(now))
+            view.count_hosts()
+            view.learn_reachable((self._own, *sorted(self._heard_peers())))
         elif self._leader() is None:
-            # Without reports the number of requests grows old.
-            knowledge.learn_requests(0)
+            # Without reports the number of requests is out of date.
+            view.learn_requests(0)
 
     async def _push_to(self, address: str) -> None:
         while True:
@@ -286,30 +298,32 @@
                 await asyncio.sleep(_RETRY_S)
                 continue
             await asyncio.sleep(_GATHER_S)
-            await self._knowledge.changed.until(
+            await self._view.changed.until(
                 lambda peer=peer: self._has_news(peer),  # type: ignore[misc]
                 self._interval_s(address) - _GATHER_S,
             )
 
     async def _push(self, address: str, peer: _Peer) -> bool:
-        directory = self._knowledge.directory
+        directory = self._view.directory
         version, summary = directory.version, self._summary()
-        whole = peer.lacks(self._loop.time())
-        records = directory.since(0 if whole else peer.sent, first_hand=not whole)
+        full_sync = peer.lacks(self._loop.time())
+        records = directory.since(
+            0 if full_sync else peer.sent, first_hand=not full_sync
+        )
         coordinator = self._coordinator()
-        reports = self._leader() is None or coordinator == address
-        heard = {}
-        if reports:
-            heard, self._heard = self._heard, {}
-        message = self._message(records, heard, summary, with_hosts=reports)
+        include_report = self._leader() is None or coordinator == address
+        heartbeats = {}
+        if include_report:
+            heartbeats, self._heard = self._heard, {}
+        message = self._message(records, heartbeats, summary, with_hosts=include_report)
         try:
             reply = await self._calls.call(
                 address, SHARE_PATH, message.to_json(), _SHARE_TIMEOUT_S
             )
         except PeerFailed:
-            # What was heard meanwhile is soon said again by the servers.
+            # The heartbeats of this report are lost; servers soon repeat them.
             return False
-        if whole:
+        if full_sync:
             self._log.write("directory_sent_whole", {"to": address})
             peer.filled()
         else:
@@ -323,10 +337,15 @@
         return True
 
     def _has_news(self, peer: _Peer) -> bool:
-        newer = self._knowledge.directory.first_hand_version > peer.sent
-        moved = self._coordinator() != peer.under
-        lacks = peer.lacks(self._loop.time())
-        return newer or moved or lacks or self._summary() != peer.told
+        has_new_records = self._view.directory.first_hand_version > peer.sent
+        new_coordinator = self._coordinator() != peer.under
+        full_sync = peer.lacks(self._loop.time())
+        return (
+            has_new_records
+            or new_coordinator
+            or full_sync
+            or self._summary() != peer.told
+        )
 
     def _interval_s(self, address: str) -> float:
         leader = self._leader()
@@ -337,13 +356,13 @@
     def _summary(self) -> Summary | None:
         if self._coordinator() != self._own:
             return None
-        knowledge = self._knowledge
+        view = self._view
         return Summary(
-            sorted(knowledge.silent),
-            knowledge.slow,
-            knowledge.hosts,
-            knowledge.requests,
-            {a: knowledge.zones.get(a, "") for a in knowledge.reachable},
+            sorted(view.silent),
+            view.slow,
+            view.hosts,
+            view.requests,
+            {a: view.zones.get(a, "") for a in view.reachable},
         )
 
     def _message(
@@ -356,9 +375,9 @@
         return ShareMessage(
             self._own,
             self._zone,
-            self._knowledge.directory.digest,
+            self._view.directory.digest,
             records,
             heard or {},
-            self._knowledge.met_hosts() if with_hosts else [],
+            self._view.met_hosts() if with_hosts else [],
             summary,
         )
--- a/packages/fleet/src/kingcuplug_fleet/_mesh_messages.py
+++ b/packages/fleet/src/kingcuplug_fleet/_mesh_messages.py
@@ -1,28 +1,28 @@
-"""What control hosts push to each other."""
+"""Messages that control hosts push to each other."""
 
 from dataclasses import dataclass, field
 from typing import Any
 
 from kingcuplug_routing import Samples
 
-from kingcuplug_fleet._records import ServerRecord
+from kingcuplug_fleet._server_record import ServerRecord
 
 __all__ = ["Heard", "Report", "ShareMessage", "Summary"]
 
-# Start time and sequence of the last statement of each server, by id.
+# Start time and sequence of each server's last heartbeat, by server id.
 Heard = dict[str, tuple[int, int]]
 
 
 @dataclass(slots=True)
 class Report:
-    """What hosts have seen since their last report.
+    """Measurements of one or more hosts since their last report.
 
     Attributes
     ----------
     samples : dict
-        Number and sum of the relative durations of answers, by server id.
+        Number and sum of the relative response times, by server id.
     requests : int
-        Callers' requests.
+        Number of callers' requests.
     """
 
     samples: Samples = field(default_factory=dict)
@@ -31,8 +31,8 @@
     def add(self, other: "Report") -> None:
         """Add another report to this one."""
         for server, (count, total) in other.samples.items():
-            known = self.samples.get(server, (0, 0.0))
-            self.samples[server] = (known[0] + count, known[1] + total)
+            previous = self.samples.get(server, (0, 0.0))
+            self.samples[server] = (previous[0] + count, previous[1] + total)
         self.requests += other.requests
 
     def to_json(self) -> list[Any]:
@@ -48,20 +48,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """What the coordinator has found from the reports of control hosts.
+    """State that the coordinator has aggregated from all reports.
 
     Attributes
     ----------
     silent : list of str
-        Ids of servers whose statements have stopped.
+        Ids of servers whose heartbeats have stopped.
     slow : dict
-        Pace of the servers that all hosts together find slow, by id.
+        Pace of the servers that are slow by the samples of all hosts, by id.
     hosts : int
         Number of live hosts.
     requests : int
         Requests of all hosts in the last ten seconds, 0 if unknown.
     reachable : dict
-        Availability zones of the control hosts that the leader hears, by address.
+        Availability zones of the control hosts that the leader can reach, by address.
     """
 
     silent: list[str]
@@ -82,15 +82,15 @@
     Attributes
     ----------
     address, availability_zone : str
-        Of the sender.
+        Address and availability zone of the sender.
     digest : int
-        Of the sender's directory, with `servers` included.
-    heard : dict
-        Servers that have spoken to the sender since its last push.
+        Digest of the sender's directory, with `servers` included.
+    heartbeats : dict
+        Heartbeats that the sender has received since its last push.
     hosts : list of str
-        Hosts that have asked the sender lately.
+        Hosts that have polled the sender recently.
     summary : Summary or None
-        From the coordinator only.
+        Set by the coordinator only.
     """
 
     address: str
@@ -117,13 +117,13 @@
     @classmethod
     def from_json(cls, value: list[Any]) -> "ShareMessage":
         """Return the message described by a JSON array of another host."""
-        address, zone, digest, servers, heard, hosts, summary = value
+        address, zone, digest, servers, heartbeats, hosts, summary = value
         return cls(
             address,
             zone,
             digest,
             [ServerRecord.from_json(record) for record in servers],
-            {i: (born_ms, sequence) for i, (born_ms, sequence) in heard.items()},
+            {i: (start_ms, sequence) for i, (start_ms, sequence) in heartbeats.items()},
             hosts,
             Summary(*summary) if summary is not None else None,
         )
--- a/packages/fleet/src/kingcuplug_fleet/_peers.py
+++ b/packages/fleet/src/kingcuplug_fleet/_peer_client.py
@@ -1,8 +1,8 @@
-"""Calls to other hosts of the system: HTTP with JSON bodies, long ones deflated.
+"""Calls to other hosts of the system: HTTP with JSON bodies, long ones compressed.
 
-Whole directories and route documents repeat their field names and addresses; deflated
-they take a quarter of the bytes, which matters between availability zones and on the
-links of small hosts.
+Whole directories and route documents repeat field names and addresses. Compression
+reduces them to a quarter of their size, which matters between availability zones and
+on the network links of small hosts.
 """
 
 import asyncio
@@ -15,12 +15,14 @@
 
 __all__ = ["PeerFailed", "PeerRefused", "Peers", "decode_body", "encode_body"]
 
-_IDLE_S = 8.0  # Shorter than the idle time-out of the listeners of other hosts.
+# Shorter than the idle time-out of the listeners of other hosts.
+_IDLE_S = 8.0
 _OK = 200
 _UNAVAILABLE = 503
-# Shorter bodies fit in one packet, and heartbeats are not worth the processor time.
+# Shorter bodies, such as heartbeats, fit in one packet anyway; compressing them would
+# only cost processor time.
 _DEFLATED_FROM_BYTES = 400
-# The fastest level: higher ones save a tenth of the bytes for twice the time.
+# The fastest level; higher ones save a tenth of the bytes but take twice the time.
 _DEFLATE_LEVEL = 1
 _GREATEST_BODY_BYTES = 64 * 1024 * 1024
 _DEFLATED = (b"Content-Encoding", b"deflate")
@@ -41,40 +43,40 @@
     Raises
     ------
     ValueError
-        If the body is not JSON, or not what its encoding says.
+        If the body is not JSON, or does not match its content encoding.
     """
     if encoding == _DEFLATED[1]:
-        inflater = zlib.decompressobj()
+        decompressor = zlib.decompressobj()
         try:
-            body = inflater.decompress(body, _GREATEST_BODY_BYTES)
+            body = decompressor.decompress(body, _GREATEST_BODY_BYTES)
         except zlib.error as error:
-            raise ValueError(f"the body is not deflated: {error}") from error
-        if not inflater.eof:
-            raise ValueError("the deflated body is cut short or too long")
+            raise ValueError(f"invalid deflate data in the body: {error}") from error
+        if not decompressor.eof:
+            raise ValueError("the compressed body is truncated or too long")
     return orjson.loads(body)
 
 
 class PeerFailed(KingcuplugError):
-    """Another host did not answer, or refused."""
+    """Another host did not respond, or responded with an error status."""
 
 
 class PeerRefused(PeerFailed):
-    """Another host answered that it does not serve the call."""
+    """Another host responded that it did not execute the call."""
 
 
 class Peers:
-    """Keeps connections to other hosts."""
+    """Client for calls to other hosts, with a pool of idle connections."""
 
     def __init__(self) -> None:
         self._idle: dict[str, list[OutboundConnection]] = {}
 
     async def call(self, address: str, path: str, value: Any, timeout_s: float) -> Any:
-        """Post a JSON value and return the value of the answer.
+        """Send a JSON value in a POST request and return the value of the response.
 
         Raises
         ------
         PeerFailed
-            If there is no answer in time, or it is a refusal.
+            If there is no response in time, or its status is an error.
         """
         try:
             async with asyncio.timeout(timeout_s):
@@ -82,17 +84,17 @@
             if response.status == _OK:
                 return decode_body(response.header(b"content-encoding"), response.body)
         except (OSError, ValueError) as error:
-            # A call that got no answer may show that all connections are dead.
+            # After a failed call the idle connections may be dead, too.
             for connection in self._idle.pop(address, []):
                 connection.close()
             reason = str(error) or type(error).__name__
             raise PeerFailed(
-                f"{address}{path}: {reason}", "another host will be asked"
+                f"{address}{path}: {reason}", "another host will be tried"
             ) from error
-        # Other statuses do not show that nothing was done.
+        # Only 503 guarantees that the call was not executed.
         failure = PeerRefused if response.status == _UNAVAILABLE else PeerFailed
         raise failure(
-            f"{address}{path}: status {response.status}", "another host will be asked"
+            f"{address}{path}: status {response.status}", "another host will be tried"
         )
 
     def close(self) -> None:
@@ -110,10 +112,10 @@
         lines = [f"POST {path} HTTP/1.1\r\nHost: {address}\r\n".encode()]
         lines += [b"%s: %s\r\n" % header for header in headers]
         lines += [b"Content-Length: %d\r\n\r\n" % len(body), body]
-        reply = Reply()
-        connection.send(b"".join(lines), reply)
+        pending = Reply()
+        connection.send(b"".join(lines), pending)
         try:
-            response = await reply.response
+            response = await pending.response
         except BaseException:
             connection.abandon()
             raise
--- a/packages/fleet/src/kingcuplug_fleet/_register.py
+++ b/packages/fleet/src/kingcuplug_fleet/_route_register.py
@@ -1,4 +1,4 @@
-"""The newest document of routes, as the state machine of the log."""
+"""The newest route document, as the state machine of the replicated log."""
 
 from collections.abc import Callable
 from typing import Any
@@ -7,12 +7,14 @@
 
 
 class RouteRegister:
-    """Keeps the document with the greatest version; the first of a version holds.
+    """State machine that keeps the route document with the highest version.
+
+    Of several documents with the same version, the first one is kept.
 
     Parameters
     ----------
     on_change : callable
-        Called with no arguments when a newer document is held.
+        Called without arguments after the document was replaced.
 
     Attributes
     ----------
@@ -28,7 +30,7 @@
         self.document = ""
 
     def apply(self, index: int, command: Any) -> Any:
-        """Take a document if its version is greater; return the version held."""
+        """Store a document if its version is higher; return the version held."""
         if command["version"] > self.version:
             self._hold(command["version"], command["document"])
         return self.version
--- a/packages/fleet/src/kingcuplug_fleet/_records.py
+++ b/packages/fleet/src/kingcuplug_fleet/_server_record.py
@@ -1,4 +1,4 @@
-"""What a backend server says of itself, and which of two statements is newer."""
+"""Records that backend servers publish of themselves, and their order."""
 
 from dataclasses import dataclass, replace
 from enum import StrEnum
@@ -8,7 +8,7 @@
 
 
 class ServerState(StrEnum):
-    """Whether a server takes new work."""
+    """Whether a server accepts new requests."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -17,20 +17,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerRecord:
-    """One statement about one start of a backend server.
+    """State of one run of a backend server, as published by its heartbeat.
 
-    Statements are ordered by `rank`, and every host keeps the greatest, so that
-    late and repeated statements change nothing wherever they arrive.
+    Records are ordered by `rank`, and every host keeps the one with the highest rank,
+    so late and repeated records have no effect.
 
     Attributes
     ----------
-    born_ms : int
-        Wall clock milliseconds of the server's start; a restart under the same id
-        has a greater one.
+    start_ms : int
+        Wall clock time of the server's start in milliseconds; a restart under the
+        same id has a later one.
     sequence : int
-        Increases with each statement of one start.
+        Increases with each record of one run.
     cold_ms : int
-        How much longer the server is slow after its start.
+        Remaining time for which the server is slow after its start.
     """
 
     id: str
@@ -45,15 +45,15 @@
 
     @property
     def rank(self) -> tuple[int, bool, int]:
-        """Order of statements: the start, its end, the sequence."""
+        """Sort key of records: start time, whether the run has ended, sequence."""
         return self.born_ms, self.state is ServerState.ENDED, self.sequence
 
     def ended(self) -> "ServerRecord":
-        """Return the statement that this start of the server is over."""
+        """Return the record for the end of this run of the server."""
         return replace(self, state=ServerState.ENDED)
 
     def says_more_than(self, other: "ServerRecord") -> bool:
-        """Return whether it differs in more than the sequence and the cold time."""
+        """Return whether it differs in a field that other hosts must learn."""
         return (self.born_ms, self.service, self.address, self.slots, self.state) != (
             other.born_ms,
             other.service,
--- a/packages/http/src/kingcuplug_http/_inbound.py
+++ b/packages/http/src/kingcuplug_http/_inbound.py
@@ -1,4 +1,4 @@
-"""Connections from callers, backend servers, operators and other hosts."""
+"""Incoming HTTP connections of callers, backend servers, operators and other hosts."""
 
 import asyncio
 import contextlib
@@ -18,25 +18,25 @@
 
 __all__ = ["Handler", "InboundConnection", "Limits", "Listener"]
 
-# Requests that a caller may send ahead of their answers before reading stops.
+# Requests that a peer may send before their responses; beyond this, reading pauses.
 _PIPELINED_REQUESTS = 16
-# Time for a caller to read a refusal while the rest of its request is discarded:
-# closing with unread bytes would reset the connection and lose the refusal.
+# Lingering close after an error response, while the rest of the request is discarded.
+# Closing with unread bytes would reset the connection before the peer has read it.
 _DISCARD_S = 1.0
-_BACKLOG = 1_024  # Connections that may wait for accept during a burst.
+_BACKLOG = 1_024  # Unaccepted connections during a burst.
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a peer may send, and how long it may take.
+    """Size and time limits for incoming requests.
 
     Attributes
     ----------
     header_timeout_ms : int
-        From the first byte of a request to the end of its headers.
+        Maximum time from the first byte of a request to the end of its headers.
     idle_timeout_ms : int
-        Without a byte, between requests or within a body.
+        Maximum time without received data, between requests or within a body.
     """
 
     max_header_bytes: int = 16_384
@@ -49,19 +49,20 @@
 
 
 class Listener:
-    """One listening address and its open connections.
+    """Listening socket and its open connections.
 
     Parameters
     ----------
     handler : callable
-        Answers one request; cancelled when the peer is gone.
+        Coroutine function that returns the response to a request; it is cancelled when
+        the peer disconnects.
     limits : callable
-        Limits in force.
+        Return the limits currently in force.
 
     Attributes
     ----------
     closing : bool
-        Set to tell peers with each response that the connection ends.
+        Whether each response announces that its connection is closed.
     """
 
     def __init__(self, handler: Handler, limits: Callable[[], Limits]) -> None:
@@ -81,7 +82,7 @@
         return f"{host}:{self._server.sockets[0].getsockname()[1]}"
 
     def stop_accepting(self) -> None:
-        """Close the listening socket; open connections go on."""
+        """Close the listening socket; keep open connections."""
         if self._server is not None:
             self._server.close()
 
@@ -92,18 +93,18 @@
 
     @property
     def busy(self) -> int:
-        """Connections with a request in progress."""
+        """Number of connections with a request in progress."""
         return sum(connection.busy for connection in self.connections)
 
     async def stop(self) -> None:
-        """Stop listening and drop all connections."""
+        """Stop listening and abort all connections."""
         self.stop_accepting()
         for connection in tuple(self.connections):
             connection.abort()
 
 
 class InboundConnection(asyncio.Protocol):
-    """Parses requests and answers them one after the other, in order."""
+    """Server side of an HTTP/1.1 connection; serves pipelined requests in order."""
 
     def __init__(self, listener: Listener, loop: asyncio.AbstractEventLoop) -> None:
         self._listener = listener
@@ -124,10 +125,10 @@
         self._timer: asyncio.TimerHandle | None = None
         self._begin()
 
-    # Callbacks of the transport.
+    # asyncio.Protocol callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to watch the peer's time limits."""
+        """Register the connection and start its time-outs."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._listener.connections.add(self)
@@ -135,7 +136,7 @@
         self._watch()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what arrived and start to answer complete requests."""
+        """Parse received data and start to serve complete requests."""
         self._active_at = self._loop.time()
         if self._last:
             return
@@ -144,8 +145,8 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            # The request is served without the upgrade; what follows it on the
-            # connection is not HTTP of this version.
+            # The request is served without the upgrade. Data after it is not HTTP/1.1
+            # and is ignored.
             self._last = True
         except httptools.HttpParserError:
             self._refuse(error_response(400, "the request is not valid HTTP/1.1"))
@@ -159,11 +160,11 @@
         self._next()
 
     def eof_received(self) -> bool:
-        """Take the peer's end of sending as its end of interest."""
+        """Close the connection when the peer has shut down its sending side."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stop the work for a peer that is gone."""
+        """Cancel the request in progress and the time-outs."""
         self._closed = True
         self._listener.connections.discard(self)
         if self._timer is not None:
@@ -171,7 +172,7 @@
         if self._task is not None:
             self._task.cancel()
 
-    # Callbacks of the parser.
+    # httptools parser callbacks
 
     def on_message_begin(self) -> None:
         """Start a new request."""
@@ -180,15 +181,15 @@
         self._head_at = self._loop.time()
 
     def on_url(self, url: bytes) -> None:
-        """Collect the target, which may arrive in parts."""
+        """Append a part of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect one header."""
+        """Append a header."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Check what the headers say before the body is read."""
+        """Check the limits and handle ``Expect`` before the body is read."""
         self._in_head = False
         self._in_body = True
         limits = self._listener.limits()
@@ -208,14 +209,14 @@
             self._transport.write(_CONTINUE)
 
     def on_body(self, body: bytes) -> None:
-        """Collect a part of the body."""
+        """Append a part of the body, and check its size limit."""
         self._body.append(body)
         self._body_bytes += len(body)
         if self._body_bytes > self._listener.limits().max_body_bytes:
             self._refuse(error_response(413, "the body is too large"))
 
     def on_message_complete(self) -> None:
-        """Queue the request."""
+        """Queue the complete request."""
         self._in_body = False
         self._head_bytes = 0
         if self._last:
@@ -233,20 +234,18 @@
         self._last = not request.keep_alive
         self._waiting.append(request)
 
-    # The rest is this connection's own.
-
     @property
     def busy(self) -> bool:
-        """Whether a request is in progress or waits for its answer."""
+        """Whether a request is in progress or queued."""
         return self._task is not None or bool(self._waiting)
 
     def close_if_idle(self) -> None:
-        """Close unless a request has begun to arrive or is in progress."""
+        """Close unless a request is being received or is in progress."""
         if not self.busy and not self._in_head and not self._in_body:
             self._transport.close()
 
     def abort(self) -> None:
-        """Drop the connection."""
+        """Close the connection without sending buffered data."""
         self._transport.abort()
 
     def _begin(self) -> None:
@@ -257,7 +256,7 @@
         self._body_bytes = 0
 
     def _refuse(self, response: Response) -> None:
-        """End the connection with a refusal once earlier requests are answered."""
+        """Send an error response and close, after the responses to queued requests."""
         if self._refusal is None:
             self._refusal = response
             self._last = True
@@ -276,23 +275,24 @@
         try:
             response = await self._listener.handler(request)
         except Exception as error:
-            # The request may have run: the status must not promise otherwise.
+            # The request may have been executed, so the status must not be one that
+            # marks it as not executed, such as 503.
             response = error_response(500, f"internal error: {type(error).__name__}")
             self._loop.call_exception_handler(
-                {"message": "a request's handler failed", "exception": error}
+                {"message": "request handler raised an exception", "exception": error}
             )
         if self._closed:
             return
         self._served += 1
-        # Requests that were read are answered before the connection ends.
-        last = (self._last or self._listener.closing) and not self._waiting
-        last = last and self._refusal is None
+        # Queued requests are served before the connection is closed.
+        close = (self._last or self._listener.closing) and not self._waiting
+        close = close and self._refusal is None
         head = request.method == b"HEAD"
-        self._transport.write(encode_response(response, last, head))
+        self._transport.write(encode_response(response, close, head))
         self._task = None
         self._active_at = self._loop.time()
-        if last:
-            self._last = True  # What still arrives is not read.
+        if close:
+            self._last = True  # Data received from now on is ignored.
             self._transport.close()
             return
         if len(self._waiting) <= _PIPELINED_REQUESTS:
@@ -301,18 +301,18 @@
         self._next()
 
     def _watch(self) -> None:
-        """Check the time limits now and again when the next one may be over."""
+        """Check the time-outs, and schedule the next check."""
         limits, now = self._listener.limits(), self._loop.time()
-        due = self._active_at + limits.idle_timeout_ms / 1_000
+        deadline = self._active_at + limits.idle_timeout_ms / 1_000
         if self._in_head:
-            due = self._head_at + limits.header_timeout_ms / 1_000
+            deadline = self._head_at + limits.header_timeout_ms / 1_000
         if self.busy:
-            due = max(due, now + limits.header_timeout_ms / 1_000)
-        elif now >= due:
+            deadline = max(deadline, now + limits.header_timeout_ms / 1_000)
+        elif now >= deadline:
             self._overdue()
             return
-        pause = min(due - now, limits.header_timeout_ms / 1_000)
-        self._timer = self._loop.call_later(max(pause, 0.01), self._watch)
+        delay = min(deadline - now, limits.header_timeout_ms / 1_000)
+        self._timer = self._loop.call_later(max(delay, 0.01), self._watch)
 
     def _overdue(self) -> None:
         if self._in_head or self._in_body:
--- a/packages/http/src/kingcuplug_http/_outbound.py
+++ b/packages/http/src/kingcuplug_http/_outbound.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers and to other hosts."""
+"""Outgoing HTTP connections to backend servers and other hosts."""
 
 import asyncio
 from enum import Enum
@@ -11,41 +11,45 @@
 __all__ = ["Exchange", "Failure", "OutboundConnection", "Reply", "connect"]
 
 _CLOSE = b"close"
-# A late answer to an earlier request is followed by ours; many are no HTTP peer's.
+# Late responses to earlier requests are skipped until the expected one arrives; more
+# than this many mean that the peer is not a conforming HTTP server.
 _SKIPPED_RESPONSES = 4
 
 
 class Failure(Enum):
-    """Why a request got no response."""
+    """Reason why a request got no response."""
 
-    CONNECT = "no connection was made, so the request did not run"
-    LOST = "the connection ended before the whole response"
-    INVALID = "the peer sent bytes that are no HTTP response"
+    CONNECT = "connection failed, so the request was not executed"
+    LOST = "connection closed before the response was complete"
+    INVALID = "the peer sent data that is not a valid HTTP response"
 
 
 class Exchange(Protocol):
-    """One request on a connection; exactly one of the methods is called, once."""
+    """Receiver of the response to one request.
+
+    Exactly one of `answered` and `failed` is called, once.
+    """
 
     def accepts(self, response: Response) -> bool:
         """Return whether the response belongs to this request."""
         ...
 
     def answered(self, response: Response) -> None:
-        """Take the whole response."""
+        """Handle the complete response."""
         ...
 
     def failed(self, failure: Failure) -> None:
-        """Take the news that there is no response."""
+        """Handle a failure to get a response."""
         ...
 
 
 class Reply:
-    """An exchange that is awaited.
+    """Exchange whose response is awaited as a future.
 
     Attributes
     ----------
     response : Future
-        The response, or `ConnectionError` if there is none.
+        The response, or `ConnectionError` if the request failed.
     """
 
     def __init__(self) -> None:
@@ -53,31 +57,31 @@
         self.response: asyncio.Future[Response] = loop.create_future()
 
     def accepts(self, response: Response) -> bool:
-        """Take every response: nothing else is asked on the connection."""
+        """Accept any response, as the connection has no other request."""
         return True
 
     def answered(self, response: Response) -> None:
-        """Give the response to whoever waits."""
+        """Set the result of the future."""
         if not self.response.done():
             self.response.set_result(response)
 
     def failed(self, failure: Failure) -> None:
-        """Give the failure to whoever waits."""
+        """Set the exception of the future."""
         if not self.response.done():
             self.response.set_exception(ConnectionError(failure.value))
 
 
 class OutboundConnection(asyncio.Protocol):
-    """Sends one request at a time and matches responses to it.
+    """Client side of an HTTP/1.1 connection, with one request at a time.
 
     Attributes
     ----------
     usable : bool
         Whether another request may be sent.
     idle_since : float
-        Event loop time of the end of the last response.
+        Event loop time at which the last response was complete.
     keep_alive_s : float or None
-        How long the peer keeps the connection without a request, if it said so.
+        Idle time-out announced by the peer, if any.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -99,19 +103,19 @@
         self._status = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Become usable."""
+        """Mark the connection as usable."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self.usable = True
         self.idle_since = self._loop.time()
 
     def send(self, data: bytes, exchange: Exchange, bodiless: bool = False) -> None:
-        """Send the bytes of one request.
+        """Send one serialized request.
 
         Parameters
         ----------
         bodiless : bool
-            The response has no body whatever its headers say (HEAD).
+            Whether the response has no body regardless of its headers (HEAD).
         """
         self._exchange = exchange
         self._bodiless = bodiless
@@ -120,7 +124,7 @@
         self._transport.write(data)
 
     def abandon(self) -> None:
-        """Drop the request in progress and the connection with it."""
+        """Close the connection without reporting a failure of its request."""
         self._exchange = None
         self.close()
 
@@ -130,9 +134,9 @@
         self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what arrived."""
+        """Parse received data."""
         if self._exchange is None:
-            # Bytes that no request asked for belong to no request.
+            # Unsolicited data must not be mistaken for the next response.
             self.close()
             return
         try:
@@ -141,7 +145,7 @@
             self._fail(Failure.INVALID)
 
     def eof_received(self) -> bool:
-        """Complete a response that ends with its connection."""
+        """Complete a response whose body is delimited by the end of the connection."""
         if self._until_end and self._reading and self._exchange is not None:
             self._dirty = True
             self._complete()
@@ -153,7 +157,7 @@
         self._fail(Failure.LOST)
 
     def on_message_begin(self) -> None:
-        """Start a new response, or note that nobody asked for it."""
+        """Start a new response, or close the connection if it is unsolicited."""
         if self._exchange is None:
             self._dirty = True
             self.usable = False
@@ -166,28 +170,28 @@
         self._reading = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect one header."""
+        """Append a header."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Find out where the body ends."""
+        """Determine how the end of the body is delimited."""
         for name, value in self._headers:
             self._fields.setdefault(name.lower(), value)
         self._status = self._parser.get_status_code()
-        framed = b"content-length" in self._fields
-        framed = framed or b"transfer-encoding" in self._fields
+        has_length = b"content-length" in self._fields
+        has_length = has_length or b"transfer-encoding" in self._fields
         bodiless = self._status in (204, 304) or self._status < 200
-        self._until_end = not framed and not bodiless
+        self._until_end = not has_length and not bodiless
         if self._bodiless and self._status >= 200:
             self._dirty = True
             self._complete()
 
     def on_body(self, body: bytes) -> None:
-        """Collect a part of the body."""
+        """Append a part of the body."""
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Hand the response over, unless it is an interim one."""
+        """Complete the response, unless it is an interim one (1xx)."""
         if self._status >= 200 and self._reading:
             self._complete()
 
@@ -210,13 +214,13 @@
         exchange.answered(response)
 
     def _settle(self, response: Response) -> None:
-        """Decide whether the connection can take another request."""
+        """Determine whether the connection can be reused, and close it otherwise."""
         self.idle_since = self._loop.time()
         self.keep_alive_s = _keep_alive_s(response)
-        closes = _CLOSE in response.fields.get(b"connection", b"").lower()
-        # With request bytes still unsent, the peer answered before it read all.
+        peer_closes = _CLOSE in response.fields.get(b"connection", b"").lower()
+        # Unsent request data means that the peer responded before reading all of it.
         unsent = self._transport.get_write_buffer_size() > 0
-        if self._dirty or closes or unsent or not self._parser.should_keep_alive():
+        if self._dirty or peer_closes or unsent or not self._parser.should_keep_alive():
             self._transport.close()
             return
         self.usable = True
@@ -242,7 +246,7 @@
     Raises
     ------
     OSError
-        If no connection is made in time.
+        If the connection is not established in time.
     """
     loop = asyncio.get_running_loop()
     host, _, port = address.rpartition(":")
--- a/tests/fleet/conftest.py
+++ b/tests/fleet/conftest.py
@@ -1,4 +1,4 @@
-"""Records of servers, and calls between hosts without a network."""
+"""Factory of server records, and a fake client for calls between hosts."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,7 +11,7 @@
 
 
 def make_record(**fields: Any) -> ServerRecord:
-    """Return a ready server's statement, with the given fields."""
+    """Return the record of a ready server, with the given fields replaced."""
     defaults: dict[str, Any] = {
         "id": "i-1",
         "born_ms": 1_000,
@@ -31,14 +31,14 @@
 
 
 class FakePeers:
-    """Carries calls to functions by address, and counts them."""
+    """Client that dispatches calls to a handler function per address."""
 
     def __init__(self) -> None:
         self.answers: dict[str, Answer] = {}
         self.frozen: set[str] = set()
 
     async def call(self, address: str, path: str, value: Any, timeout_s: float) -> Any:
-        """Call the function of an address; a frozen one does not answer."""
+        """Call the handler of an address; calls to a frozen address time out."""
         try:
             async with asyncio.timeout(timeout_s):
                 reply = await self.answers[address](path, value)
@@ -46,17 +46,17 @@
                     await asyncio.sleep(timeout_s)
                 return reply
         except TimeoutError as error:
-            raise PeerFailed("no answer", "ask another") from error
+            raise PeerFailed("no response", "try another host") from error
 
     def between(self, caller: str, sides: dict[str, str]) -> "FakePeers":
-        """Return calls of one host that reach only its side of a cut."""
+        """Return a client for one host that reaches only its side of a partition."""
         limited = FakePeers()
         limited.answers = self.answers
 
         async def call(address: str, path: str, value: Any, timeout_s: float) -> Any:
             if address not in sides[caller]:
                 await asyncio.sleep(timeout_s)
-                raise PeerFailed("no answer", "ask another")
+                raise PeerFailed("no response", "try another host")
             return await self.call(address, path, value, timeout_s)
 
         limited.call = call
--- a/tests/fleet/test_directory.py
+++ b/tests/fleet/test_directory.py
@@ -1,4 +1,4 @@
-"""Which statements of servers count, whatever their order of arrival."""
+"""Tests of the precedence of server records in any order of arrival."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -11,24 +11,24 @@
     return sorted(record.id for record in directory.usable())
 
 
-def test_late_statement_does_not_undo_a_drain(record):
-    """Guards against new work for a leaving server after a delayed heartbeat."""
+def test_late_record_does_not_undo_a_drain(record):
+    """Guards against new requests for a draining server after a late heartbeat."""
     directory = Directory(5.0)
     directory.merge(record(sequence=4, state=ServerState.DRAINING), 0.0)
     assert not directory.merge(record(sequence=3), 0.1)
     assert _ids(directory) == []
 
 
-def test_statement_after_a_withdrawal_is_not_believed(record):
-    """Guards against a server that withdrew and still speaks."""
+def test_record_after_the_end_of_a_run_is_ignored(record):
+    """Guards against an ended server that still sends heartbeats."""
     directory = Directory(5.0)
     directory.merge(record(sequence=4).ended(), 0.0)
     directory.merge(record(sequence=9), 0.1)
     assert _ids(directory) == []
 
 
-def test_restart_under_the_same_id_counts_from_its_start(record):
-    """Guards against ignoring a restarted server whose sequence begins anew."""
+def test_restart_under_the_same_id_replaces_the_earlier_run(record):
+    """Guards against ignoring a restarted server whose sequence starts again."""
     directory = Directory(5.0)
     directory.merge(record(sequence=40).ended(), 0.0)
     assert directory.merge(record(born_ms=2_000, sequence=1), 0.1)
@@ -45,8 +45,8 @@
     assert _ids(directory) == ["new"]
 
 
-def test_silent_server_is_heard_again_through_another_host(record):
-    """Guards against avoiding a server that speaks to another control host."""
+def test_heartbeat_received_by_another_host_ends_silence(record):
+    """Guards against avoiding a server that sends to another control host."""
     directory = Directory(5.0)
     directory.merge(record(), 0.0)
     assert directory.silent(6.0) == {"i-1"}
@@ -54,8 +54,8 @@
     assert directory.silent(6.0) == set()
 
 
-def test_word_of_an_earlier_start_does_not_refresh(record):
-    """Guards against keeping a server alive by statements of its former start."""
+def test_heartbeat_of_an_earlier_run_is_ignored(record):
+    """Guards against keeping a server alive by heartbeats of an earlier run."""
     directory = Directory(5.0)
     directory.merge(record(born_ms=2_000), 0.0)
     directory.heard("i-1", 1_000, 99, 6.0)
@@ -73,34 +73,34 @@
 
 
 @given(st.lists(records, max_size=12), st.randoms(use_true_random=False))
-def test_hosts_agree_whatever_the_order(statements: list[ServerRecord], random):
-    """Guards against hosts that use different servers after the same statements."""
-    greatest: dict[tuple[str, tuple[int, bool, int]], ServerRecord] = {}
-    for statement in statements:
-        # One start of a server says one thing under one sequence number.
-        greatest.setdefault((statement.id, statement.rank), statement)
-    unique = list(greatest.values())
+def test_merge_result_does_not_depend_on_order(arrivals: list[ServerRecord], random):
+    """Guards against hosts that use different servers after the same records."""
+    by_rank: dict[tuple[str, tuple[int, bool, int]], ServerRecord] = {}
+    for arrival in arrivals:
+        # A run of a server publishes only one record with the same sequence.
+        by_rank.setdefault((arrival.id, arrival.rank), arrival)
+    unique = list(by_rank.values())
     first, second = Directory(5.0), Directory(5.0)
-    for statement in unique:
-        first.merge(statement, 0.0)
+    for arrival in unique:
+        first.merge(arrival, 0.0)
     random.shuffle(unique)
-    for statement in (*unique, *unique):
-        second.merge(statement, 0.0)
+    for arrival in (*unique, *unique):
+        second.merge(arrival, 0.0)
     states = [
         {i: d.find(i) for i in "abc" if d.find(i) is not None} for d in (first, second)
     ]
     assert states[0] == states[1]
 
 
-def test_changes_are_found_by_version(record):
+def test_changes_after_a_version_are_returned(record):
     """Guards against a host that misses a change after its last version."""
     directory = Directory(5.0)
     directory.merge(record(id="a", address="x:1"), 0.0)
-    seen = directory.version
+    last_version = directory.version
     directory.merge(record(id="b", address="y:1"), 0.0)
     directory.merge(record(id="a", address="x:1", sequence=2), 0.0)
-    assert [r.id for r in directory.since(seen)] == ["b"]
+    assert [r.id for r in directory.since(last_version)] == ["b"]
     directory.merge(
         record(id="a", address="x:1", sequence=3, state=ServerState.DRAINING), 0.0
     )
-    assert {r.id for r in directory.since(seen)} == {"a", "b"}
+    assert {r.id for r in directory.since(last_version)} == {"a", "b"}
--- a/tests/fleet/test_directory_file.py
+++ b/tests/fleet/test_directory_file.py
@@ -1,4 +1,4 @@
-"""The directory of servers across a restart."""
+"""Tests of saving and loading the server directory."""
 
 import asyncio
 import os
@@ -17,22 +17,22 @@
     os.close(descriptor)
 
 
-def _restarted(folder, log) -> Knowledge:
+def _restart(folder, log) -> Knowledge:
     async def run() -> Knowledge:
-        knowledge = Knowledge(5.0)
-        DirectoryFile(folder, knowledge, log).load()
-        return knowledge
+        view = Knowledge(5.0)
+        DirectoryFile(folder, view, log).load()
+        return view
 
     return asyncio.run(run())
 
 
-def test_servers_and_drains_are_known_after_a_restart(tmp_path, log):
+def test_servers_and_drains_are_restored_after_a_restart(tmp_path, log):
     """Guards against refusing callers for a heartbeat interval, and lost drains."""
 
     async def run() -> None:
-        knowledge = Knowledge(5.0)
-        task = asyncio.ensure_future(DirectoryFile(tmp_path, knowledge, log).run())
-        knowledge.learn_servers(
+        view = Knowledge(5.0)
+        task = asyncio.ensure_future(DirectoryFile(tmp_path, view, log).run())
+        view.learn_servers(
             [
                 make_record(id="a", address="x:1"),
                 make_record(id="b", address="y:1", state=ServerState.DRAINING),
@@ -44,7 +44,7 @@
         task.cancel()
 
     asyncio.run(run())
-    directory = _restarted(tmp_path, log).directory
+    directory = _restart(tmp_path, log).directory
     assert [record.id for record in directory.usable()] == ["a"]
     assert directory.find("b").state is ServerState.DRAINING
 
@@ -52,20 +52,20 @@
 @pytest.mark.parametrize(
     "data", [b"", b"[]", b"{}", b'{"servers": [[1]], "hosts": 1}', b"\x00\xff"]
 )
-def test_torn_file_is_no_directory(tmp_path, log, data):
-    """Guards against a host that does not start after a loss of power."""
+def test_corrupt_file_is_ignored(tmp_path, log, data):
+    """Guards against a host that does not start after a power loss."""
     (tmp_path / "servers.json").write_bytes(data)
-    assert _restarted(tmp_path, log).directory.usable() == []
+    assert _restart(tmp_path, log).directory.usable() == []
 
 
-def test_newer_statement_replaces_the_file(tmp_path, log):
-    """Guards against using a server from the file that has since restarted."""
+def test_newer_record_replaces_the_one_from_the_file(tmp_path, log):
+    """Guards against using the old record of a server that has since restarted."""
     (tmp_path / "servers.json").write_text(
         '{"servers": [["i-1", 1000, 9, "stock", "10.0.0.1:80", "z", 3, "ready", 0]],'
         '"hosts": 7}'
     )
-    knowledge = _restarted(tmp_path, log)
-    assert knowledge.hosts == 7
+    view = _restart(tmp_path, log)
+    assert view.hosts == 7
     newer = make_record(born_ms=2_000, sequence=1, service="trims")
-    assert knowledge.directory.merge(newer, 1.0)
-    assert [record.service for record in knowledge.directory.usable()] == ["trims"]
+    assert view.directory.merge(newer, 1.0)
+    assert [record.service for record in view.directory.usable()] == ["trims"]
--- a/tests/fleet/test_succession.py
+++ b/tests/fleet/test_membership.py
@@ -1,9 +1,9 @@
-"""Which voters the leader adds and removes without an operator."""
+"""Tests of the automatic membership changes of the log's group."""
 
 from typing import Any
 
 from kingcuplug_fleet import Joiner, next_change
-from kingcuplug_fleet._core import is_formed
+from kingcuplug_fleet._control_replica import is_formed
 from kingcuplug_log import LogStatus, Member, MemberRole, PeerStatus, ReplicaRole
 
 
@@ -36,52 +36,53 @@
 
 
 def test_new_host_is_added():
-    """Guards against a group that stays too small to bear a loss."""
+    """Guards against a group that stays too small to tolerate a loss."""
     new = _member("d")
     assert next_change(_status({"b": 1, "c": 1}), _joiners(new), 0) == new
 
 
 def test_member_with_an_emptied_disk_is_removed_before_its_host_joins():
-    """Guards against counting a voter that forgot its votes."""
+    """Guards against counting a voter that has lost the record of its votes."""
     status = _status({"b": 1, "c": 1, "d": 9_000})
     assert next_change(status, _joiners(_member("d", disk="2")), 0) == "d/1"
 
 
-def test_silent_voter_is_kept_without_a_successor():
-    """Guards against shrinking the group whenever a host is cut off."""
+def test_unresponsive_voter_is_kept_without_a_replacement():
+    """Guards against shrinking the group whenever a host is partitioned."""
     assert next_change(_status({"b": 1, "c": 1, "d": 9_000}), {}, 0) is None
 
 
-def test_silent_voter_is_removed_once_a_successor_has_come():
-    """Guards against a group that keeps a removed host's vote."""
+def test_unresponsive_voter_is_removed_once_a_replacement_has_joined():
+    """Guards against a group that keeps a removed host as a voter."""
     status = _status({"b": 1, "c": 1, "d": 9_000, "e": 1})
     assert next_change(status, {}, 1) == "d/1"
     assert next_change(_status({"b": 1, "c": 1, "d": 900, "e": 1}), {}, 1) is None
 
 
-def test_three_voters_are_never_made_two():
-    """Guards against a group of two, which bears no loss."""
+def test_group_of_three_voters_is_never_reduced():
+    """Guards against a group of two, which does not tolerate a loss."""
     assert next_change(_status({"b": 1, "c": 90_000}), {}, 1) is None
 
 
-def test_learner_that_went_away_is_removed():
-    """Guards against a dead learner that blocks its own second try."""
+def test_unresponsive_learner_is_removed():
+    """Guards against a dead learner that blocks its own next join request."""
     status = _status({"b": 1, "c": 5_000}, c=MemberRole.LEARNER)
     assert next_change(status, {}, 0) == "c/1"
 
 
-def test_removed_host_may_return():
-    """Guards against a host that was cut off and stays outside for ever."""
-    back = _member("d")
+def test_removed_host_may_rejoin():
+    """Guards against a host that can never rejoin after a partition."""
+    returning = _member("d")
     assert (
-        next_change(_status({"b": 1, "c": 1}), _joiners(back, fresh=False), 0) == back
+        next_change(_status({"b": 1, "c": 1}), _joiners(returning, fresh=False), 0)
+        == returning
     )
 
 
 def test_single_voter_of_three_seeds_never_acknowledges():
-    """Guards against a document that is lost with the founder's disk.
+    """Guards against losing an acknowledged document with the founder's disk.
 
-    The model checker found it in a group that had waited for long.
+    The model checker found this loss in a group that had waited for a long time.
     """
     assert not is_formed(voters=1, seeds=3, waited_s=1_000.0)
     assert not is_formed(voters=2, seeds=3, waited_s=1.0)
--- a/tests/fleet/test_mesh.py
+++ b/tests/fleet/test_mesh.py
@@ -1,4 +1,4 @@
-"""How control hosts share what servers and hosts tell them."""
+"""Tests of the replication of the server directory between control hosts."""
 
 import asyncio
 import gc
@@ -22,24 +22,24 @@
 
 
 class World:
-    """Control hosts a, b, c with their meshes, each in a zone of its own name."""
+    """Control hosts a, b, c with their meshes, each in a zone of the same name."""
 
     def __init__(self, names: str = "abc") -> None:
         self.names = names
         self.leader: str | None = names[0]
         self.peers = FakePeers()
         self.pushes: list[tuple[str, int]] = []
-        self.knowledge = {name: Knowledge(4.0) for name in names}
+        self.views = {name: Knowledge(4.0) for name in names}
         self.meshes = {name: self._mesh(name) for name in names}
         for name in names:
             self.peers.answers[name] = self._answer(name)
-            self.knowledge[name].learn_control(list(names))
+            self.views[name].learn_control(list(names))
 
     def _mesh(self, name: str) -> Mesh:
         log = EventLog(os.open(os.devnull, os.O_WRONLY), name)
-        known = self.knowledge[name]
+        view = self.views[name]
         return Mesh(
-            f"host-{name}", known, self.peers, name, name, lambda: self.leader, log
+            f"host-{name}", view, self.peers, name, name, lambda: self.leader, log
         )
 
     def _answer(self, name: str) -> Answer:
@@ -53,9 +53,9 @@
         return answer
 
     def hear(self, name: str, **fields) -> None:
-        """Let a control host hear a server, as the host's listener does."""
+        """Deliver a server's heartbeat to a control host, as its listener does."""
         record = make_record(**fields)
-        self.knowledge[name].learn_servers([record], first_hand=True)
+        self.views[name].learn_servers([record], first_hand=True)
         self.meshes[name].hear(record)
 
     @contextmanager
@@ -69,209 +69,210 @@
                 task.cancel()
 
     def all(self, condition: Callable[[Knowledge], bool]) -> bool:
-        """Return whether a condition holds for what each control host knows."""
-        return all(condition(known) for known in self.knowledge.values())
+        """Return whether a condition holds for the view of each control host."""
+        return all(condition(view) for view in self.views.values())
 
 
-def test_news_of_a_leaving_server_reaches_another_control_host_first():
-    """Guards against acknowledging a drain that only one host knows, which may die."""
+def test_draining_server_is_replicated_before_acknowledgement():
+    """Guards against losing an acknowledged drain with the only host that stores it."""
 
     async def run() -> None:
-        world = World()
-        with world.running():
+        cluster = World()
+        with cluster.running():
             await asyncio.sleep(1.5)
-            world.peers.frozen.add("b")
+            cluster.peers.frozen.add("b")
             record = make_record(state=ServerState.DRAINING)
-            world.knowledge["a"].learn_servers([record], first_hand=True)
-            assert await world.meshes["a"].tell(record)
-            assert world.knowledge["c"].directory.find("i-1") == record
-            everyone = {"host-a", "host-b", "host-c"}
-            assert world.knowledge["a"].live_hosts() == everyone
+            cluster.views["a"].learn_servers([record], first_hand=True)
+            assert await cluster.meshes["a"].tell(record)
+            assert cluster.views["c"].directory.find("i-1") == record
+            all_hosts = {"host-a", "host-b", "host-c"}
+            assert cluster.views["a"].live_hosts() == all_hosts
 
     run_virtual(run())
 
 
-def test_host_that_is_gone_is_not_counted_for_ever():
-    """Guards against control hosts that tell each other of a dead host in a circle."""
+def test_dead_host_is_not_counted_forever():
+    """Guards against control hosts that keep reporting a dead host to each other."""
 
     async def run() -> None:
-        world = World("ab")
-        with world.running():
-            world.knowledge["b"].meet_host("gone")
+        cluster = World("ab")
+        with cluster.running():
+            cluster.views["b"].meet_host("gone")
             await asyncio.sleep(2.0)
-            assert world.all(lambda known: known.hosts == 3)
+            assert cluster.all(lambda view: view.hosts == 3)
             await asyncio.sleep(10.0)
-            assert world.all(lambda known: known.hosts == 2)
+            assert cluster.all(lambda view: view.hosts == 2)
 
     run_virtual(run())
 
 
-def test_slow_servers_are_summed_up_by_the_leader_and_told_to_all():
-    """Guards against each control host judging by the few samples of its own hosts."""
+def test_leader_aggregates_and_publishes_slow_servers():
+    """Guards against control hosts that use only the few samples of their own hosts."""
 
     async def run() -> None:
-        world = World()
-        with world.running():
+        cluster = World()
+        with cluster.running():
             for _ in range(8):
-                for mesh in world.meshes.values():
-                    mesh.take_report(Report({"slow": (1, 3.0), "sound": (1, 1.0)}))
+                for mesh in cluster.meshes.values():
+                    mesh.take_report(Report({"slow": (1, 3.0), "fast": (1, 1.0)}))
                 await asyncio.sleep(0.25)
             await asyncio.sleep(1.0)
-            assert world.all(lambda known: set(known.slow) == {"slow"})
-            assert world.knowledge["b"].zones == {name: name for name in "abc"}
+            assert cluster.all(lambda view: set(view.slow) == {"slow"})
+            assert cluster.views["b"].zones == {name: name for name in "abc"}
             await asyncio.sleep(8.0)
-            assert world.all(lambda known: known.slow == {})
+            assert cluster.all(lambda view: view.slow == {})
 
     run_virtual(run())
 
 
-def test_what_a_peer_told_is_not_pushed_on():
-    """Guards against bytes between zones that grow with the square of the hosts.
+def test_records_received_from_a_peer_are_not_forwarded():
+    """Guards against traffic between zones that is quadratic in the control hosts.
 
-    Each of 40 statements has to be pushed to two hosts and no further.
+    Each of 40 records must be pushed to the two other control hosts exactly once.
     """
 
     async def run() -> None:
-        world = World()
-        with world.running():
+        cluster = World()
+        with cluster.running():
             await asyncio.sleep(3.0)
-            world.pushes.clear()
+            cluster.pushes.clear()
             for number in range(40):
-                world.hear("b", id=f"i-{number}", address=f"10.0.0.{number}:80")
+                cluster.hear("b", id=f"i-{number}", address=f"10.0.0.{number}:80")
             await asyncio.sleep(1.0)
-            assert world.all(lambda known: len(known.directory.usable()) == 40)
-            assert sum(records for _, records in world.pushes) == 2 * 40
+            assert cluster.all(lambda view: len(view.directory.usable()) == 40)
+            assert sum(records for _, records in cluster.pushes) == 2 * 40
 
     run_virtual(run())
 
 
-def test_statement_that_was_lost_on_the_way_is_repaired():
-    """Guards against a control host that never hears of a server.
+def test_lost_record_is_repaired():
+    """Guards against a control host that never receives the record of a server.
 
-    The host that the server spoke to is gone before it could push to the third.
+    The record reaches only one control host, and the control host that received it
+    directly fails before it can push it to the third one.
     """
 
     async def run() -> None:
-        world = World()
-        with world.running():
+        cluster = World()
+        with cluster.running():
             await asyncio.sleep(3.0)
             record = make_record()
-            world.knowledge["a"].learn_servers([record])
+            cluster.views["a"].learn_servers([record])
             await asyncio.sleep(8.0)
-            assert world.all(lambda known: known.directory.find("i-1") == record)
+            assert cluster.all(lambda view: view.directory.find("i-1") == record)
 
     run_virtual(run())
 
 
-def test_without_a_leader_control_hosts_compare_with_each_other():
-    """Guards against news that stays on one side while nobody leads."""
+def test_control_hosts_without_a_leader_compare_digests_with_each_other():
+    """Guards against records that reach only some control hosts without a leader."""
 
     async def run() -> None:
-        world = World()
-        world.leader = None
-        with world.running():
+        cluster = World()
+        cluster.leader = None
+        with cluster.running():
             await asyncio.sleep(1.0)
-            world.knowledge["a"].learn_servers([make_record()])
+            cluster.views["a"].learn_servers([make_record()])
             await asyncio.sleep(8.0)
-            assert world.all(lambda known: known.directory.find("i-1") is not None)
+            assert cluster.all(lambda view: view.directory.find("i-1") is not None)
 
     run_virtual(run())
 
 
-def test_silent_server_is_found_by_the_leader_and_told_to_all():
-    """Guards against control hosts that count a server as alive or silent alone."""
+def test_leader_detects_and_publishes_silent_servers():
+    """Guards against control hosts that disagree about which servers are silent."""
 
     async def run() -> None:
-        world = World()
-        with world.running():
+        cluster = World()
+        with cluster.running():
             for sequence in range(1, 16):
-                world.hear("b", id="i-1", sequence=sequence)
+                cluster.hear("b", id="i-1", sequence=sequence)
                 if sequence < 4:
-                    world.hear("c", id="i-2", address="q:1", sequence=sequence)
+                    cluster.hear("c", id="i-2", address="q:1", sequence=sequence)
                 await asyncio.sleep(1.0)
-            assert world.all(lambda known: known.silent == {"i-2"})
+            assert cluster.all(lambda view: view.silent == {"i-2"})
 
     run_virtual(run())
 
 
-def test_new_leader_takes_nobody_for_gone():
-    """Guards against a leader that had no reports before it led.
+def test_new_leader_expires_no_servers_or_hosts():
+    """Guards against a new leader that expires entries because it had no reports.
 
-    Counting all servers as silent and only its own hosts as live would raise every
-    host's share of connections and retries at the worst moment.
+    If it counted all servers as silent and only its own hosts as live, every host
+    would get a larger share of connections and retries during the failover.
     """
 
     async def run() -> None:
-        world = World()
+        cluster = World()
         seen: set[tuple[int, int]] = set()
-        with world.running():
+        with cluster.running():
             for sequence in range(1, 30):
-                world.hear("b", id="i-1", sequence=sequence)
-                world.knowledge["b"].meet_host("host-x")
+                cluster.hear("b", id="i-1", sequence=sequence)
+                cluster.views["b"].meet_host("host-x")
                 if sequence == 12:
-                    world.leader = None
+                    cluster.leader = None
                 if sequence == 18:
-                    world.leader = "c"
+                    cluster.leader = "c"
                 await asyncio.sleep(1.0)
                 if sequence > 4:
                     seen |= {
-                        (len(known.silent), known.hosts)
-                        for known in world.knowledge.values()
+                        (len(view.silent), view.hosts)
+                        for view in cluster.views.values()
                     }
         assert seen == {(0, 4)}
 
     run_virtual(run())
 
 
-def test_all_learn_which_control_hosts_can_be_reached():
-    """Guards against sending servers and hosts to a control host that is gone."""
+def test_leader_publishes_reachable_control_hosts():
+    """Guards against redirecting servers and hosts to a dead control host."""
 
     async def run() -> None:
-        world = World()
-        with world.running():
+        cluster = World()
+        with cluster.running():
             await asyncio.sleep(3.0)
-            assert world.all(lambda known: set(known.reachable) == set("abc"))
-            assert world.knowledge["b"].near("c", "i-1") == "c"
-            world.meshes["c"]._follow_members = lambda: None
-            for peer in world.meshes["c"]._peers.values():
+            assert cluster.all(lambda view: set(view.reachable) == set("abc"))
+            assert cluster.views["b"].near("c", "i-1") == "c"
+            cluster.meshes["c"]._follow_members = lambda: None
+            for peer in cluster.meshes["c"]._peers.values():
                 peer.task.cancel()
             await asyncio.sleep(5.0)
-            assert set(world.knowledge["b"].reachable) == set("ab")
-            assert world.knowledge["b"].near("c", "i-1") is None
+            assert set(cluster.views["b"].reachable) == set("ab")
+            assert cluster.views["b"].near("c", "i-1") is None
 
     run_virtual(run())
 
 
-def test_answer_that_cannot_be_understood_does_not_end_the_pushes():
-    """Guards against a control host that is never told again after one bad answer."""
+def test_malformed_reply_does_not_stop_pushes():
+    """Guards against a control host that gets no pushes after one malformed reply."""
 
     async def run() -> None:
-        world = World()
-        sound = world.peers.answers["b"]
+        cluster = World()
+        valid_handler = cluster.peers.answers["b"]
 
-        async def nonsense(path, value):
+        async def reply_malformed(path, value):
             return {}
 
-        world.peers.answers["b"] = nonsense
-        with world.running():
+        cluster.peers.answers["b"] = reply_malformed
+        with cluster.running():
             await asyncio.sleep(3.0)
-            world.peers.answers["b"] = sound
-            world.hear("a", id="i-1")
+            cluster.peers.answers["b"] = valid_handler
+            cluster.hear("a", id="i-1")
             await asyncio.sleep(3.0)
-            assert world.all(lambda known: known.directory.find("i-1") is not None)
+            assert cluster.all(lambda view: view.directory.find("i-1") is not None)
 
     run_virtual(run())
 
 
-def test_far_control_host_sends_hosts_to_a_nearer_one():
-    """Guards against a whole directory for each host from another zone."""
+def test_control_host_in_another_zone_redirects_to_a_nearer_one():
+    """Guards against sending the whole directory to each host in another zone."""
 
     async def run() -> None:
-        world = World()
-        with world.running():
-            world.hear("a", id="i-1")
+        cluster = World()
+        with cluster.running():
+            cluster.hear("a", id="i-1")
             await asyncio.sleep(3.0)
-            question = {
+            poll = {
                 "host": "host-x",
                 "epoch": "",
                 "cursor": 0,
@@ -282,98 +283,100 @@
                 "zone": "c",
                 "wait": False,
             }
-            far = await teach(world.knowledge["a"], lambda: True, "a", question)
-            assert "nearer" in far
-            assert "servers" not in far
-            near = await teach(world.knowledge["c"], lambda: True, "c", question)
-            assert len(near["servers"]) == 1
-            failed = {**question, "zone": None}
-            far = await teach(world.knowledge["a"], lambda: True, "a", failed)
-            assert len(far["servers"]) == 1
-            moved = {**question, "digest": world.knowledge["c"].directory.digest}
-            near = await teach(world.knowledge["c"], lambda: True, "c", moved)
-            assert near["servers"] == [], "a host that knows all was sent it again"
-            alone = await teach(world.knowledge["a"], lambda: False, "a", question)
-            assert "servers" not in alone
+            far_reply = await teach(cluster.views["a"], lambda: True, "a", poll)
+            assert "nearer" in far_reply
+            assert "servers" not in far_reply
+            near_reply = await teach(cluster.views["c"], lambda: True, "c", poll)
+            assert len(near_reply["servers"]) == 1
+            after_failure = {**poll, "zone": None}
+            far_reply = await teach(
+                cluster.views["a"], lambda: True, "a", after_failure
+            )
+            assert len(far_reply["servers"]) == 1
+            in_sync = {**poll, "digest": cluster.views["c"].directory.digest}
+            near_reply = await teach(cluster.views["c"], lambda: True, "c", in_sync)
+            assert near_reply["servers"] == [], "records sent to a host that is in sync"
+            leaderless_reply = await teach(cluster.views["a"], lambda: False, "a", poll)
+            assert "servers" not in leaderless_reply
 
     run_virtual(run())
 
 
-def test_requests_of_all_hosts_are_told_once_they_were_counted_for_a_window():
-    """Guards against parts of a total that a new leader has hardly begun to count."""
+def test_request_count_is_published_only_after_a_whole_window():
+    """Guards against partial counts of a new leader that has just started to count."""
 
     async def run() -> None:
-        world = World()
-        with world.running():
-            told = set()
+        cluster = World()
+        with cluster.running():
+            published = set()
             for step in range(80):
                 if step == 60:
-                    world.leader = "c"
-                for mesh in world.meshes.values():
+                    cluster.leader = "c"
+                for mesh in cluster.meshes.values():
                     mesh.take_report(Report({}, 5))
                 await asyncio.sleep(0.5)
-                told |= {known.requests for known in world.knowledge.values()}
-            # 30 requests a second, in a window of up to 11 s, and one more report each.
-            assert all(known == 0 or 200 < known <= 345 for known in told)
-            assert len(told) > 1
-            assert world.all(lambda known: known.requests == 0)
+                published |= {view.requests for view in cluster.views.values()}
+            # 30 requests per second, in a window of up to 11 s, plus one report each.
+            assert all(count == 0 or 200 < count <= 345 for count in published)
+            assert len(published) > 1
+            assert cluster.all(lambda view: view.requests == 0)
 
     run_virtual(run())
 
 
-def test_each_side_of_a_cut_sums_up_what_it_sees():
-    """Guards against hosts that learn alone of slow servers while nobody leads.
+def test_each_side_of_a_partition_aggregates_its_reports():
+    """Guards against hosts that detect slow servers alone while there is no leader.
 
-    The four control hosts are cut into halves, so no side has a leader.
+    The four control hosts are partitioned into halves, so neither side has a leader.
     """
 
     async def run() -> None:
-        world = World("abcd")
-        world.leader = None
+        cluster = World("abcd")
+        cluster.leader = None
         sides = {"a": "ab", "b": "ab", "c": "cd", "d": "cd"}
-        for name, mesh in world.meshes.items():
-            mesh._calls = world.peers.between(name, sides)
-        with world.running():
+        for name, mesh in cluster.meshes.items():
+            mesh._calls = cluster.peers.between(name, sides)
+        with cluster.running():
             await asyncio.sleep(2.0)
             for _ in range(8):
-                world.meshes["b"].take_report(Report({"i-1": (1, 3.0)}))
-                world.meshes["d"].take_report(Report({"i-2": (1, 3.0)}))
+                cluster.meshes["b"].take_report(Report({"i-1": (1, 3.0)}))
+                cluster.meshes["d"].take_report(Report({"i-2": (1, 3.0)}))
                 await asyncio.sleep(0.25)
-            slow = {name: set(k.slow) for name, k in world.knowledge.items()}
+            slow = {name: set(k.slow) for name, k in cluster.views.items()}
             assert slow == {"a": {"i-1"}, "b": {"i-1"}, "c": {"i-2"}, "d": {"i-2"}}
 
     run_virtual(run())
 
 
-def test_side_without_a_leader_takes_no_server_for_silent():
-    """Guards against sparing servers that speak to the other side of a cut."""
+def test_partition_without_a_leader_marks_no_server_silent():
+    """Guards against avoiding servers that send heartbeats to the other partition."""
 
     async def run() -> None:
-        world = World("ab")
-        with world.running():
-            world.hear("b", id="i-1")
+        cluster = World("ab")
+        with cluster.running():
+            cluster.hear("b", id="i-1")
             await asyncio.sleep(2.0)
-            world.leader = None
+            cluster.leader = None
             await asyncio.sleep(10.0)
-            assert world.all(lambda known: known.silent == set())
+            assert cluster.all(lambda view: view.silent == set())
 
     run_virtual(run())
 
 
-def test_telling_of_a_leaving_server_leaves_no_failed_calls_behind():
-    """Guards against alarms for unexpected errors on each loss of a control host."""
+def test_replicating_a_draining_server_leaves_no_unretrieved_exceptions():
+    """Guards against reports of unexpected errors whenever a control host is lost."""
 
     async def run() -> None:
-        world = World()
+        cluster = World()
         unexpected = []
         asyncio.get_running_loop().set_exception_handler(
             lambda loop, context: unexpected.append(context)
         )
-        with world.running():
+        with cluster.running():
             await asyncio.sleep(1.5)
-            world.peers.frozen.add("c")
+            cluster.peers.frozen.add("c")
             record = make_record(state=ServerState.DRAINING)
-            assert await world.meshes["a"].tell(record)
+            assert await cluster.meshes["a"].tell(record)
             await asyncio.sleep(2.0)
             gc.collect()
         assert unexpected == []
--- a/tests/fleet/test_peer_bodies.py
+++ b/tests/fleet/test_peer_bodies.py
@@ -1,4 +1,4 @@
-"""The bodies of messages between hosts."""
+"""Tests of encoding and decoding message bodies between hosts."""
 
 import asyncio
 
@@ -12,52 +12,52 @@
 )
 from kingcuplug_http import Limits, Listener, Request, Response
 
-LONG = {"servers": [["i-1", 1, 2, "stock", "10.0.0.1:80"]] * 200}
+LONG_VALUE = {"servers": [["i-1", 1, 2, "stock", "10.0.0.1:80"]] * 200}
 
 
 def _encoding(headers):
     return dict(headers).get(b"Content-Encoding")
 
 
-def test_long_bodies_are_deflated_and_come_back():
-    """Guards against whole directories that fill the links of small hosts."""
-    headers, body = encode_body(LONG)
+def test_long_bodies_are_compressed_and_decoded():
+    """Guards against directory transfers that saturate the links of small hosts."""
+    headers, body = encode_body(LONG_VALUE)
     assert _encoding(headers) == b"deflate"
     assert len(body) < 1_000
-    assert decode_body(_encoding(headers), body) == LONG
+    assert decode_body(_encoding(headers), body) == LONG_VALUE
 
 
-def test_short_bodies_are_sent_as_they_are():
-    """Guards against processor time for bodies that fit into one packet."""
+def test_short_bodies_are_not_compressed():
+    """Guards against spending processor time on bodies that fit into one packet."""
     headers, body = encode_body({"index": 7})
     assert _encoding(headers) is None
     assert decode_body(None, body) == {"index": 7}
 
 
 @pytest.mark.parametrize(
-    "damage", [lambda b: b[:-4], lambda b: b"x" + b, lambda b: b""]
+    "corrupt", [lambda b: b[:-4], lambda b: b"x" + b, lambda b: b""]
 )
-def test_damaged_body_is_refused(damage):
-    """Guards against taking half of a directory for the whole."""
-    headers, body = encode_body(LONG)
+def test_corrupt_body_is_rejected(corrupt):
+    """Guards against accepting a truncated directory as complete."""
+    headers, body = encode_body(LONG_VALUE)
     with pytest.raises(ValueError):
-        decode_body(_encoding(headers), damage(body))
+        decode_body(_encoding(headers), corrupt(body))
 
 
 @pytest.mark.parametrize(("status", "refused"), [(503, True), (500, False)])
-def test_only_a_refusal_shows_that_nothing_was_done(status, refused):
-    """Guards against sending again what a host may have begun before it failed."""
+def test_only_status_503_is_a_refusal(status, refused):
+    """Guards against repeating a call that a host may have executed before failing."""
 
     async def run() -> None:
-        async def answer(request: Request) -> Response:
+        async def respond(request: Request) -> Response:
             return Response(status, [], b"")
 
-        listener, peers = Listener(answer, Limits), Peers()
+        listener, client = Listener(respond, Limits), Peers()
         address = await listener.start("127.0.0.1:0")
         with pytest.raises(PeerFailed) as caught:
-            await peers.call(address, "/x", {}, 1.0)
+            await client.call(address, "/x", {}, 1.0)
         assert isinstance(caught.value, PeerRefused) is refused
-        peers.close()
+        client.close()
         await listener.stop()
 
     asyncio.run(run())
--- a/tests/http/conftest.py
+++ b/tests/http/conftest.py
@@ -1,4 +1,4 @@
-"""A listener on loopback, and a peer that speaks raw bytes."""
+"""A listener on loopback, and a client that sends raw bytes."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -18,7 +18,7 @@
 
 @dataclass
 class Served:
-    """A running listener and what it was asked."""
+    """A running listener and the requests that it has received."""
 
     address: str
     listener: Listener
@@ -34,19 +34,19 @@
     handler: Handler = _echo, limits: Limits = SMALL_LIMITS
 ) -> AsyncIterator[Served]:
     async def record(request: Request) -> Response:
-        served.requests.append(request)
+        server.requests.append(request)
         return await handler(request)
 
     listener = Listener(record, lambda: limits)
-    served = Served(await listener.start("127.0.0.1:0"), listener)
+    server = Served(await listener.start("127.0.0.1:0"), listener)
     try:
-        yield served
+        yield server
     finally:
         await listener.stop()
 
 
 async def _talk(address: str, data: bytes) -> bytes:
-    """Send bytes and return all that comes back until the peer closes."""
+    """Send raw bytes; return all data received until the peer closes."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(data)
@@ -62,5 +62,5 @@
 
 
 @pytest.fixture
-def talk() -> Callable[[str, bytes], Awaitable[bytes]]:
+def send_raw() -> Callable[[str, bytes], Awaitable[bytes]]:
     return _talk
--- a/tests/http/test_inbound.py
+++ b/tests/http/test_inbound.py
@@ -1,4 +1,4 @@
-"""What a listener does with callers that are slow, greedy, or gone."""
+"""Tests of inbound connections: limits, time-outs and disconnects of callers."""
 
 import asyncio
 
@@ -14,17 +14,17 @@
     ]
 
 
-def test_pipelined_requests_are_answered_in_order(serve, talk):
-    """Guards against answers that reach the wrong request of a connection."""
+def test_pipelined_requests_are_answered_in_order(serve, send_raw):
+    """Guards against responses that are matched to the wrong pipelined request."""
 
     async def slow_first(request: Request) -> Response:
         await asyncio.sleep(0.05 if request.target == b"/1" else 0)
         return Response(200, [], request.target)
 
     async def run() -> bytes:
-        async with serve(slow_first) as served:
-            return await talk(
-                served.address,
+        async with serve(slow_first) as server:
+            return await send_raw(
+                server.address,
                 b"GET /1 HTTP/1.1\r\nHost: a\r\n\r\n"
                 b"GET /2 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n",
             )
@@ -33,13 +33,13 @@
     assert data.index(b"\r\n\r\n/1") < data.index(b"\r\n\r\n/2")
 
 
-def test_chunked_body_arrives_whole(serve, talk):
-    """Guards against bodies that lose their chunk borders' bytes."""
+def test_chunked_body_arrives_whole(serve, send_raw):
+    """Guards against bodies that lose bytes at chunk boundaries."""
 
     async def run() -> bytes:
-        async with serve() as served:
-            return await talk(
-                served.address,
+        async with serve() as server:
+            return await send_raw(
+                server.address,
                 b"POST /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n"
                 b"Transfer-Encoding: chunked\r\n\r\n"
                 b"5\r\nhello\r\n6\r\n world\r\n0\r\n\r\n",
@@ -64,39 +64,39 @@
         (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nabc", 408),
     ],
 )
-def test_bad_requests_are_refused_unserved(serve, talk, data, status):
-    """Guards against a host that serves, or waits forever for, what breaks limits."""
+def test_invalid_requests_are_rejected(serve, send_raw, data, status):
+    """Guards against serving, or endlessly awaiting, requests that exceed limits."""
 
     async def run() -> tuple[bytes, int]:
-        async with serve() as served:
-            return await talk(served.address, data), len(served.requests)
+        async with serve() as server:
+            return await send_raw(server.address, data), len(server.requests)
 
-    answer, served_count = asyncio.run(run())
-    assert _status_codes(answer) == [status]
-    assert served_count == 0
+    response, request_count = asyncio.run(run())
+    assert _status_codes(response) == [status]
+    assert request_count == 0
 
 
-def test_smuggled_request_is_not_served(serve, talk):
-    """Guards against a body that one side takes for a second request."""
+def test_smuggled_request_is_not_served(serve, send_raw):
+    """Guards against request smuggling by conflicting body lengths."""
     data = (
         b"POST /outer HTTP/1.1\r\nHost: a\r\nContent-Length: 6\r\n"
         b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /inner HTTP/1.1\r\n\r\n"
     )
 
     async def run() -> list[bytes]:
-        async with serve() as served:
-            await talk(served.address, data)
-            return [request.target for request in served.requests]
+        async with serve() as server:
+            await send_raw(server.address, data)
+            return [request.target for request in server.requests]
 
     assert b"/inner" not in asyncio.run(run())
 
 
-def test_work_stops_when_the_caller_leaves(serve):
-    """Guards against servers that work for callers who are gone."""
-    begun, cancelled = asyncio.Event(), asyncio.Event()
+def test_handler_is_cancelled_when_the_caller_disconnects(serve):
+    """Guards against work for callers that have disconnected."""
+    started, cancelled = asyncio.Event(), asyncio.Event()
 
     async def endless(request: Request) -> Response:
-        begun.set()
+        started.set()
         try:
             await asyncio.sleep(60)
         except asyncio.CancelledError:
@@ -105,25 +105,25 @@
         return Response(200, [], b"")
 
     async def run() -> None:
-        async with serve(endless) as served:
-            host, _, port = served.address.rpartition(":")
+        async with serve(endless) as server:
+            host, _, port = server.address.rpartition(":")
             _, writer = await asyncio.open_connection(host, int(port))
             writer.write(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-            await begun.wait()
+            await started.wait()
             writer.close()
             await asyncio.wait_for(cancelled.wait(), timeout=5)
 
     asyncio.run(run())
 
 
-def test_closing_listener_answers_what_it_has_read(serve, talk):
-    """Guards against a shutdown that drops requests that were read already."""
+def test_closing_listener_serves_received_requests(serve, send_raw):
+    """Guards against a shutdown that drops requests that were already received."""
 
     async def run() -> bytes:
-        async with serve() as served:
-            served.listener.closing = True
-            return await talk(
-                served.address,
+        async with serve() as server:
+            server.listener.closing = True
+            return await send_raw(
+                server.address,
                 b"GET /1 HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\n",
             )
 
@@ -132,17 +132,17 @@
     assert data.count(b"Connection: close") == 1
 
 
-def test_failing_handler_promises_nothing(serve, talk):
-    """Guards against a 503, which says not run, for a request that may have run."""
+def test_failing_handler_returns_status_500(serve, send_raw):
+    """Guards against 503, which means not executed, if the request may have run."""
 
     async def fail(request: Request) -> Response:
-        raise RuntimeError("broken")
+        raise RuntimeError("handler failure")
 
     async def run() -> bytes:
-        async with serve(fail) as served:
+        async with serve(fail) as server:
             asyncio.get_running_loop().set_exception_handler(lambda *_: None)
-            return await talk(
-                served.address,
+            return await send_raw(
+                server.address,
                 b"GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n",
             )
 
--- a/tests/http/test_outbound.py
+++ b/tests/http/test_outbound.py
@@ -1,4 +1,4 @@
-"""How responses are matched to requests when servers misbehave."""
+"""Tests of matching responses of misbehaving servers to requests."""
 
 import asyncio
 import socket
@@ -12,29 +12,29 @@
 
 
 class Recorder:
-    """An exchange that takes only responses with its id."""
+    """Exchange that accepts only responses with its id, and records the result."""
 
     def __init__(self, identifier: bytes) -> None:
         self.identifier = identifier
         self.result: asyncio.Future[Response | Failure] = asyncio.Future()
 
     def accepts(self, response: Response) -> bool:
-        """Take responses without an id, or with this one."""
+        """Accept responses without an id, or with the id of this exchange."""
         return response.header(b"id") in (None, self.identifier)
 
     def answered(self, response: Response) -> None:
-        """Note the response."""
+        """Record the response."""
         self.result.set_result(response)
 
     def failed(self, failure: Failure) -> None:
-        """Note the failure."""
+        """Record the failure."""
         self.result.set_result(failure)
 
 
 def _exchange(reply: bytes, reset: bool = False) -> tuple[Response | Failure, bool]:
-    """Return what one request gets, and whether the connection may be used again."""
+    """Return the result of one request, and whether the connection is reusable."""
 
-    async def script(
+    async def serve_connection(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         await reader.readuntil(b"\r\n\r\n")
@@ -50,12 +50,12 @@
             writer.close()
 
     async def run() -> tuple[Response | Failure, bool]:
-        server = await asyncio.start_server(script, "127.0.0.1", 0)
+        server = await asyncio.start_server(serve_connection, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         connection: OutboundConnection = await connect(f"127.0.0.1:{port}", 5.0)
-        recorder = Recorder(b"7")
-        connection.send(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n", recorder)
-        result = await asyncio.wait_for(recorder.result, timeout=5)
+        exchange = Recorder(b"7")
+        connection.send(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n", exchange)
+        result = await asyncio.wait_for(exchange.result, timeout=5)
         await asyncio.sleep(0.02)
         usable = connection.usable
         connection.close()
@@ -65,8 +65,8 @@
     return asyncio.run(run())
 
 
-def test_late_answer_to_another_request_is_skipped():
-    """Guards against an answer that belongs to the request before."""
+def test_late_response_to_another_request_is_skipped():
+    """Guards against a late response that belongs to the previous request."""
     result, _ = _exchange(
         b"HTTP/1.1 200 OK\r\nId: 6\r\nContent-Length: 3\r\n\r\nold"
         b"HTTP/1.1 200 OK\r\nId: 7\r\nContent-Length: 3\r\n\r\nnew"
@@ -75,8 +75,8 @@
     assert result.body == b"new"
 
 
-def test_bytes_after_the_answer_end_the_connection():
-    """Guards against a surplus response that the next request would get."""
+def test_extra_data_after_the_response_closes_the_connection():
+    """Guards against matching an unsolicited response to the next request."""
     result, usable = _exchange(
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
         b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra"
@@ -94,29 +94,29 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
     ],
 )
-def test_answer_that_is_reset_is_not_whole(reply):
-    """Guards against a truncated answer that looks complete."""
+def test_response_interrupted_by_a_reset_is_incomplete(reply):
+    """Guards against a truncated response that appears complete."""
     result, _ = _exchange(reply, reset=True)
     assert result is Failure.LOST
 
 
-def test_answer_without_length_ends_with_its_connection():
-    """Guards against refusing a whole answer that has no length."""
+def test_response_without_length_ends_at_close():
+    """Guards against rejecting a complete response that has no length."""
     result, usable = _exchange(b"HTTP/1.1 200 OK\r\n\r\nwhole")
     assert isinstance(result, Response)
     assert result.body == b"whole"
     assert not usable
 
 
-def test_bytes_that_are_no_answer_fail_the_request():
-    """Guards against passing on what is not HTTP."""
+def test_invalid_response_fails_the_request():
+    """Guards against forwarding data that is not HTTP."""
     result, usable = _exchange(b"\x00\x01garbage\r\n\r\n")
     assert result is Failure.INVALID
     assert not usable
 
 
-def test_interim_response_is_not_the_answer():
-    """Guards against taking 100 Continue for the answer."""
+def test_interim_response_is_ignored():
+    """Guards against accepting 100 Continue as the final response."""
     result, _ = _exchange(
         b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
     )
