--- a/packages/fleet/src/kingcuplug_fleet/__init__.py
+++ b/packages/fleet/src/kingcuplug_fleet/__init__.py
@@ -4,7 +4,7 @@
 from kingcuplug_fleet._directory import Directory
 from kingcuplug_fleet._directory_file import DirectoryFile
 from kingcuplug_fleet._fleet_view import Knowledge
-from kingcuplug_fleet._membership import Joiner, next_change
+from kingcuplug_fleet._membership import JoinRequest, next_membership_change
 from kingcuplug_fleet._mesh import REPORT_PATH, SHARE_PATH, Mesh
 from kingcuplug_fleet._mesh_messages import Report, ShareMessage
 from kingcuplug_fleet._peer_client import (
@@ -27,7 +27,7 @@
     "CoreUnavailable",
     "Directory",
     "DirectoryFile",
-    "Joiner",
+    "JoinRequest",
     "Knowledge",
     "Learner",
     "Mesh",
@@ -41,6 +41,6 @@
     "ShareMessage",
     "decode_body",
     "encode_body",
-    "next_change",
+    "next_membership_change",
     "teach",
 ]
--- a/packages/fleet/src/kingcuplug_fleet/_control_replica.py
+++ b/packages/fleet/src/kingcuplug_fleet/_control_replica.py
@@ -31,7 +31,7 @@
     member_id,
 )
 
-from kingcuplug_fleet._membership import Joiner, next_change
+from kingcuplug_fleet._membership import JoinRequest, next_membership_change
 from kingcuplug_fleet._peer_client import PeerFailed, Peers
 from kingcuplug_fleet._route_register import RouteRegister
 
@@ -54,14 +54,14 @@
 )
 _CALL_TIMEOUT_S = 0.8
 _JOIN_INTERVAL_S = 0.4
-_JOINER_KEPT_S = 1.5
-_STEWARD_INTERVAL_S = 0.2
+_JOIN_REQUEST_TTL_S = 1.5
+_MEMBERSHIP_INTERVAL_S = 0.2
 _CHANGE_TIMEOUT_S = 2.0
-_REOPEN_AFTER_S = 0.5
+_REOPEN_DELAY_S = 0.5
 # A new group waits this long for all seeds to join, and then accepts a majority of
 # them. A single voter of several seeds never acknowledges a change, because the loss
 # of its disk would lose the change (models/formation.pml, ACK_WHILE_FORMING).
-_FORMATION_S = 6.0
+_FORMATION_TIMEOUT_S = 6.0
 _MS_PER_S = 1_000
 
 
@@ -103,7 +103,7 @@
     """
     if voters >= seeds:
         return True
-    return waited_s > _FORMATION_S and voters > seeds // 2
+    return waited_s > _FORMATION_TIMEOUT_S and voters > seeds // 2
 
 
 class Core:
@@ -118,32 +118,32 @@
     def __init__(
         self,
         settings: CoreSettings,
-        peers: Peers,
+        client: Peers,
         register: RouteRegister,
-        known_control: Callable[[], set[str]],
+        known_control_hosts: Callable[[], set[str]],
         log: EventLog,
         metrics: Metrics,
     ) -> None:
         self._settings = settings
-        self._peers = peers
+        self._client = client
         self._register = register
-        self._known_control = known_control
+        self._known_control_hosts = known_control_hosts
         self._log = log
         self._metrics = metrics
         self._replica: Replica | None = None
-        self._fresh = False
-        self._joiners: dict[str, tuple[Joiner, float]] = {}
-        self._successors = 0
+        self._disk_was_empty = False
+        self._join_requests: dict[str, tuple[JoinRequest, float]] = {}
+        self._replacements = 0
         self._random = random_module.Random()
 
     async def run(self) -> None:
         """Run the replica until cancelled."""
         while True:
             try:
-                await self._take_part()
+                await self._run_replica()
             except (StorageFailed, CorruptLog, OSError) as error:
                 self._log.write("storage_unusable", {"error": str(error)})
-            await asyncio.sleep(_REOPEN_AFTER_S)
+            await asyncio.sleep(_REOPEN_DELAY_S)
 
     def connected(self) -> bool:
         """Return whether the applied state is at most one second old."""
@@ -177,11 +177,11 @@
         command = {"version": version, "document": document}
         try:
             async with asyncio.timeout(_CALL_TIMEOUT_S):
-                replica = self._running()
+                replica = self._require_replica()
                 if replica.leading:
                     return await self._propose(replica, command)
-                leader = self._leader(replica)
-                value = await self._peers.call(
+                leader = self._leader_address(replica)
+                value = await self._client.call(
                     leader, PROPOSE_PATH, command, _CALL_TIMEOUT_S
                 )
                 return int(value["version"])
@@ -200,12 +200,12 @@
         """
         try:
             async with asyncio.timeout(_CALL_TIMEOUT_S):
-                replica = self._running()
+                replica = self._require_replica()
                 if replica.leading:
                     await replica.read_barrier()
                 else:
-                    leader = self._leader(replica)
-                    value = await self._peers.call(
+                    leader = self._leader_address(replica)
+                    value = await self._client.call(
                         leader, BARRIER_PATH, {}, _CALL_TIMEOUT_S
                     )
                     await replica.wait_applied(int(value["index"]))
@@ -221,44 +221,44 @@
         CoreUnavailable, NotLeader, LostLeadership, StorageFailed, TimeoutError
             If this host cannot execute the call.
         """
-        replica = self._running()
+        replica = self._require_replica()
         if path == LOG_PATH:
             return await replica.handle(value)
         if path == JOIN_PATH:
-            return await self._take_joiner(replica, value)
+            return await self._receive_join_request(replica, value)
         async with asyncio.timeout(_CALL_TIMEOUT_S):
             if path == BARRIER_PATH:
                 return {"index": await replica.read_barrier()}
             return {"version": await self._propose(replica, value)}
 
-    def _running(self) -> Replica:
+    def _require_replica(self) -> Replica:
         if self._replica is None:
             raise CoreUnavailable("the log replica of this host is not open")
         return self._replica
 
-    def _leader(self, replica: Replica) -> str:
+    def _leader_address(self, replica: Replica) -> str:
         leader = replica.status().leader
         if leader is None or leader.address == self._settings.address:
             raise CoreUnavailable("no leader is known")
         return leader.address
 
     async def _propose(self, replica: Replica, command: Any) -> int:
-        if not self._formed(replica.status()):
+        if not self._is_formed(replica.status()):
             raise CoreUnavailable("too few control hosts have joined the new group")
         return int(await replica.propose(command))
 
-    def _formed(self, status: LogStatus) -> bool:
+    def _is_formed(self, status: LogStatus) -> bool:
         """Return whether the group has enough voters to acknowledge changes."""
         voters = sum(m.role is MemberRole.VOTER for m in status.members)
         waited_s = boot_time() - self._started_at
         return is_formed(voters, len(self._settings.seeds), waited_s)
 
-    async def _take_part(self) -> None:
+    async def _run_replica(self) -> None:
         settings = self._settings
         self._started_at = boot_time()
         storage = Storage(DiskFileSystem(settings.folder))
         await storage.open()
-        self._fresh = storage.last_index == 0
+        self._disk_was_empty = storage.last_index == 0
         name = settings.host
         member = Member(
             member_id(name, storage.disk_id), name, settings.address, MemberRole.VOTER
@@ -274,75 +274,81 @@
             self._metrics,
         )
         is_founder = settings.first_start and settings.seeds[:1] == (settings.address,)
-        if is_founder and self._fresh:
+        if is_founder and self._disk_was_empty:
             await replica.bootstrap(identifier())
         self._replica = replica
         await replica.start()
         self._log.write(
             "replica_started",
-            {"member": member.id, "fresh": self._fresh, "founder": is_founder},
+            {"member": member.id, "fresh": self._disk_was_empty, "founder": is_founder},
             always=True,
         )
         try:
-            await self._attend(replica, member)
+            await self._maintain_membership(replica, member)
         finally:
             self._replica = None
             with contextlib.suppress(Exception):
                 await replica.stop()
 
-    async def _attend(self, replica: Replica, member: Member) -> None:
+    async def _maintain_membership(self, replica: Replica, member: Member) -> None:
         """Ask to join while this host is no voter; change members while it leads."""
         while not replica.status().storage_failed:
             if replica.leading:
                 await self._change_members(replica)
-                await asyncio.sleep(_STEWARD_INTERVAL_S)
+                await asyncio.sleep(_MEMBERSHIP_INTERVAL_S)
                 continue
-            self._successors = 0
+            self._replacements = 0
             own = replica.find(member.id)
             is_voter = own is not None and own.role is MemberRole.VOTER
             if not is_voter or not replica.connected():
-                await self._ask_to_join(member)
+                await self._request_join(member)
             await asyncio.sleep(_JOIN_INTERVAL_S)
         raise OSError("log storage failed")
 
-    async def _ask_to_join(self, member: Member) -> None:
+    async def _request_join(self, member: Member) -> None:
         value = {
             "member": member.to_json(),
-            "fresh": self._fresh,
+            "fresh": self._disk_was_empty,
             "founding": self._settings.first_start,
         }
         targets = sorted(
-            (self._known_control() | set(self.members()) | set(self._settings.seeds))
+            (
+                self._known_control_hosts()
+                | set(self.members())
+                | set(self._settings.seeds)
+            )
             - {self._settings.address}
         )
         self._random.shuffle(targets)
         calls = [
-            self._peers.call(address, JOIN_PATH, value, _CALL_TIMEOUT_S)
+            self._client.call(address, JOIN_PATH, value, _CALL_TIMEOUT_S)
             for address in targets[:3]
         ]
         await asyncio.gather(*calls, return_exceptions=True)
 
-    async def _take_joiner(self, replica: Replica, value: Any) -> Any:
+    async def _receive_join_request(self, replica: Replica, value: Any) -> Any:
         if not replica.leading:
-            leader = self._leader(replica)
+            leader = self._leader_address(replica)
             if value.get("forwarded"):
                 raise CoreUnavailable("no leader is known")
             forwarded = {**value, "forwarded": True}
-            return await self._peers.call(leader, JOIN_PATH, forwarded, _CALL_TIMEOUT_S)
+            return await self._client.call(
+                leader, JOIN_PATH, forwarded, _CALL_TIMEOUT_S
+            )
         member = Member.from_json(value["member"])
-        request = Joiner(member, value["fresh"], value["founding"])
-        self._joiners[member.id] = (request, boot_time())
+        request = JoinRequest(member, value["fresh"], value["founding"])
+        self._join_requests[member.id] = (request, boot_time())
         return {}
 
     async def _change_members(self, replica: Replica) -> None:
         now = boot_time()
-        self._joiners = {
+        self._join_requests = {
             i: entry
-            for i, entry in self._joiners.items()
-            if now - entry[1] < _JOINER_KEPT_S
+            for i, entry in self._join_requests.items()
+            if now - entry[1] < _JOIN_REQUEST_TTL_S
         }
-        requests = {i: request for i, (request, _) in self._joiners.items()}
-        change = next_change(replica.status(), requests, self._successors)
+        requests = {i: request for i, (request, _) in self._join_requests.items()}
+        change = next_membership_change(replica.status(), requests, self._replacements)
         if change is None:
             return
         added = change if isinstance(change, Member) else None
@@ -352,20 +358,20 @@
                 await replica.change(add=added, remove=removed)
         except (ChangeRefused, NotLeader, LostLeadership, StorageFailed, TimeoutError):
             return
-        self._count_successor(added, requests)
+        self._update_replacements(added, requests)
         self._log.write(
             "members_changed",
             {"added": added.id if added else None, "removed": removed},
             always=True,
         )
 
-    def _count_successor(
-        self, added: Member | None, joiners: dict[str, Joiner]
+    def _update_replacements(
+        self, added: Member | None, requests: dict[str, JoinRequest]
     ) -> None:
         if added is None:
-            self._successors = max(0, self._successors - 1)
-        elif joiners[added.id].fresh and not joiners[added.id].founding:
-            self._successors += 1
+            self._replacements = max(0, self._replacements - 1)
+        elif requests[added.id].empty_disk and not requests[added.id].first_start:
+            self._replacements += 1
 
     async def _send(self, peer: str, message: dict[str, Any]) -> dict[str, Any]:
         replica = self._replica
@@ -374,7 +380,9 @@
             raise ConnectionError(f"{peer} is not a member of the group")
         timeout_s = LOG_SETTINGS.rpc_timeout_ms / _MS_PER_S
         try:
-            value = await self._peers.call(member.address, LOG_PATH, message, timeout_s)
+            value = await self._client.call(
+                member.address, LOG_PATH, message, timeout_s
+            )
         except PeerFailed as error:
             raise ConnectionError(str(error)) from error
         return dict(value)
--- a/packages/fleet/src/kingcuplug_fleet/_directory.py
+++ b/packages/fleet/src/kingcuplug_fleet/_directory.py
@@ -10,10 +10,10 @@
 
 # Late records of ended servers may arrive until a network partition has healed. After
 # this time a host no longer has to recognize them as outdated.
-_ENDED_KEPT_S = 120.0
+_ENDED_RETENTION_S = 120.0
 # A server without a heartbeat for this long has crashed or was removed. One that is
 # only partitioned must be kept, because its sequence continues when it returns.
-_SILENT_KEPT_S = 3_600.0
+_SILENT_RETENTION_S = 3_600.0
 # Two different directories have equal digests with a probability of 1 in 2**64.
 _DIGEST_BYTES = 8
 
@@ -22,7 +22,7 @@
 class _Entry:
     record: ServerRecord
     version: int
-    heard_at: float
+    heartbeat_at: float
     first_hand: bool
 
 
@@ -48,9 +48,9 @@
     def __init__(self, silent_after_s: float) -> None:
         self._silent_after_s = silent_after_s
         self._entries: dict[str, _Entry] = {}
-        self._newest_at: dict[str, str] = {}
+        self._newest_by_address: dict[str, str] = {}
         self.version = 0
-        self.first_hand_version = 0
+        self.direct_version = 0
         self.digest = 0
 
     def merge(self, record: ServerRecord, now: float, first_hand: bool = False) -> bool:
@@ -64,13 +64,13 @@
         entry = self._entries.get(record.id)
         if entry is not None and record.rank <= entry.record.rank:
             return False
-        if entry is not None and not record.says_more_than(entry.record):
+        if entry is not None and not record.differs_materially(entry.record):
             entry.record = record
-            entry.heard_at = now
+            entry.heartbeat_at = now
             return False
         self.version += 1
         if first_hand:
-            self.first_hand_version = self.version
+            self.direct_version = self.version
         if entry is not None:
             self.digest ^= _digest(entry.record)
         self.digest ^= _digest(record)
@@ -78,24 +78,26 @@
         self._claim_address(record)
         return True
 
-    def heard(self, identifier: str, born_ms: int, sequence: int, now: float) -> None:
+    def record_heartbeat(
+        self, server_id: str, born_ms: int, sequence: int, now: float
+    ) -> None:
         """Record a heartbeat that another host has received from a server."""
-        entry = self._entries.get(identifier)
+        entry = self._entries.get(server_id)
         if entry is None or entry.record.born_ms != born_ms:
             return
         if sequence >= entry.record.sequence:
-            entry.heard_at = now
+            entry.heartbeat_at = now
 
-    def find(self, identifier: str) -> ServerRecord | None:
+    def find(self, server_id: str) -> ServerRecord | None:
         """Return the record of a server, ``None`` if it is unknown."""
-        entry = self._entries.get(identifier)
+        entry = self._entries.get(server_id)
         return entry.record if entry else None
 
-    def refresh(self, now: float, silent: Collection[str]) -> None:
+    def reset_heartbeat_times(self, now: float, silent: Collection[str]) -> None:
         """Reset the heartbeat times of all servers except the silent ones."""
         for identifier, entry in self._entries.items():
             if identifier not in silent:
-                entry.heard_at = now
+                entry.heartbeat_at = now
 
     def since(self, version: int, first_hand: bool = False) -> list[ServerRecord]:
         """Return the records that changed after a version.
@@ -111,7 +113,7 @@
             if entry.version > version and (entry.first_hand or not first_hand)
         ]
 
-    def leaving(self) -> list[ServerRecord]:
+    def not_ready(self) -> list[ServerRecord]:
         """Return the records of servers that are draining or have ended."""
         return [
             entry.record
@@ -129,29 +131,29 @@
             entry.record
             for entry in self._entries.values()
             if entry.record.state is ServerState.READY
-            and self._newest_at.get(entry.record.address) == entry.record.id
+            and self._newest_by_address.get(entry.record.address) == entry.record.id
         ]
 
     def silent(self, now: float) -> set[str]:
         """Return the ids of servers whose heartbeats have stopped."""
         limit = now - self._silent_after_s
-        return {i for i, entry in self._entries.items() if entry.heard_at < limit}
+        return {i for i, entry in self._entries.items() if entry.heartbeat_at < limit}
 
-    def forget(self, now: float) -> None:
+    def evict_expired(self, now: float) -> None:
         """Remove servers whose retention time has passed."""
         for identifier, entry in tuple(self._entries.items()):
             ended = entry.record.state is ServerState.ENDED
-            kept_s = _ENDED_KEPT_S if ended else _SILENT_KEPT_S
-            if entry.heard_at < now - kept_s:
+            kept_s = _ENDED_RETENTION_S if ended else _SILENT_RETENTION_S
+            if entry.heartbeat_at < now - kept_s:
                 del self._entries[identifier]
                 self.digest ^= _digest(entry.record)
-                if self._newest_at.get(entry.record.address) == identifier:
-                    del self._newest_at[entry.record.address]
+                if self._newest_by_address.get(entry.record.address) == identifier:
+                    del self._newest_by_address[entry.record.address]
 
     def _claim_address(self, record: ServerRecord) -> None:
-        current = self.find(self._newest_at.get(record.address, ""))
+        current = self.find(self._newest_by_address.get(record.address, ""))
         if current is None or current.born_ms <= record.born_ms:
-            self._newest_at[record.address] = record.id
+            self._newest_by_address[record.address] = record.id
 
 
 def _digest(record: ServerRecord) -> int:
--- a/packages/fleet/src/kingcuplug_fleet/_directory_file.py
+++ b/packages/fleet/src/kingcuplug_fleet/_directory_file.py
@@ -17,17 +17,17 @@
 
 __all__ = ["DirectoryFile"]
 
-_NAME = "servers.json"
+_FILE_NAME = "servers.json"
 # Losing the last half second of changes costs one heartbeat interval for a server.
-_INTERVAL_S = 0.5
-_RETRY_S = 5.0
+_WRITE_INTERVAL_S = 0.5
+_RETRY_DELAY_S = 5.0
 
 
 class DirectoryFile:
     """Saves the directory to a file on changes, and loads it at startup."""
 
     def __init__(self, folder: Path, view: Knowledge, log: EventLog) -> None:
-        self._path = folder / _NAME
+        self._path = folder / _FILE_NAME
         self._view = view
         self._log = log
 
@@ -45,7 +45,7 @@
             self._log.write("directory_file_unreadable", {"error": repr(error)})
             return
         self._view.learn_servers(records)
-        self._view.expect_hosts(hosts)
+        self._view.assume_host_count(hosts)
         self._log.write("directory_loaded", {"servers": len(records)}, always=True)
 
     async def run(self) -> None:
@@ -61,10 +61,10 @@
             try:
                 await asyncio.to_thread(self._write, data)
                 written_version = version
-                await asyncio.sleep(_INTERVAL_S)
+                await asyncio.sleep(_WRITE_INTERVAL_S)
             except OSError as error:
                 self._log.write("directory_file_unwritten", {"error": repr(error)})
-                await asyncio.sleep(_RETRY_S)
+                await asyncio.sleep(_RETRY_DELAY_S)
 
     def _write(self, data: bytes) -> None:
         temporary = self._path.with_suffix(".tmp")
--- a/packages/fleet/src/kingcuplug_fleet/_fleet_view.py
+++ b/packages/fleet/src/kingcuplug_fleet/_fleet_view.py
@@ -15,12 +15,13 @@
 __all__ = ["Knowledge"]
 
 # A host polls its control host at least once a second.
-_HOST_KEPT_S = 3.5
+_HOST_TIMEOUT_S = 3.5
 # Hosts divide shared limits in proportion to their requests in this window.
 _REQUESTS_WINDOW_S = 10.0
 # Smaller relative changes of the number of requests are not published.
-_REQUESTS_STEP = 0.1
-_KEY_BYTES = 8  # Two different states collide with a probability of 1 in 2**64.
+_MIN_REQUEST_CHANGE_RATIO = 0.1
+# Two different states have equal digests with a probability of 1 in 2**64.
+_STATE_DIGEST_BYTES = 8
 
 
 class Knowledge:
@@ -62,10 +63,10 @@
 
     def __init__(self, silent_after_s: float) -> None:
         self._loop = asyncio.get_running_loop()
-        self._begun_at = self._loop.time()
-        self._expected_hosts = 0
-        self._met: dict[str, float] = {}
-        self._told: dict[str, float] = {}
+        self._started_at = self._loop.time()
+        self._assumed_host_count = 0
+        self._local_polls: dict[str, float] = {}
+        self._remote_polls: dict[str, float] = {}
         self.epoch = identifier()
         self.changed = Signal()
         self.directory = Directory(silent_after_s)
@@ -79,10 +80,10 @@
         self.zones: dict[str, str] = {}
         self.reachable: tuple[str, ...] = ()
         self.requests = 0
-        self._counted = WindowCount(_REQUESTS_WINDOW_S)
-        self._counted_since = self._begun_at
-        self._state_data = b""
-        self._state_key = ""
+        self._request_window = WindowCount(_REQUESTS_WINDOW_S)
+        self._request_window_started_at = self._started_at
+        self._encoded_state = b""
+        self._state_digest = ""
 
     def state(self) -> list[Any]:
         """Return the state that hosts copy from their control host, without servers."""
@@ -99,11 +100,11 @@
     def state_key(self) -> str:
         """Return a digest of `state`."""
         data = orjson.dumps(self.state())
-        if data != self._state_data:
-            self._state_data = data
-            digest = hashlib.blake2b(data, digest_size=_KEY_BYTES)
-            self._state_key = digest.hexdigest()
-        return self._state_key
+        if data != self._encoded_state:
+            self._encoded_state = data
+            digest = hashlib.blake2b(data, digest_size=_STATE_DIGEST_BYTES)
+            self._state_digest = digest.hexdigest()
+        return self._state_digest
 
     def learn_routes(self, version: int, document: str) -> None:
         """Replace the route document if the version is newer."""
@@ -128,29 +129,29 @@
             self.control = control_hosts
             self.changed.notify()
 
-    def learn_silent(self, identifiers: set[str]) -> None:
+    def set_silent_servers(self, server_ids: set[str]) -> None:
         """Replace the ids of the servers whose heartbeats have stopped."""
-        if identifiers != self.silent:
-            self.silent = identifiers
+        if server_ids != self.silent:
+            self.silent = server_ids
             self.changed.notify()
 
-    def learn_slow(self, paces: dict[str, float]) -> None:
+    def set_slow_servers(self, paces: dict[str, float]) -> None:
         """Replace the paces of slow servers, by id."""
         if paces != self.slow:
             self.slow = paces
             self.changed.notify()
 
-    def learn_reachable(self, addresses: tuple[str, ...]) -> None:
+    def set_reachable_control_hosts(self, addresses: tuple[str, ...]) -> None:
         """Replace the addresses of the control hosts that the leader can reach."""
         if addresses != self.reachable:
             self.reachable = addresses
             self.changed.notify()
 
-    def expect_hosts(self, count: int) -> None:
+    def assume_host_count(self, count: int) -> None:
         """Assume a number of hosts until all live hosts have had time to poll."""
-        self._begun_at = self._loop.time()
-        self._expected_hosts = count
-        self.learn_hosts(count)
+        self._started_at = self._loop.time()
+        self._assumed_host_count = count
+        self.set_host_count(count)
 
     def near(self, availability_zone: str, key: str) -> str | None:
         """Return a reachable control host in an availability zone, if there is one.
@@ -164,62 +165,62 @@
         near = [a for a in self.reachable if self.zones.get(a) == availability_zone]
         return max(near, key=lambda a: crc32(f"{key} {a}".encode()), default=None)
 
-    def count_hosts(self) -> None:
+    def update_host_count(self) -> None:
         """Update the number of live hosts from recent polls.
 
         Shortly after a restart the assumed number is the minimum.
         """
         count = len(self.live_hosts())
-        if self._loop.time() - self._begun_at < _HOST_KEPT_S:
-            count = max(count, self._expected_hosts)
-        self.learn_hosts(count)
+        if self._loop.time() - self._started_at < _HOST_TIMEOUT_S:
+            count = max(count, self._assumed_host_count)
+        self.set_host_count(count)
 
-    def learn_hosts(self, count: int) -> None:
+    def set_host_count(self, count: int) -> None:
         """Set the number of live hosts."""
         if count != self.hosts:
             self.hosts = count
             self.changed.notify()
 
-    def learn_requests(self, count: int) -> None:
+    def set_request_count(self, count: int) -> None:
         """Set the number of requests of all hosts in the last ten seconds."""
         if count != self.requests:
             self.requests = count
             self.changed.notify()
 
-    def begin_counting_requests(self) -> None:
+    def restart_request_count(self) -> None:
         """Restart the request window; the count is unknown until it has passed."""
-        self._counted = WindowCount(_REQUESTS_WINDOW_S)
-        self._counted_since = self._loop.time()
-        self.learn_requests(0)
+        self._request_window = WindowCount(_REQUESTS_WINDOW_S)
+        self._request_window_started_at = self._loop.time()
+        self.set_request_count(0)
 
-    def count_requests(self, reported: int) -> None:
+    def add_requests(self, reported: int) -> None:
         """Add a reported number of requests, and publish the total if it changed."""
         now = self._loop.time()
-        self._counted.add(now, reported)
-        if now - self._counted_since < _REQUESTS_WINDOW_S:
+        self._request_window.add(now, reported)
+        if now - self._request_window_started_at < _REQUESTS_WINDOW_S:
             return
-        total = self._counted.total(now)
-        if abs(total - self.requests) > self.requests * _REQUESTS_STEP:
-            self.learn_requests(total)
+        total = self._request_window.total(now)
+        if abs(total - self.requests) > self.requests * _MIN_REQUEST_CHANGE_RATIO:
+            self.set_request_count(total)
 
-    def meet_host(self, name: str) -> None:
+    def record_host_poll(self, name: str) -> None:
         """Record a host's poll of this control host."""
-        self._met[name] = self._loop.time()
+        self._local_polls[name] = self._loop.time()
 
-    def hear_of_host(self, name: str) -> None:
+    def record_remote_host_poll(self, name: str) -> None:
         """Record a host's poll of another control host."""
-        self._told[name] = self._loop.time()
+        self._remote_polls[name] = self._loop.time()
 
-    def met_hosts(self) -> list[str]:
+    def local_hosts(self) -> list[str]:
         """Return the hosts that have polled this control host recently."""
-        self._met = self._recent(self._met)
-        return list(self._met)
+        self._local_polls = self._recent_polls(self._local_polls)
+        return list(self._local_polls)
 
     def live_hosts(self) -> set[str]:
         """Return the hosts that have polled any control host recently."""
-        self._told = self._recent(self._told)
-        return set(self._told) | set(self.met_hosts())
+        self._remote_polls = self._recent_polls(self._remote_polls)
+        return set(self._remote_polls) | set(self.local_hosts())
 
-    def _recent(self, hosts: dict[str, float]) -> dict[str, float]:
-        limit = self._loop.time() - _HOST_KEPT_S
+    def _recent_polls(self, hosts: dict[str, float]) -> dict[str, float]:
+        limit = self._loop.time() - _HOST_TIMEOUT_S
         return {name: at for name, at in hosts.items() if at > limit}
--- a/packages/fleet/src/kingcuplug_fleet/_membership.py
+++ b/packages/fleet/src/kingcuplug_fleet/_membership.py
@@ -12,20 +12,20 @@
 
 from kingcuplug_log import LogStatus, Member, MemberRole, PeerStatus
 
-__all__ = ["Joiner", "next_change"]
+__all__ = ["JoinRequest", "next_membership_change"]
 
 # Longer than an election and the restart of a process.
-_REPLACED_AFTER_MS = 2_500.0
+_REPLACED_VOTER_TIMEOUT_MS = 2_500.0
 # A host unreachable for this long is removed even without a replacement; it joins
 # again when it returns.
-_LOST_AFTER_MS = 20_000.0
-_LEARNER_LOST_AFTER_MS = 4_000.0
+_LOST_VOTER_TIMEOUT_MS = 20_000.0
+_LEARNER_TIMEOUT_MS = 4_000.0
 # The smallest group that tolerates the loss of one voter.
-_FEWEST_VOTERS = 3
+_MIN_VOTERS = 3
 
 
 @dataclass(frozen=True, slots=True)
-class Joiner:
+class JoinRequest:
     """A control host's request to become a voter.
 
     Attributes
@@ -37,12 +37,12 @@
     """
 
     member: Member
-    fresh: bool
-    founding: bool
+    empty_disk: bool
+    first_start: bool
 
 
-def next_change(
-    status: LogStatus, joiners: Mapping[str, Joiner], successors: int
+def next_membership_change(
+    status: LogStatus, requests: Mapping[str, JoinRequest], replacements: int
 ) -> Member | str | None:
     """Return the member to add, the id of the one to remove, or ``None``.
 
@@ -56,18 +56,20 @@
         Number of new hosts that have joined and not yet replaced a removed voter.
     """
     members = {member.id: member for member in status.members}
-    replaced = _replaced(members.values(), joiners)
+    replaced = _member_with_replaced_disk(members.values(), requests)
     if replaced is not None and replaced != status.member.id:
         return replaced
-    for identifier, request in joiners.items():
+    for identifier, request in requests.items():
         if identifier not in members:
             return request.member
-    return _lost(status.peers, successors)
+    return _unresponsive_member(status.peers, replacements)
 
 
-def _replaced(members: Iterable[Member], joiners: Mapping[str, Joiner]) -> str | None:
+def _member_with_replaced_disk(
+    members: Iterable[Member], requests: Mapping[str, JoinRequest]
+) -> str | None:
     """Return the id of a member whose host asks to join with another disk."""
-    ids_by_address = {request.member.address: i for i, request in joiners.items()}
+    ids_by_address = {request.member.address: i for i, request in requests.items()}
     for member in members:
         new_id = ids_by_address.get(member.address)
         if new_id is not None and new_id != member.id:
@@ -75,7 +77,7 @@
     return None
 
 
-def _lost(peers: Iterable[PeerStatus], successors: int) -> str | None:
+def _unresponsive_member(peers: Iterable[PeerStatus], replacements: int) -> str | None:
     """Return the id of a member that has not responded for too long."""
     peers = tuple(peers)
     voters = 1 + sum(peer.member.role is MemberRole.VOTER for peer in peers)
@@ -84,11 +86,15 @@
         if silent_ms is None:
             continue
         if peer.member.role is not MemberRole.VOTER:
-            limit_ms = _LEARNER_LOST_AFTER_MS
-        elif voters <= _FEWEST_VOTERS:
+            limit_ms = _LEARNER_TIMEOUT_MS
+        elif voters <= _MIN_VOTERS:
             continue
         else:
-            limit_ms = _REPLACED_AFTER_MS if successors > 0 else _LOST_AFTER_MS
+            limit_ms = (
+                _REPLACED_VOTER_TIMEOUT_MS
+                if replacements > 0
+                else _LOST_VOTER_TIMEOUT_MS
+            )
         if silent_ms > limit_ms:
             return peer.member.id
     return None
--- a/packages/fleet/src/kingcuplug_fleet/_mesh.py
+++ b/packages/fleet/src/kingcuplug_fleet/_mesh.py
@@ -22,7 +22,7 @@
 from kingcuplug_common import EventLog
 
 from kingcuplug_fleet._fleet_view import Knowledge
-from kingcuplug_fleet._mesh_messages import Heard, Report, ShareMessage, Summary
+from kingcuplug_fleet._mesh_messages import Heartbeats, Report, ShareMessage, Summary
 from kingcuplug_fleet._peer_client import PeerFailed, Peers
 from kingcuplug_fleet._server_record import ServerRecord
 
@@ -36,22 +36,22 @@
 # The leader pushes its summary on each change; the interval only reveals lost pushes.
 _SUMMARY_INTERVAL_S = 2.0
 # Other pairs of control hosts push only changes, apart from this keep-alive.
-_QUIET_INTERVAL_S = 30.0
+_KEEP_ALIVE_INTERVAL_S = 30.0
 # Batches servers that start together into one push. A leaving server is replicated
 # without this delay.
-_GATHER_S = 0.1
-_SHARE_TIMEOUT_S = 0.6
-_RETRY_S = 0.9
+_BATCH_DELAY_S = 0.1
+_PUSH_TIMEOUT_S = 0.6
+_RETRY_DELAY_S = 0.9
 _REPORT_TIMEOUT_S = 0.5
 # Each forwarding stage of a report adds half of this interval to its delay on average.
-_UPKEEP_S = 0.15
+_UPDATE_INTERVAL_S = 0.15
 # How long the acknowledgement of a leaving server waits for a second control host to
 # store its record, so that the record survives the loss of this control host.
-_TELL_TIMEOUT_S = 0.35
+_REPLICATE_TIMEOUT_S = 0.35
 # Updates in flight make digests differ briefly; a longer mismatch means a lost update.
-_LOST_AFTER_S = 2.0
+_MISMATCH_TIMEOUT_S = 2.0
 # Two report intervals and a margin; a control host silent for longer may be gone.
-_REACHABLE_S = 2.5
+_PEER_TIMEOUT_S = 2.5
 
 
 class _Peer:
@@ -75,27 +75,27 @@
     def __init__(self, task: asyncio.Task[None]) -> None:
         self.task = task
         self.epoch = ""
-        self.sent = 0
-        self.heard_at = float("-inf")
-        self.told: Summary | None = None
-        self.under: str | None = None
-        self._differs_since: float | None = None
+        self.acknowledged_version = 0
+        self.last_push_at = float("-inf")
+        self.acknowledged_summary: Summary | None = None
+        self.last_coordinator: str | None = None
+        self._mismatch_since: float | None = None
 
-    def compare(self, equal: bool, now: float) -> None:
+    def record_comparison(self, equal: bool, now: float) -> None:
         """Record whether the digests of the two directories are equal."""
         if equal:
-            self._differs_since = None
-        elif self._differs_since is None:
-            self._differs_since = now
+            self._mismatch_since = None
+        elif self._mismatch_since is None:
+            self._mismatch_since = now
 
-    def lacks(self, now: float) -> bool:
+    def needs_full_sync(self, now: float) -> bool:
         """Return whether the digests have differed for too long."""
-        since = self._differs_since
-        return since is not None and now - since > _LOST_AFTER_S
+        since = self._mismatch_since
+        return since is not None and now - since > _MISMATCH_TIMEOUT_S
 
-    def filled(self) -> None:
+    def record_full_sync(self) -> None:
         """Reset the digest mismatch after the whole directory was sent."""
-        self._differs_since = None
+        self._mismatch_since = None
 
 
 class Mesh:
@@ -113,8 +113,8 @@
         self,
         host: str,
         view: Knowledge,
-        peers: Peers,
-        own: str,
+        client: Peers,
+        own_address: str,
         availability_zone: str,
         leader: Callable[[], str | None],
         log: EventLog,
@@ -122,32 +122,34 @@
         self._loop = asyncio.get_running_loop()
         self._host = host
         self._view = view
-        self._calls = peers
-        self._own = own
+        self._client = client
+        self._own_address = own_address
         self._zone = availability_zone
         self._leader = leader
         self._log = log
         self._peers: dict[str, _Peer] = {}
-        self._heard: Heard = {}
+        self._heartbeats: Heartbeats = {}
         self._report = Report()
-        self._followed = ""
-        self._led = False
+        self._last_coordinator = ""
+        self._was_leader = False
 
     async def run(self) -> None:
         """Run one push task per other control host, and expire old state."""
-        self._view.zones[self._own] = self._zone
+        self._view.zones[self._own_address] = self._zone
         try:
             while True:
-                self._follow_members()
-                self._age(self._loop.time())
-                await asyncio.gather(asyncio.sleep(_UPKEEP_S), self._forward_report())
+                self._update_peers()
+                self._update_liveness(self._loop.time())
+                await asyncio.gather(
+                    asyncio.sleep(_UPDATE_INTERVAL_S), self._forward_report()
+                )
         finally:
             for peer in self._peers.values():
                 peer.task.cancel()
 
     def hear(self, record: ServerRecord) -> None:
         """Record a heartbeat of a server for the next report."""
-        self._heard[record.id] = (record.born_ms, record.sequence)
+        self._heartbeats[record.id] = (record.born_ms, record.sequence)
 
     def take_report(self, report: Report) -> None:
         """Add the report of a host, which may be this one.
@@ -155,11 +157,11 @@
         Only the coordinator aggregates reports, because sending all reports to all
         control hosts would cost more bytes than the queries.
         """
-        if self._coordinator() != self._own:
+        if self._coordinator() != self._own_address:
             self._report.add(report)
             return
         self._view.paces.add(report.samples, self._loop.time())
-        self._view.count_requests(report.requests)
+        self._view.add_requests(report.requests)
 
     async def tell(self, record: ServerRecord) -> bool:
         """Push a record until one other control host has acknowledged it.
@@ -174,7 +176,8 @@
             return True
         value = self._message([record]).to_json()
         calls = [
-            asyncio.ensure_future(self._knows(address, value)) for address in addresses
+            asyncio.ensure_future(self._push_acknowledged(address, value))
+            for address in addresses
         ]
         for call in asyncio.as_completed(calls):
             if await call:
@@ -182,10 +185,10 @@
         self._log.write("leaving_server_untold", {"server": record.id})
         return False
 
-    async def _knows(self, address: str, value: Any) -> bool:
+    async def _push_acknowledged(self, address: str, value: Any) -> bool:
         """Push a message; return whether the other control host acknowledged it."""
         try:
-            await self._calls.call(address, SHARE_PATH, value, _TELL_TIMEOUT_S)
+            await self._client.call(address, SHARE_PATH, value, _REPLICATE_TIMEOUT_S)
         except PeerFailed:
             return False
         return True
@@ -196,51 +199,51 @@
         view, now = self._view, self._loop.time()
         view.learn_servers(message.servers)
         for server_id, (start_ms, sequence) in message.heard.items():
-            view.directory.heard(server_id, start_ms, sequence, now)
+            view.directory.record_heartbeat(server_id, start_ms, sequence, now)
         for host in message.hosts:
-            view.hear_of_host(host)
+            view.record_remote_host_poll(host)
         view.zones[message.address] = message.availability_zone
         peer = self._peers.get(message.address)
         if peer is not None:
-            peer.heard_at = now
-            self._compare(message.address, peer, message.digest)
+            peer.last_push_at = now
+            self._compare_digests(message.address, peer, message.digest)
         if message.summary is not None and self._coordinator() == message.address:
-            self._take_summary(message.summary, now)
+            self._apply_summary(message.summary, now)
         return {"epoch": view.epoch, "digest": view.directory.digest}
 
-    def _compare(self, address: str, peer: _Peer, digest: int) -> None:
+    def _compare_digests(self, address: str, peer: _Peer, digest: int) -> None:
         """Compare digests with the leader, or with every peer if there is none."""
-        if self._leader() not in (None, self._own, address):
+        if self._leader() not in (None, self._own_address, address):
             return
         now = self._loop.time()
-        peer.compare(digest == self._view.directory.digest, now)
-        if peer.lacks(now):
+        peer.record_comparison(digest == self._view.directory.digest, now)
+        if peer.needs_full_sync(now):
             self._view.changed.notify()
 
-    def _take_summary(self, summary: Summary, now: float) -> None:
+    def _apply_summary(self, summary: Summary, now: float) -> None:
         view = self._view
-        view.learn_slow(summary.slow)
+        view.set_slow_servers(summary.slow)
         if self._leader() is None:
             return
-        view.learn_silent(set(summary.silent))
-        view.directory.refresh(now, view.silent)
-        view.learn_hosts(summary.hosts)
-        view.learn_requests(summary.requests)
+        view.set_silent_servers(set(summary.silent))
+        view.directory.reset_heartbeat_times(now, view.silent)
+        view.set_host_count(summary.hosts)
+        view.set_request_count(summary.requests)
         view.zones.update(summary.reachable)
-        view.learn_reachable(tuple(summary.reachable))
+        view.set_reachable_control_hosts(tuple(summary.reachable))
 
     def _coordinator(self) -> str:
         leader = self._leader()
         if leader is not None:
             return leader
-        return min((self._own, *self._heard_peers()))
+        return min((self._own_address, *self._reachable_peers()))
 
-    def _heard_peers(self) -> list[str]:
-        limit = self._loop.time() - _REACHABLE_S
-        return [a for a, peer in self._peers.items() if peer.heard_at > limit]
+    def _reachable_peers(self) -> list[str]:
+        limit = self._loop.time() - _PEER_TIMEOUT_S
+        return [a for a, peer in self._peers.items() if peer.last_push_at > limit]
 
-    def _follow_members(self) -> None:
-        addresses = set(self._view.control) - {self._own}
+    def _update_peers(self) -> None:
+        addresses = set(self._view.control) - {self._own_address}
         for address in self._peers.keys() - addresses:
             self._peers.pop(address).task.cancel()
         for address in addresses - self._peers.keys():
@@ -257,104 +260,115 @@
 
     async def _forward_report(self) -> None:
         coordinator = self._coordinator()
-        if coordinator == self._own or self._report == Report():
+        if coordinator == self._own_address or self._report == Report():
             return
         report, self._report = self._report, Report()
         with contextlib.suppress(PeerFailed):
-            await self._calls.call(
+            await self._client.call(
                 coordinator, REPORT_PATH, report.to_json(), _REPORT_TIMEOUT_S
             )
 
-    def _age(self, now: float) -> None:
+    def _update_liveness(self, now: float) -> None:
         """Expire old entries; as coordinator, detect slow and silent servers."""
         view = self._view
-        view.meet_host(self._host)
-        view.directory.forget(now)
-        coordinator, is_leader = self._coordinator(), self._leader() == self._own
-        if is_leader and not self._led:
+        view.record_host_poll(self._host)
+        view.directory.evict_expired(now)
+        coordinator, is_leader = (
+            self._coordinator(),
+            self._leader() == self._own_address,
+        )
+        if is_leader and not self._was_leader:
             # Reports were sent to another leader until now, so the local times of
             # heartbeats and polls are out of date.
-            view.directory.refresh(now, view.silent)
-            view.expect_hosts(view.hosts)
-            view.begin_counting_requests()
-        self._led = is_leader
-        if coordinator != self._followed:
-            self._followed = coordinator
+            view.directory.reset_heartbeat_times(now, view.silent)
+            view.assume_host_count(view.hosts)
+            view.restart_request_count()
+        self._was_leader = is_leader
+        if coordinator != self._last_coordinator:
+            self._last_coordinator = coordinator
             view.changed.notify()
-        if coordinator == self._own:
-            view.learn_slow(view.paces.slow(now))
+        if coordinator == self._own_address:
+            view.set_slow_servers(view.paces.slow(now))
         if is_leader:
-            view.learn_silent(view.directory.silent(now))
-            view.count_hosts()
-            view.learn_reachable((self._own, *sorted(self._heard_peers())))
+            view.set_silent_servers(view.directory.silent(now))
+            view.update_host_count()
+            view.set_reachable_control_hosts(
+                (self._own_address, *sorted(self._reachable_peers()))
+            )
         elif self._leader() is None:
             # Without reports the number of requests is out of date.
-            view.learn_requests(0)
+            view.set_request_count(0)
 
     async def _push_to(self, address: str) -> None:
         while True:
             peer = self._peers[address]
             if not await self._push(address, peer):
-                await asyncio.sleep(_RETRY_S)
+                await asyncio.sleep(_RETRY_DELAY_S)
                 continue
-            await asyncio.sleep(_GATHER_S)
+            await asyncio.sleep(_BATCH_DELAY_S)
             await self._view.changed.until(
-                lambda peer=peer: self._has_news(peer),  # type: ignore[misc]
-                self._interval_s(address) - _GATHER_S,
+                lambda peer=peer: self._push_is_due(peer),  # type: ignore[misc]
+                self._push_interval_s(address) - _BATCH_DELAY_S,
             )
 
     async def _push(self, address: str, peer: _Peer) -> bool:
         directory = self._view.directory
         version, summary = directory.version, self._summary()
-        full_sync = peer.lacks(self._loop.time())
+        full_sync = peer.needs_full_sync(self._loop.time())
         records = directory.since(
-            0 if full_sync else peer.sent, first_hand=not full_sync
+            0 if full_sync else peer.acknowledged_version, first_hand=not full_sync
         )
         coordinator = self._coordinator()
         include_report = self._leader() is None or coordinator == address
         heartbeats = {}
         if include_report:
-            heartbeats, self._heard = self._heard, {}
+            heartbeats, self._heartbeats = self._heartbeats, {}
         message = self._message(records, heartbeats, summary, with_hosts=include_report)
         try:
-            reply = await self._calls.call(
-                address, SHARE_PATH, message.to_json(), _SHARE_TIMEOUT_S
+            reply = await self._client.call(
+                address, SHARE_PATH, message.to_json(), _PUSH_TIMEOUT_S
             )
         except PeerFailed:
             # The heartbeats of this report are lost; servers soon repeat them.
             return False
         if full_sync:
             self._log.write("directory_sent_whole", {"to": address})
-            peer.filled()
+            peer.record_full_sync()
         else:
-            self._compare(address, peer, reply["digest"])
+            self._compare_digests(address, peer, reply["digest"])
         if reply["epoch"] == peer.epoch or not peer.epoch:
-            peer.sent = version
+            peer.acknowledged_version = version
         else:
-            peer.sent = 0
+            peer.acknowledged_version = 0
         peer.epoch = reply["epoch"]
-        peer.told, peer.under = summary, coordinator
+        peer.acknowledged_summary, peer.last_coordinator = summary, coordinator
         return True
 
-    def _has_news(self, peer: _Peer) -> bool:
-        has_new_records = self._view.directory.first_hand_version > peer.sent
-        new_coordinator = self._coordinator() != peer.under
-        full_sync = peer.lacks(self._loop.time())
+    def _push_is_due(self, peer: _Peer) -> bool:
+        has_new_records = (
+            self._view.directory.direct_version > peer.acknowledged_version
+        )
+        new_coordinator = self._coordinator() != peer.last_coordinator
+        full_sync = peer.needs_full_sync(self._loop.time())
         return (
             has_new_records
             or new_coordinator
             or full_sync
-            or self._summary() != peer.told
+            or self._summary() != peer.acknowledged_summary
         )
 
-    def _interval_s(self, address: str) -> float:
+    def _push_interval_s(self, address: str) -> float:
         leader = self._leader()
         if leader is None or leader == address:
             return _REPORT_INTERVAL_S
-        return _SUMMARY_INTERVAL_S if leader == self._own else _QUIET_INTERVAL_S
+        return (
+            _SUMMARY_INTERVAL_S
+            if leader == self._own_address
+            else _KEEP_ALIVE_INTERVAL_S
+        )
 
     def _summary(self) -> Summary | None:
-        if self._coordinator() != self._own:
+        if self._coordinator() != self._own_address:
             return None
         view = self._view
         return Summary(
@@ -368,16 +382,16 @@
     def _message(
         self,
         records: list[ServerRecord],
-        heard: Heard | None = None,
+        heard: Heartbeats | None = None,
         summary: Summary | None = None,
         with_hosts: bool = False,
     ) -> ShareMessage:
         return ShareMessage(
-            self._own,
+            self._own_address,
             self._zone,
             self._view.directory.digest,
             records,
             heard or {},
-            self._view.met_hosts() if with_hosts else [],
+            self._view.local_hosts() if with_hosts else [],
             summary,
         )
--- a/packages/fleet/src/kingcuplug_fleet/_mesh_messages.py
+++ b/packages/fleet/src/kingcuplug_fleet/_mesh_messages.py
@@ -7,10 +7,10 @@
 
 from kingcuplug_fleet._server_record import ServerRecord
 
-__all__ = ["Heard", "Report", "ShareMessage", "Summary"]
+__all__ = ["Heartbeats", "Report", "ShareMessage", "Summary"]
 
 # Start time and sequence of each server's last heartbeat, by server id.
-Heard = dict[str, tuple[int, int]]
+Heartbeats = dict[str, tuple[int, int]]
 
 
 @dataclass(slots=True)
@@ -97,7 +97,7 @@
     availability_zone: str
     digest: int
     servers: list[ServerRecord] = field(default_factory=list)
-    heard: Heard = field(default_factory=dict)
+    heard: Heartbeats = field(default_factory=dict)
     hosts: list[str] = field(default_factory=list)
     summary: Summary | None = None
 
--- a/packages/fleet/src/kingcuplug_fleet/_peer_client.py
+++ b/packages/fleet/src/kingcuplug_fleet/_peer_client.py
@@ -16,25 +16,25 @@
 __all__ = ["PeerFailed", "PeerRefused", "Peers", "decode_body", "encode_body"]
 
 # Shorter than the idle time-out of the listeners of other hosts.
-_IDLE_S = 8.0
-_OK = 200
-_UNAVAILABLE = 503
+_IDLE_TIMEOUT_S = 8.0
+_STATUS_OK = 200
+_STATUS_UNAVAILABLE = 503
 # Shorter bodies, such as heartbeats, fit in one packet anyway; compressing them would
 # only cost processor time.
-_DEFLATED_FROM_BYTES = 400
+_COMPRESSION_THRESHOLD_BYTES = 400
 # The fastest level; higher ones save a tenth of the bytes but take twice the time.
 _DEFLATE_LEVEL = 1
-_GREATEST_BODY_BYTES = 64 * 1024 * 1024
-_DEFLATED = (b"Content-Encoding", b"deflate")
-_JSON = (b"Content-Type", b"application/json")
+_MAX_BODY_BYTES = 64 * 1024 * 1024
+_DEFLATE_HEADER = (b"Content-Encoding", b"deflate")
+_JSON_HEADER = (b"Content-Type", b"application/json")
 
 
 def encode_body(value: Any) -> tuple[Headers, bytes]:
     """Return the headers and the body of a message between hosts."""
     body = orjson.dumps(value)
-    if len(body) < _DEFLATED_FROM_BYTES:
-        return [_JSON], body
-    return [_JSON, _DEFLATED], zlib.compress(body, _DEFLATE_LEVEL)
+    if len(body) < _COMPRESSION_THRESHOLD_BYTES:
+        return [_JSON_HEADER], body
+    return [_JSON_HEADER, _DEFLATE_HEADER], zlib.compress(body, _DEFLATE_LEVEL)
 
 
 def decode_body(encoding: bytes | None, body: bytes) -> Any:
@@ -45,10 +45,10 @@
     ValueError
         If the body is not JSON, or does not match its content encoding.
     """
-    if encoding == _DEFLATED[1]:
+    if encoding == _DEFLATE_HEADER[1]:
         decompressor = zlib.decompressobj()
         try:
-            body = decompressor.decompress(body, _GREATEST_BODY_BYTES)
+            body = decompressor.decompress(body, _MAX_BODY_BYTES)
         except zlib.error as error:
             raise ValueError(f"invalid deflate data in the body: {error}") from error
         if not decompressor.eof:
@@ -81,7 +81,7 @@
         try:
             async with asyncio.timeout(timeout_s):
                 response = await self._post(address, path, value)
-            if response.status == _OK:
+            if response.status == _STATUS_OK:
                 return decode_body(response.header(b"content-encoding"), response.body)
         except (OSError, ValueError) as error:
             # After a failed call the idle connections may be dead, too.
@@ -92,7 +92,7 @@
                 f"{address}{path}: {reason}", "another host will be tried"
             ) from error
         # Only 503 guarantees that the call was not executed.
-        failure = PeerRefused if response.status == _UNAVAILABLE else PeerFailed
+        failure = PeerRefused if response.status == _STATUS_UNAVAILABLE else PeerFailed
         raise failure(
             f"{address}{path}: status {response.status}", "another host will be tried"
         )
@@ -106,7 +106,7 @@
 
     async def _post(self, address: str, path: str, value: Any) -> Response:
         headers, body = encode_body(value)
-        connection = self._take(address)
+        connection = self._pop_idle(address)
         if connection is None:
             connection = await connect(address, timeout_s=5.0)
         lines = [f"POST {path} HTTP/1.1\r\nHost: {address}\r\n".encode()]
@@ -123,12 +123,12 @@
             self._idle.setdefault(address, []).append(connection)
         return response
 
-    def _take(self, address: str) -> OutboundConnection | None:
+    def _pop_idle(self, address: str) -> OutboundConnection | None:
         now = asyncio.get_running_loop().time()
         connections = self._idle.get(address, [])
         while connections:
             connection = connections.pop()
-            if connection.usable and now - connection.idle_since < _IDLE_S:
+            if connection.usable and now - connection.idle_since < _IDLE_TIMEOUT_S:
                 return connection
             connection.close()
         return None
--- a/packages/fleet/src/kingcuplug_fleet/_polling.py
+++ b/packages/fleet/src/kingcuplug_fleet/_polling.py
@@ -25,25 +25,25 @@
 
 LEARN_PATH = "/peer/v2/learn"
 
-_WAIT_S = 0.8
+_MAX_WAIT_S = 0.8
 # One round trip and the processing time of a busy control host, in addition to the
 # time for which the control host delays its response.
-_ANSWER_S = 0.5
+_RESPONSE_TIMEOUT_S = 0.5
 # Changes must be in force everywhere within 3 s, so a host that has lost its control
 # host has time to try only a few dead ones before it finds a live one.
-_RETRY_S = 0.05
+_RETRY_DELAY_S = 0.05
 # Without a leader no control host can serve polls; frequent retries of all hosts would
 # only load the control hosts' network links and delay the election.
-_LONGEST_RETRY_S = 0.25
-_AVOIDED_S = 4.0
+_MAX_RETRY_DELAY_S = 0.25
+_FAILURE_COOLDOWN_S = 4.0
 # Batches the changes of one burst (a rolling restart, the start of a zone) into one
 # response.
-_GATHER_S = 0.02
+_BATCH_DELAY_S = 0.02
 _REPORT_TIMEOUT_S = 0.5
 
 
 async def teach(
-    view: Knowledge, connected: Callable[[], bool], own: str, value: Any
+    view: Knowledge, connected: Callable[[], bool], own_address: str, value: Any
 ) -> dict[str, Any]:
     """Return the response to a host's poll.
 
@@ -57,14 +57,14 @@
     value : dict
         The decoded poll.
     """
-    if _is_far(view, own, value["zone"]):
+    if _should_redirect(view, own_address, value["zone"]):
         # Avoids sending the whole directory to another availability zone.
         return {"nearer": view.zones}
-    if not connected() and _has_other(view, own, value["zone"]):
+    if not connected() and _zone_has_control_host(view, own_address, value["zone"]):
         # Without a leader the polling host goes on to the next control host, so it
         # gets no records.
         return {"connected": False, "slow": view.slow}
-    view.meet_host(value["host"])
+    view.record_host_poll(value["host"])
     view.learn_servers([ServerRecord.from_json(r) for r in value["servers"]])
     directory = view.directory
     cursor = 0
@@ -82,8 +82,8 @@
         )
 
     if connected() and value["wait"]:
-        await view.changed.until(has_changes, _WAIT_S)
-        await asyncio.sleep(_GATHER_S)
+        await view.changed.until(has_changes, _MAX_WAIT_S)
+        await asyncio.sleep(_BATCH_DELAY_S)
     reply: dict[str, Any] = {
         "epoch": view.epoch,
         "cursor": directory.version,
@@ -101,16 +101,16 @@
     return reply
 
 
-def _is_far(view: Knowledge, own: str, zone: str | None) -> bool:
+def _should_redirect(view: Knowledge, own_address: str, zone: str | None) -> bool:
     """Return whether a reachable control host is nearer to the polling host."""
-    if not _has_other(view, own, zone):
+    if not _zone_has_control_host(view, own_address, zone):
         return False
-    return zone is not None and view.near(zone, own) is not None
+    return zone is not None and view.near(zone, own_address) is not None
 
 
-def _has_other(view: Knowledge, own: str, zone: str | None) -> bool:
+def _zone_has_control_host(view: Knowledge, own_address: str, zone: str | None) -> bool:
     """Return whether a zone that is not this control host's has control hosts."""
-    if zone is None or view.zones.get(own) == zone:
+    if zone is None or view.zones.get(own_address) == zone:
         return False
     return zone in view.zones.values()
 
@@ -147,28 +147,28 @@
         self,
         host: str,
         view: Knowledge,
-        peers: Peers,
+        client: Peers,
         seeds: Callable[[], tuple[str, ...]],
-        skip: Callable[[], bool],
+        paused: Callable[[], bool],
         own_address: str,
         availability_zone: str,
         log: EventLog,
     ) -> None:
         self._host = host
         self._view = view
-        self._peers = peers
+        self._client = client
         self._seeds = seeds
-        self._skip = skip
+        self._paused = paused
         self._own_address = own_address
         self._zone = availability_zone
         self._log = log
         self._cursors: dict[str, _Cursor] = {}
-        self._avoided: dict[str, float] = {}
-        self._failed: dict[str, float] = {}
+        self._avoided_since: dict[str, float] = {}
+        self._poll_failed_at: dict[str, float] = {}
         self._random = random_module.Random()
         # Receives reports while no control host is connected to a leader.
-        self._answered: str | None = None
-        self._state_key = ""
+        self._last_responder: str | None = None
+        self._state_digest = ""
         self.teacher: str | None = None
         self.confirmed_at = -math.inf
 
@@ -176,55 +176,61 @@
         """Poll until cancelled."""
         failures = 0
         while True:
-            if self._skip():
-                await asyncio.sleep(_WAIT_S / 2)
+            if self._paused():
+                await asyncio.sleep(_MAX_WAIT_S / 2)
                 continue
-            address = self.teacher or self._choose()
+            address = self.teacher or self._select_control_host()
             if address is not None and await self._poll(address):
                 failures = 0
                 continue
-            self._leave(address)
+            self._mark_failed(address)
             failures += 1
-            await asyncio.sleep(min(_RETRY_S * failures, _LONGEST_RETRY_S))
+            await asyncio.sleep(min(_RETRY_DELAY_S * failures, _MAX_RETRY_DELAY_S))
 
     async def report(self, report: Report) -> None:
         """Send a report to the control host, without a retry if it is lost."""
-        address = self.teacher or self._answered
+        address = self.teacher or self._last_responder
         if address is not None and report != Report():
             with contextlib.suppress(PeerFailed):
-                await self._peers.call(
+                await self._client.call(
                     address, REPORT_PATH, report.to_json(), _REPORT_TIMEOUT_S
                 )
 
-    def _choose(self) -> str | None:
+    def _select_control_host(self) -> str | None:
         """Return a control host, preferably one that has not failed recently."""
         now = asyncio.get_running_loop().time()
         # The seeds may be the only reachable ones if all discovered ones are gone.
         candidates = set(self._view.control) | set(self._seeds())
         candidates.discard(self._own_address)
-        limit = now - _AVOIDED_S
-        healthy = [a for a in candidates if self._avoided.get(a, limit) <= limit]
+        limit = now - _FAILURE_COOLDOWN_S
+        healthy = [a for a in candidates if self._avoided_since.get(a, limit) <= limit]
         near = [a for a in healthy if self._is_near(a)]
         if near or healthy:
             return self._random.choice(sorted(near or healthy))
-        return min(candidates, key=lambda a: self._avoided[a]) if candidates else None
+        return (
+            min(candidates, key=lambda a: self._avoided_since[a])
+            if candidates
+            else None
+        )
 
     def _is_near(self, address: str) -> bool:
         return self._view.zones.get(address) == self._zone
 
-    def _near_failed(self) -> bool:
+    def _near_poll_failed(self) -> bool:
         """Return whether a poll of a control host in this zone failed recently."""
-        limit = asyncio.get_running_loop().time() - _AVOIDED_S
-        return any(self._is_near(a) and at > limit for a, at in self._failed.items())
+        limit = asyncio.get_running_loop().time() - _FAILURE_COOLDOWN_S
+        return any(
+            self._is_near(a) and at > limit for a, at in self._poll_failed_at.items()
+        )
 
-    def _leave(self, address: str | None) -> None:
+    def _mark_failed(self, address: str | None) -> None:
         if address is not None:
-            self._avoided[address] = asyncio.get_running_loop().time()
+            self._avoided_since[address] = asyncio.get_running_loop().time()
         if self.teacher is not None:
             self._log.write("control_host_lost", {"address": address}, always=True)
             # Without reports the number of requests is out of date.
-            self._view.learn_requests(0)
-            self._state_key = ""
+            self._view.set_request_count(0)
+            self._state_digest = ""
         self.teacher = None
 
     async def _poll(self, address: str) -> bool:
@@ -239,33 +245,35 @@
             "routes": view.routes_version,
             "servers": []
             if has_polled
-            else [record.to_json() for record in view.directory.leaving()],
+            else [record.to_json() for record in view.directory.not_ready()],
             # A control host with an equal directory sends no records.
             "digest": view.directory.digest,
-            "state_key": self._state_key,
+            "state_key": self._state_digest,
             # A control host in another zone redirects to one in this zone.
-            "zone": None if self._near_failed() else self._zone,
+            "zone": None if self._near_poll_failed() else self._zone,
             # The first response is not delayed, so that it shows at once that the
             # control host is alive.
             "wait": self.teacher == address,
         }
         sent_at = asyncio.get_running_loop().time()
-        timeout_s = _ANSWER_S + (_WAIT_S if self.teacher == address else 0)
+        timeout_s = _RESPONSE_TIMEOUT_S + (
+            _MAX_WAIT_S if self.teacher == address else 0
+        )
         try:
-            reply = await self._peers.call(address, LEARN_PATH, value, timeout_s)
+            reply = await self._client.call(address, LEARN_PATH, value, timeout_s)
         except PeerFailed:
-            self._failed[address] = asyncio.get_running_loop().time()
+            self._poll_failed_at[address] = asyncio.get_running_loop().time()
             return False
         if "epoch" not in reply and "slow" in reply:
-            self._take_slow(reply["slow"])
+            self._apply_slow_servers(reply["slow"])
             return False
         if "nearer" in reply:
             view.zones = reply["nearer"]
             view.learn_control(list(reply["nearer"]))
             self.teacher = None
-            return self._is_near(self._choose() or "")
-        self._take(reply)
-        self._answered = address
+            return self._is_near(self._select_control_host() or "")
+        self._apply_reply(reply)
+        self._last_responder = address
         if reply["epoch"] != cursor.epoch:
             # A restarted control host must receive the draining and ended servers.
             self._cursors[address] = _Cursor(reply["epoch"], 0)
@@ -276,7 +284,9 @@
             return False
         # The time of sending, because the response may have been delayed in transit.
         self.confirmed_at = sent_at
-        if not self._is_near(address) and self._is_near(self._choose() or ""):
+        if not self._is_near(address) and self._is_near(
+            self._select_control_host() or ""
+        ):
             # Traffic between availability zones is billed.
             self.teacher = None
             return True
@@ -285,30 +295,30 @@
             self._log.write("control_host_found", {"address": address}, always=True)
         return True
 
-    def _take(self, reply: Any) -> None:
+    def _apply_reply(self, reply: Any) -> None:
         view = self._view
         if "document" in reply:
             view.learn_routes(reply["routes"], reply["document"])
         view.learn_servers([ServerRecord.from_json(r) for r in reply["servers"]])
         if "state" in reply:
-            self._take_state(reply["state"])
-            self._state_key = reply["state_key"]
+            self._apply_state(reply["state"])
+            self._state_digest = reply["state_key"]
         elif "slow" in reply:
-            self._take_slow(reply["slow"])
+            self._apply_slow_servers(reply["slow"])
 
-    def _take_slow(self, slow: dict[str, float]) -> None:
+    def _apply_slow_servers(self, slow: dict[str, float]) -> None:
         """Apply the slow servers sent by a control host that has no leader."""
         if self.teacher is None:
-            self._view.learn_slow(slow)
-            self._state_key = ""
+            self._view.set_slow_servers(slow)
+            self._state_digest = ""
 
-    def _take_state(self, state: Any) -> None:
+    def _apply_state(self, state: Any) -> None:
         view = self._view
         silent, slow, control_hosts, zones, host_count, request_count, reachable = state
-        view.learn_silent(set(silent))
-        view.learn_slow(slow)
+        view.set_silent_servers(set(silent))
+        view.set_slow_servers(slow)
         view.learn_control(control_hosts)
         view.zones = zones
-        view.learn_hosts(host_count)
-        view.learn_requests(request_count)
-        view.learn_reachable(tuple(reachable))
+        view.set_host_count(host_count)
+        view.set_request_count(request_count)
+        view.set_reachable_control_hosts(tuple(reachable))
--- a/packages/fleet/src/kingcuplug_fleet/_route_register.py
+++ b/packages/fleet/src/kingcuplug_fleet/_route_register.py
@@ -32,7 +32,7 @@
     def apply(self, index: int, command: Any) -> Any:
         """Store a document if its version is higher; return the version held."""
         if command["version"] > self.version:
-            self._hold(command["version"], command["document"])
+            self._replace(command["version"], command["document"])
         return self.version
 
     def dump(self) -> dict[str, Any]:
@@ -41,8 +41,8 @@
 
     def load(self, state: dict[str, Any]) -> None:
         """Replace the whole state."""
-        self._hold(state["version"], state["document"])
+        self._replace(state["version"], state["document"])
 
-    def _hold(self, version: int, document: str) -> None:
+    def _replace(self, version: int, document: str) -> None:
         self.version, self.document = version, document
         self._on_change()
--- a/packages/fleet/src/kingcuplug_fleet/_server_record.py
+++ b/packages/fleet/src/kingcuplug_fleet/_server_record.py
@@ -52,7 +52,7 @@
         """Return the record for the end of this run of the server."""
         return replace(self, state=ServerState.ENDED)
 
-    def says_more_than(self, other: "ServerRecord") -> bool:
+    def differs_materially(self, other: "ServerRecord") -> bool:
         """Return whether it differs in a field that other hosts must learn."""
         return (self.born_ms, self.service, self.address, self.slots, self.state) != (
             other.born_ms,
--- a/packages/http/src/kingcuplug_http/_inbound.py
+++ b/packages/http/src/kingcuplug_http/_inbound.py
@@ -19,12 +19,12 @@
 __all__ = ["Handler", "InboundConnection", "Limits", "Listener"]
 
 # Requests that a peer may send before their responses; beyond this, reading pauses.
-_PIPELINED_REQUESTS = 16
+_MAX_PIPELINED_REQUESTS = 16
 # Lingering close after an error response, while the rest of the request is discarded.
 # Closing with unread bytes would reset the connection before the peer has read it.
-_DISCARD_S = 1.0
-_BACKLOG = 1_024  # Unaccepted connections during a burst.
-_CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+_LINGER_S = 1.0
+_ACCEPT_BACKLOG = 1_024  # Unaccepted connections during a burst.
+_CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,7 +77,10 @@
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: InboundConnection(self, loop), host, int(port), backlog=_BACKLOG
+            lambda: InboundConnection(self, loop),
+            host,
+            int(port),
+            backlog=_ACCEPT_BACKLOG,
         )
         return f"{host}:{self._server.sockets[0].getsockname()[1]}"
 
@@ -111,19 +114,19 @@
         self._loop = loop
         self._transport: asyncio.Transport
         self._parser = httptools.HttpRequestParser(self)
-        self._waiting: deque[Request] = deque()
-        self._task: asyncio.Task[None] | None = None
-        self._served = 0
-        self._head_bytes = 0
-        self._in_head = False
+        self._queue: deque[Request] = deque()
+        self._handler_task: asyncio.Task[None] | None = None
+        self._response_count = 0
+        self._header_bytes = 0
+        self._in_headers = False
         self._in_body = False
         self._closed = False
-        self._last = False
-        self._refusal: Response | None = None
-        self._active_at = loop.time()
-        self._head_at = 0.0
+        self._input_closed = False
+        self._error_response: Response | None = None
+        self._last_activity_at = loop.time()
+        self._headers_started_at = 0.0
         self._timer: asyncio.TimerHandle | None = None
-        self._begin()
+        self._reset_request()
 
     # asyncio.Protocol callbacks
 
@@ -132,32 +135,32 @@
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._listener.connections.add(self)
-        self._active_at = self._loop.time()
-        self._watch()
+        self._last_activity_at = self._loop.time()
+        self._check_timeouts()
 
     def data_received(self, data: bytes) -> None:
         """Parse received data and start to serve complete requests."""
-        self._active_at = self._loop.time()
-        if self._last:
+        self._last_activity_at = self._loop.time()
+        if self._input_closed:
             return
-        if self._in_head or not self._in_body:
-            self._head_bytes += len(data)
+        if self._in_headers or not self._in_body:
+            self._header_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             # The request is served without the upgrade. Data after it is not HTTP/1.1
             # and is ignored.
-            self._last = True
+            self._input_closed = True
         except httptools.HttpParserError:
-            self._refuse(error_response(400, "the request is not valid HTTP/1.1"))
+            self._reject(error_response(400, "the request is not valid HTTP/1.1"))
         if (
-            self._in_head
-            and self._head_bytes > self._listener.limits().max_header_bytes
+            self._in_headers
+            and self._header_bytes > self._listener.limits().max_header_bytes
         ):
-            self._refuse(error_response(431, "the headers are too large"))
-        if len(self._waiting) > _PIPELINED_REQUESTS:
+            self._reject(error_response(431, "the headers are too large"))
+        if len(self._queue) > _MAX_PIPELINED_REQUESTS:
             self._transport.pause_reading()
-        self._next()
+        self._start_next()
 
     def eof_received(self) -> bool:
         """Close the connection when the peer has shut down its sending side."""
@@ -169,16 +172,16 @@
         self._listener.connections.discard(self)
         if self._timer is not None:
             self._timer.cancel()
-        if self._task is not None:
-            self._task.cancel()
+        if self._handler_task is not None:
+            self._handler_task.cancel()
 
     # httptools parser callbacks
 
     def on_message_begin(self) -> None:
         """Start a new request."""
-        self._begin()
-        self._in_head = True
-        self._head_at = self._loop.time()
+        self._reset_request()
+        self._in_headers = True
+        self._headers_started_at = self._loop.time()
 
     def on_url(self, url: bytes) -> None:
         """Append a part of the request target."""
@@ -190,36 +193,36 @@
 
     def on_headers_complete(self) -> None:
         """Check the limits and handle ``Expect`` before the body is read."""
-        self._in_head = False
+        self._in_headers = False
         self._in_body = True
         limits = self._listener.limits()
-        if self._head_bytes > limits.max_header_bytes:
+        if self._header_bytes > limits.max_header_bytes:
             size = len(self._target) + sum(
                 len(name) + len(value) + 4 for name, value in self._headers
             )
             if size > limits.max_header_bytes:
-                self._refuse(error_response(431, "the headers are too large"))
+                self._reject(error_response(431, "the headers are too large"))
                 return
         for name, value in self._headers:
             self._fields.setdefault(name.lower(), value)
         length = self._fields.get(b"content-length")
         if length is not None and int(length) > limits.max_body_bytes:
-            self._refuse(error_response(413, "the body is too large"))
+            self._reject(error_response(413, "the body is too large"))
         elif self._fields.get(b"expect", b"").lower() == b"100-continue":
-            self._transport.write(_CONTINUE)
+            self._transport.write(_CONTINUE_RESPONSE)
 
     def on_body(self, body: bytes) -> None:
         """Append a part of the body, and check its size limit."""
         self._body.append(body)
         self._body_bytes += len(body)
         if self._body_bytes > self._listener.limits().max_body_bytes:
-            self._refuse(error_response(413, "the body is too large"))
+            self._reject(error_response(413, "the body is too large"))
 
     def on_message_complete(self) -> None:
         """Queue the complete request."""
         self._in_body = False
-        self._head_bytes = 0
-        if self._last:
+        self._header_bytes = 0
+        if self._input_closed:
             return
         request = Request(
             method=self._parser.get_method(),
@@ -228,50 +231,50 @@
             body=b"".join(self._body),
             keep_alive=self._parser.should_keep_alive(),
             received_at=self._loop.time(),
-            first=self._served == 0 and not self._waiting,
+            first=self._response_count == 0 and not self._queue,
             fields=self._fields,
         )
-        self._last = not request.keep_alive
-        self._waiting.append(request)
+        self._input_closed = not request.keep_alive
+        self._queue.append(request)
 
     @property
     def busy(self) -> bool:
         """Whether a request is in progress or queued."""
-        return self._task is not None or bool(self._waiting)
+        return self._handler_task is not None or bool(self._queue)
 
     def close_if_idle(self) -> None:
         """Close unless a request is being received or is in progress."""
-        if not self.busy and not self._in_head and not self._in_body:
+        if not self.busy and not self._in_headers and not self._in_body:
             self._transport.close()
 
     def abort(self) -> None:
         """Close the connection without sending buffered data."""
         self._transport.abort()
 
-    def _begin(self) -> None:
+    def _reset_request(self) -> None:
         self._target = bytearray()
         self._headers: Headers = []
         self._fields: dict[bytes, bytes] = {}
         self._body: list[bytes] = []
         self._body_bytes = 0
 
-    def _refuse(self, response: Response) -> None:
+    def _reject(self, response: Response) -> None:
         """Send an error response and close, after the responses to queued requests."""
-        if self._refusal is None:
-            self._refusal = response
-            self._last = True
+        if self._error_response is None:
+            self._error_response = response
+            self._input_closed = True
 
-    def _next(self) -> None:
-        if self._task is not None or self._closed:
+    def _start_next(self) -> None:
+        if self._handler_task is not None or self._closed:
             return
-        if self._waiting:
-            request = self._waiting.popleft()
-            self._task = self._loop.create_task(self._answer(request))
-        elif self._refusal is not None:
-            self._transport.write(encode_response(self._refusal, close=True))
-            self._loop.call_later(_DISCARD_S, self._transport.close)
-
-    async def _answer(self, request: Request) -> None:
+        if self._queue:
+            request = self._queue.popleft()
+            self._handler_task = self._loop.create_task(self._serve(request))
+        elif self._error_response is not None:
+            self._transport.write(encode_response(self._error_response, close=True))
+            self._loop.call_later(_LINGER_S, self._transport.close)
+
+    async def _serve(self, request: Request) -> None:
         try:
             response = await self._listener.handler(request)
         except Exception as error:
@@ -283,40 +286,40 @@
             )
         if self._closed:
             return
-        self._served += 1
+        self._response_count += 1
         # Queued requests are served before the connection is closed.
-        close = (self._last or self._listener.closing) and not self._waiting
-        close = close and self._refusal is None
+        close = (self._input_closed or self._listener.closing) and not self._queue
+        close = close and self._error_response is None
         head = request.method == b"HEAD"
         self._transport.write(encode_response(response, close, head))
-        self._task = None
-        self._active_at = self._loop.time()
+        self._handler_task = None
+        self._last_activity_at = self._loop.time()
         if close:
-            self._last = True  # Data received from now on is ignored.
+            self._input_closed = True  # Data received from now on is ignored.
             self._transport.close()
             return
-        if len(self._waiting) <= _PIPELINED_REQUESTS:
+        if len(self._queue) <= _MAX_PIPELINED_REQUESTS:
             with contextlib.suppress(RuntimeError):
                 self._transport.resume_reading()
-        self._next()
+        self._start_next()
 
-    def _watch(self) -> None:
+    def _check_timeouts(self) -> None:
         """Check the time-outs, and schedule the next check."""
         limits, now = self._listener.limits(), self._loop.time()
-        deadline = self._active_at + limits.idle_timeout_ms / 1_000
-        if self._in_head:
-            deadline = self._head_at + limits.header_timeout_ms / 1_000
+        deadline = self._last_activity_at + limits.idle_timeout_ms / 1_000
+        if self._in_headers:
+            deadline = self._headers_started_at + limits.header_timeout_ms / 1_000
         if self.busy:
             deadline = max(deadline, now + limits.header_timeout_ms / 1_000)
         elif now >= deadline:
-            self._overdue()
+            self._on_timeout()
             return
         delay = min(deadline - now, limits.header_timeout_ms / 1_000)
-        self._timer = self._loop.call_later(max(delay, 0.01), self._watch)
+        self._timer = self._loop.call_later(max(delay, 0.01), self._check_timeouts)
 
-    def _overdue(self) -> None:
-        if self._in_head or self._in_body:
-            self._refuse(error_response(408, "the request did not arrive in time"))
-            self._next()
+    def _on_timeout(self) -> None:
+        if self._in_headers or self._in_body:
+            self._reject(error_response(408, "the request did not arrive in time"))
+            self._start_next()
         else:
             self._transport.close()
--- a/packages/http/src/kingcuplug_http/_messages.py
+++ b/packages/http/src/kingcuplug_http/_messages.py
@@ -16,7 +16,7 @@
 
 # Headers that apply to a single connection (RFC 9110, section 7.6.1). Content-Length
 # is set again for each hop, because bodies are always sent whole, not chunked.
-_HOP_BY_HOP = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"content-length",
@@ -31,8 +31,8 @@
         b"upgrade",
     )
 )
-_REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
-_BODILESS_STATUS = frozenset((204, 304))
+_REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
+_BODILESS_STATUSES = frozenset((204, 304))
 
 
 @dataclass(slots=True)
@@ -79,7 +79,7 @@
         return self.fields.get(name)
 
 
-def end_to_end(headers: Headers, dropped: frozenset[bytes] = frozenset()) -> Headers:
+def end_to_end(headers: Headers, excluded: frozenset[bytes] = frozenset()) -> Headers:
     """Return the headers to forward to the next hop, without those in `excluded`.
 
     Headers listed in ``Connection`` are hop-by-hop headers and are removed, too.
@@ -93,9 +93,9 @@
     return [
         (name, value)
         for name, value in headers
-        if (lower := name.lower()) not in _HOP_BY_HOP
+        if (lower := name.lower()) not in _HOP_BY_HOP_HEADERS
         and lower not in connection_options
-        and lower not in dropped
+        and lower not in excluded
     ]
 
 
@@ -109,10 +109,10 @@
     head : bool
         Whether the request method was HEAD, so that the body is omitted.
     """
-    reason = _REASONS.get(response.status, b"Unknown")
+    reason = _REASON_PHRASES.get(response.status, b"Unknown")
     lines = [b"HTTP/1.1 %d %s\r\n" % (response.status, reason)]
     lines += [b"%s: %s\r\n" % pair for pair in response.headers]
-    if response.status not in _BODILESS_STATUS:
+    if response.status not in _BODILESS_STATUSES:
         length = b"%d" % len(response.body)
         if head:
             # The length of the response to a GET, as announced by the backend server.
@@ -121,7 +121,7 @@
     if close:
         lines.append(b"Connection: close\r\n")
     lines.append(b"\r\n")
-    if not head and response.status not in _BODILESS_STATUS:
+    if not head and response.status not in _BODILESS_STATUSES:
         lines.append(response.body)
     return b"".join(lines)
 
--- a/packages/http/src/kingcuplug_http/_outbound.py
+++ b/packages/http/src/kingcuplug_http/_outbound.py
@@ -10,10 +10,10 @@
 
 __all__ = ["Exchange", "Failure", "OutboundConnection", "Reply", "connect"]
 
-_CLOSE = b"close"
+_CLOSE_OPTION = b"close"
 # Late responses to earlier requests are skipped until the expected one arrives; more
 # than this many mean that the peer is not a conforming HTTP server.
-_SKIPPED_RESPONSES = 4
+_MAX_SKIPPED_RESPONSES = 4
 
 
 class Failure(Enum):
@@ -90,10 +90,10 @@
         self._parser = httptools.HttpResponseParser(self)
         self._exchange: Exchange | None = None
         self._bodiless = False
-        self._skipped = 0
-        self._reading = False
-        self._until_end = False
-        self._dirty = False
+        self._skipped_responses = 0
+        self._in_response = False
+        self._ends_at_close = False
+        self._not_reusable = False
         self.usable = False
         self.idle_since = 0.0
         self.keep_alive_s: float | None = None
@@ -119,7 +119,7 @@
         """
         self._exchange = exchange
         self._bodiless = bodiless
-        self._skipped = 0
+        self._skipped_responses = 0
         self.usable = False
         self._transport.write(data)
 
@@ -146,8 +146,8 @@
 
     def eof_received(self) -> bool:
         """Complete a response whose body is delimited by the end of the connection."""
-        if self._until_end and self._reading and self._exchange is not None:
-            self._dirty = True
+        if self._ends_at_close and self._in_response and self._exchange is not None:
+            self._not_reusable = True
             self._complete()
         return False
 
@@ -159,15 +159,15 @@
     def on_message_begin(self) -> None:
         """Start a new response, or close the connection if it is unsolicited."""
         if self._exchange is None:
-            self._dirty = True
+            self._not_reusable = True
             self.usable = False
             self._transport.close()
         self._headers = []
         self._fields = {}
         self._body = []
         self._status = 0
-        self._until_end = False
-        self._reading = True
+        self._ends_at_close = False
+        self._in_response = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Append a header."""
@@ -181,9 +181,9 @@
         has_length = b"content-length" in self._fields
         has_length = has_length or b"transfer-encoding" in self._fields
         bodiless = self._status in (204, 304) or self._status < 200
-        self._until_end = not has_length and not bodiless
+        self._ends_at_close = not has_length and not bodiless
         if self._bodiless and self._status >= 200:
-            self._dirty = True
+            self._not_reusable = True
             self._complete()
 
     def on_body(self, body: bytes) -> None:
@@ -192,35 +192,40 @@
 
     def on_message_complete(self) -> None:
         """Complete the response, unless it is an interim one (1xx)."""
-        if self._status >= 200 and self._reading:
+        if self._status >= 200 and self._in_response:
             self._complete()
 
     def _complete(self) -> None:
-        self._reading = False
+        self._in_response = False
         exchange = self._exchange
         if exchange is None:
-            self._dirty = True
+            self._not_reusable = True
             return
         response = Response(
             self._status, self._headers, b"".join(self._body), self._fields
         )
         if not exchange.accepts(response):
-            self._skipped += 1
-            if self._dirty or self._skipped > _SKIPPED_RESPONSES:
+            self._skipped_responses += 1
+            if self._not_reusable or self._skipped_responses > _MAX_SKIPPED_RESPONSES:
                 self._fail(Failure.INVALID)
             return
         self._exchange = None
-        self._settle(response)
+        self._update_usable(response)
         exchange.answered(response)
 
-    def _settle(self, response: Response) -> None:
+    def _update_usable(self, response: Response) -> None:
         """Determine whether the connection can be reused, and close it otherwise."""
         self.idle_since = self._loop.time()
         self.keep_alive_s = _keep_alive_s(response)
-        peer_closes = _CLOSE in response.fields.get(b"connection", b"").lower()
+        peer_closes = _CLOSE_OPTION in response.fields.get(b"connection", b"").lower()
         # Unsent request data means that the peer responded before reading all of it.
         unsent = self._transport.get_write_buffer_size() > 0
-        if self._dirty or peer_closes or unsent or not self._parser.should_keep_alive():
+        if (
+            self._not_reusable
+            or peer_closes
+            or unsent
+            or not self._parser.should_keep_alive()
+        ):
             self._transport.close()
             return
         self.usable = True
--- a/tests/fleet/conftest.py
+++ b/tests/fleet/conftest.py
@@ -7,7 +7,7 @@
 import pytest
 from kingcuplug_fleet import PeerFailed, ServerRecord, ServerState
 
-Answer = Callable[[str, Any], Awaitable[Any]]
+Handler = Callable[[str, Any], Awaitable[Any]]
 
 
 def make_record(**fields: Any) -> ServerRecord:
@@ -30,28 +30,30 @@
     return make_record
 
 
-class FakePeers:
+class FakePeerClient:
     """Client that dispatches calls to a handler function per address."""
 
     def __init__(self) -> None:
-        self.answers: dict[str, Answer] = {}
+        self.handlers: dict[str, Handler] = {}
         self.frozen: set[str] = set()
 
     async def call(self, address: str, path: str, value: Any, timeout_s: float) -> Any:
         """Call the handler of an address; calls to a frozen address time out."""
         try:
             async with asyncio.timeout(timeout_s):
-                reply = await self.answers[address](path, value)
+                reply = await self.handlers[address](path, value)
                 if address in self.frozen:
                     await asyncio.sleep(timeout_s)
                 return reply
         except TimeoutError as error:
             raise PeerFailed("no response", "try another host") from error
 
-    def between(self, caller: str, sides: dict[str, str]) -> "FakePeers":
+    def restricted_to_partition(
+        self, caller: str, sides: dict[str, str]
+    ) -> "FakePeerClient":
         """Return a client for one host that reaches only its side of a partition."""
-        limited = FakePeers()
-        limited.answers = self.answers
+        restricted = FakePeerClient()
+        restricted.handlers = self.handlers
 
         async def call(address: str, path: str, value: Any, timeout_s: float) -> Any:
             if address not in sides[caller]:
@@ -59,5 +61,5 @@
                 raise PeerFailed("no response", "try another host")
             return await self.call(address, path, value, timeout_s)
 
-        limited.call = call
-        return limited
+        restricted.call = call
+        return restricted
--- a/tests/fleet/test_directory.py
+++ b/tests/fleet/test_directory.py
@@ -50,7 +50,7 @@
     directory = Directory(5.0)
     directory.merge(record(), 0.0)
     assert directory.silent(6.0) == {"i-1"}
-    directory.heard("i-1", 1_000, 5, 6.0)
+    directory.record_heartbeat("i-1", 1_000, 5, 6.0)
     assert directory.silent(6.0) == set()
 
 
@@ -58,7 +58,7 @@
     """Guards against keeping a server alive by heartbeats of an earlier run."""
     directory = Directory(5.0)
     directory.merge(record(born_ms=2_000), 0.0)
-    directory.heard("i-1", 1_000, 99, 6.0)
+    directory.record_heartbeat("i-1", 1_000, 99, 6.0)
     assert directory.silent(6.0) == {"i-1"}
 
 
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from kingcuplug_fleet import Joiner, next_change
+from kingcuplug_fleet import JoinRequest, next_membership_change
 from kingcuplug_fleet._control_replica import is_formed
 from kingcuplug_log import LogStatus, Member, MemberRole, PeerStatus, ReplicaRole
 
@@ -31,50 +31,60 @@
     )
 
 
-def _joiners(*members: Member, fresh: bool = True) -> dict[str, Joiner]:
-    return {member.id: Joiner(member, fresh, False) for member in members}
+def _join_requests(*members: Member, empty_disk: bool = True) -> dict[str, JoinRequest]:
+    return {member.id: JoinRequest(member, empty_disk, False) for member in members}
 
 
 def test_new_host_is_added():
     """Guards against a group that stays too small to tolerate a loss."""
     new = _member("d")
-    assert next_change(_status({"b": 1, "c": 1}), _joiners(new), 0) == new
+    assert (
+        next_membership_change(_status({"b": 1, "c": 1}), _join_requests(new), 0) == new
+    )
 
 
 def test_member_with_an_emptied_disk_is_removed_before_its_host_joins():
     """Guards against counting a voter that has lost the record of its votes."""
     status = _status({"b": 1, "c": 1, "d": 9_000})
-    assert next_change(status, _joiners(_member("d", disk="2")), 0) == "d/1"
+    assert (
+        next_membership_change(status, _join_requests(_member("d", disk="2")), 0)
+        == "d/1"
+    )
 
 
 def test_unresponsive_voter_is_kept_without_a_replacement():
     """Guards against shrinking the group whenever a host is partitioned."""
-    assert next_change(_status({"b": 1, "c": 1, "d": 9_000}), {}, 0) is None
+    assert next_membership_change(_status({"b": 1, "c": 1, "d": 9_000}), {}, 0) is None
 
 
 def test_unresponsive_voter_is_removed_once_a_replacement_has_joined():
     """Guards against a group that keeps a removed host as a voter."""
     status = _status({"b": 1, "c": 1, "d": 9_000, "e": 1})
-    assert next_change(status, {}, 1) == "d/1"
-    assert next_change(_status({"b": 1, "c": 1, "d": 900, "e": 1}), {}, 1) is None
+    assert next_membership_change(status, {}, 1) == "d/1"
+    assert (
+        next_membership_change(_status({"b": 1, "c": 1, "d": 900, "e": 1}), {}, 1)
+        is None
+    )
 
 
 def test_group_of_three_voters_is_never_reduced():
     """Guards against a group of two, which does not tolerate a loss."""
-    assert next_change(_status({"b": 1, "c": 90_000}), {}, 1) is None
+    assert next_membership_change(_status({"b": 1, "c": 90_000}), {}, 1) is None
 
 
 def test_unresponsive_learner_is_removed():
     """Guards against a dead learner that blocks its own next join request."""
     status = _status({"b": 1, "c": 5_000}, c=MemberRole.LEARNER)
-    assert next_change(status, {}, 0) == "c/1"
+    assert next_membership_change(status, {}, 0) == "c/1"
 
 
 def test_removed_host_may_rejoin():
     """Guards against a host that can never rejoin after a partition."""
     returning = _member("d")
     assert (
-        next_change(_status({"b": 1, "c": 1}), _joiners(returning, fresh=False), 0)
+        next_membership_change(
+            _status({"b": 1, "c": 1}), _join_requests(returning, empty_disk=False), 0
+        )
         == returning
     )
 
--- a/tests/fleet/test_mesh.py
+++ b/tests/fleet/test_mesh.py
@@ -18,31 +18,31 @@
 )
 from kingcuplug_testkit import run_virtual
 
-from .conftest import Answer, FakePeers, make_record
+from .conftest import FakePeerClient, Handler, make_record
 
 
-class World:
+class Cluster:
     """Control hosts a, b, c with their meshes, each in a zone of the same name."""
 
     def __init__(self, names: str = "abc") -> None:
         self.names = names
         self.leader: str | None = names[0]
-        self.peers = FakePeers()
+        self.client = FakePeerClient()
         self.pushes: list[tuple[str, int]] = []
         self.views = {name: Knowledge(4.0) for name in names}
-        self.meshes = {name: self._mesh(name) for name in names}
+        self.meshes = {name: self._make_mesh(name) for name in names}
         for name in names:
-            self.peers.answers[name] = self._answer(name)
+            self.client.handlers[name] = self._make_handler(name)
             self.views[name].learn_control(list(names))
 
-    def _mesh(self, name: str) -> Mesh:
+    def _make_mesh(self, name: str) -> Mesh:
         log = EventLog(os.open(os.devnull, os.O_WRONLY), name)
         view = self.views[name]
         return Mesh(
-            f"host-{name}", view, self.peers, name, name, lambda: self.leader, log
+            f"host-{name}", view, self.client, name, name, lambda: self.leader, log
         )
 
-    def _answer(self, name: str) -> Answer:
+    def _make_handler(self, name: str) -> Handler:
         async def answer(path, value):
             if path == REPORT_PATH:
                 return self.meshes[name].take_report(Report.from_json(value))
@@ -52,7 +52,7 @@
 
         return answer
 
-    def hear(self, name: str, **fields) -> None:
+    def receive_heartbeat(self, name: str, **fields) -> None:
         """Deliver a server's heartbeat to a control host, as its listener does."""
         record = make_record(**fields)
         self.views[name].learn_servers([record], first_hand=True)
@@ -68,7 +68,7 @@
             for task in tasks:
                 task.cancel()
 
-    def all(self, condition: Callable[[Knowledge], bool]) -> bool:
+    def all_views(self, condition: Callable[[Knowledge], bool]) -> bool:
         """Return whether a condition holds for the view of each control host."""
         return all(condition(view) for view in self.views.values())
 
@@ -77,10 +77,10 @@
     """Guards against losing an acknowledged drain with the only host that stores it."""
 
     async def run() -> None:
-        cluster = World()
+        cluster = Cluster()
         with cluster.running():
             await asyncio.sleep(1.5)
-            cluster.peers.frozen.add("b")
+            cluster.client.frozen.add("b")
             record = make_record(state=ServerState.DRAINING)
             cluster.views["a"].learn_servers([record], first_hand=True)
             assert await cluster.meshes["a"].tell(record)
@@ -95,13 +95,13 @@
     """Guards against control hosts that keep reporting a dead host to each other."""
 
     async def run() -> None:
-        cluster = World("ab")
+        cluster = Cluster("ab")
         with cluster.running():
-            cluster.views["b"].meet_host("gone")
+            cluster.views["b"].record_host_poll("gone")
             await asyncio.sleep(2.0)
-            assert cluster.all(lambda view: view.hosts == 3)
+            assert cluster.all_views(lambda view: view.hosts == 3)
             await asyncio.sleep(10.0)
-            assert cluster.all(lambda view: view.hosts == 2)
+            assert cluster.all_views(lambda view: view.hosts == 2)
 
     run_virtual(run())
 
@@ -110,17 +110,17 @@
     """Guards against control hosts that use only the few samples of their own hosts."""
 
     async def run() -> None:
-        cluster = World()
+        cluster = Cluster()
         with cluster.running():
             for _ in range(8):
                 for mesh in cluster.meshes.values():
                     mesh.take_report(Report({"slow": (1, 3.0), "fast": (1, 1.0)}))
                 await asyncio.sleep(0.25)
             await asyncio.sleep(1.0)
-            assert cluster.all(lambda view: set(view.slow) == {"slow"})
+            assert cluster.all_views(lambda view: set(view.slow) == {"slow"})
             assert cluster.views["b"].zones == {name: name for name in "abc"}
             await asyncio.sleep(8.0)
-            assert cluster.all(lambda view: view.slow == {})
+            assert cluster.all_views(lambda view: view.slow == {})
 
     run_virtual(run())
 
@@ -132,14 +132,16 @@
     """
 
     async def run() -> None:
-        cluster = World()
+        cluster = Cluster()
         with cluster.running():
             await asyncio.sleep(3.0)
             cluster.pushes.clear()
             for number in range(40):
-                cluster.hear("b", id=f"i-{number}", address=f"10.0.0.{number}:80")
+                cluster.receive_heartbeat(
+                    "b", id=f"i-{number}", address=f"10.0.0.{number}:80"
+                )
             await asyncio.sleep(1.0)
-            assert cluster.all(lambda view: len(view.directory.usable()) == 40)
+            assert cluster.all_views(lambda view: len(view.directory.usable()) == 40)
             assert sum(records for _, records in cluster.pushes) == 2 * 40
 
     run_virtual(run())
@@ -153,13 +155,13 @@
     """
 
     async def run() -> None:
-        cluster = World()
+        cluster = Cluster()
         with cluster.running():
             await asyncio.sleep(3.0)
             record = make_record()
             cluster.views["a"].learn_servers([record])
             await asyncio.sleep(8.0)
-            assert cluster.all(lambda view: view.directory.find("i-1") == record)
+            assert cluster.all_views(lambda view: view.directory.find("i-1") == record)
 
     run_virtual(run())
 
@@ -168,13 +170,15 @@
     """Guards against records that reach only some control hosts without a leader."""
 
     async def run() -> None:
-        cluster = World()
+        cluster = Cluster()
         cluster.leader = None
         with cluster.running():
             await asyncio.sleep(1.0)
             cluster.views["a"].learn_servers([make_record()])
             await asyncio.sleep(8.0)
-            assert cluster.all(lambda view: view.directory.find("i-1") is not None)
+            assert cluster.all_views(
+                lambda view: view.directory.find("i-1") is not None
+            )
 
     run_virtual(run())
 
@@ -183,14 +187,16 @@
     """Guards against control hosts that disagree about which servers are silent."""
 
     async def run() -> None:
-        cluster = World()
+        cluster = Cluster()
         with cluster.running():
             for sequence in range(1, 16):
-                cluster.hear("b", id="i-1", sequence=sequence)
+                cluster.receive_heartbeat("b", id="i-1", sequence=sequence)
                 if sequence < 4:
-                    cluster.hear("c", id="i-2", address="q:1", sequence=sequence)
+                    cluster.receive_heartbeat(
+                        "c", id="i-2", address="q:1", sequence=sequence
+                    )
                 await asyncio.sleep(1.0)
-            assert cluster.all(lambda view: view.silent == {"i-2"})
+            assert cluster.all_views(lambda view: view.silent == {"i-2"})
 
     run_virtual(run())
 
@@ -203,12 +209,12 @@
     """
 
     async def run() -> None:
-        cluster = World()
+        cluster = Cluster()
         seen: set[tuple[int, int]] = set()
         with cluster.running():
             for sequence in range(1, 30):
-                cluster.hear("b", id="i-1", sequence=sequence)
-                cluster.views["b"].meet_host("host-x")
+                cluster.receive_heartbeat("b", id="i-1", sequence=sequence)
+                cluster.views["b"].record_host_poll("host-x")
                 if sequence == 12:
                     cluster.leader = None
                 if sequence == 18:
@@ -228,12 +234,12 @@
     """Guards against redirecting servers and hosts to a dead control host."""
 
     async def run() -> None:
-        cluster = World()
+        cluster = Cluster()
         with cluster.running():
             await asyncio.sleep(3.0)
-            assert cluster.all(lambda view: set(view.reachable) == set("abc"))
+            assert cluster.all_views(lambda view: set(view.reachable) == set("abc"))
             assert cluster.views["b"].near("c", "i-1") == "c"
-            cluster.meshes["c"]._follow_members = lambda: None
+            cluster.meshes["c"]._update_peers = lambda: None
             for peer in cluster.meshes["c"]._peers.values():
                 peer.task.cancel()
             await asyncio.sleep(5.0)
@@ -247,19 +253,21 @@
     """Guards against a control host that gets no pushes after one malformed reply."""
 
     async def run() -> None:
-        cluster = World()
-        valid_handler = cluster.peers.answers["b"]
+        cluster = Cluster()
+        valid_handler = cluster.client.handlers["b"]
 
         async def reply_malformed(path, value):
             return {}
 
-        cluster.peers.answers["b"] = reply_malformed
+        cluster.client.handlers["b"] = reply_malformed
         with cluster.running():
             await asyncio.sleep(3.0)
-            cluster.peers.answers["b"] = valid_handler
-            cluster.hear("a", id="i-1")
+            cluster.client.handlers["b"] = valid_handler
+            cluster.receive_heartbeat("a", id="i-1")
             await asyncio.sleep(3.0)
-            assert cluster.all(lambda view: view.directory.find("i-1") is not None)
+            assert cluster.all_views(
+                lambda view: view.directory.find("i-1") is not None
+            )
 
     run_virtual(run())
 
@@ -268,9 +276,9 @@
     """Guards against sending the whole directory to each host in another zone."""
 
     async def run() -> None:
-        cluster = World()
+        cluster = Cluster()
         with cluster.running():
-            cluster.hear("a", id="i-1")
+            cluster.receive_heartbeat("a", id="i-1")
             await asyncio.sleep(3.0)
             poll = {
                 "host": "host-x",
@@ -306,7 +314,7 @@
     """Guards against partial counts of a new leader that has just started to count."""
 
     async def run() -> None:
-        cluster = World()
+        cluster = Cluster()
         with cluster.running():
             published = set()
             for step in range(80):
@@ -319,7 +327,7 @@
             # 30 requests per second, in a window of up to 11 s, plus one report each.
             assert all(count == 0 or 200 < count <= 345 for count in published)
             assert len(published) > 1
-            assert cluster.all(lambda view: view.requests == 0)
+            assert cluster.all_views(lambda view: view.requests == 0)
 
     run_virtual(run())
 
@@ -331,11 +339,11 @@
     """
 
     async def run() -> None:
-        cluster = World("abcd")
+        cluster = Cluster("abcd")
         cluster.leader = None
         sides = {"a": "ab", "b": "ab", "c": "cd", "d": "cd"}
         for name, mesh in cluster.meshes.items():
-            mesh._calls = cluster.peers.between(name, sides)
+            mesh._client = cluster.client.restricted_to_partition(name, sides)
         with cluster.running():
             await asyncio.sleep(2.0)
             for _ in range(8):
@@ -352,13 +360,13 @@
     """Guards against avoiding servers that send heartbeats to the other partition."""
 
     async def run() -> None:
-        cluster = World("ab")
+        cluster = Cluster("ab")
         with cluster.running():
-            cluster.hear("b", id="i-1")
+            cluster.receive_heartbeat("b", id="i-1")
             await asyncio.sleep(2.0)
             cluster.leader = None
             await asyncio.sleep(10.0)
-            assert cluster.all(lambda view: view.silent == set())
+            assert cluster.all_views(lambda view: view.silent == set())
 
     run_virtual(run())
 
@@ -367,14 +375,14 @@
     """Guards against reports of unexpected errors whenever a control host is lost."""
 
     async def run() -> None:
-        cluster = World()
+        cluster = Cluster()
         unexpected = []
         asyncio.get_running_loop().set_exception_handler(
             lambda loop, context: unexpected.append(context)
         )
         with cluster.running():
             await asyncio.sleep(1.5)
-            cluster.peers.frozen.add("c")
+            cluster.client.frozen.add("c")
             record = make_record(state=ServerState.DRAINING)
             assert await cluster.meshes["a"].tell(record)
             await asyncio.sleep(2.0)
--- a/tests/fleet/test_polling.py
+++ b/tests/fleet/test_polling.py
@@ -15,22 +15,26 @@
 )
 from kingcuplug_testkit import run_virtual
 
-from .conftest import Answer, FakePeers, make_record
+from .conftest import FakePeerClient, Handler, make_record
 
 
-def _teacher(view: Knowledge, connected: bool = True, address: str = "") -> Answer:
+def _poll_handler(
+    view: Knowledge, connected: bool = True, address: str = ""
+) -> Handler:
     async def answer(path: str, value: Any) -> Any:
         return await teach(view, lambda: connected, address, value)
 
     return answer
 
 
-def _learner(view: Knowledge, client: FakePeers, seeds: tuple[str, ...]) -> Learner:
+def _make_poller(
+    view: Knowledge, client: FakePeerClient, seeds: tuple[str, ...]
+) -> Learner:
     log = EventLog(os.open(os.devnull, os.O_WRONLY), "host")
     return Learner("host", view, client, lambda: seeds, lambda: False, "self", "z", log)
 
 
-async def _until(condition: Callable[[], bool], seconds: float) -> float:
+async def _wait_until(condition: Callable[[], bool], seconds: float) -> float:
     """Wait until a condition holds, at most `seconds`; return the time waited."""
     loop = asyncio.get_running_loop()
     started_at = loop.time()
@@ -48,18 +52,18 @@
     """
 
     async def run() -> None:
-        client, own, remote = FakePeers(), Knowledge(5.0), Knowledge(5.0)
+        client, own, remote = FakePeerClient(), Knowledge(5.0), Knowledge(5.0)
         remote.learn_control(["a", "b", "c"])
         seeds = ("a", "b", "c")
         for address in seeds:
-            client.answers[address] = _teacher(remote)
-        poller = _learner(own, client, seeds)
+            client.handlers[address] = _poll_handler(remote)
+        poller = _make_poller(own, client, seeds)
         poller._random.seed(seed)
         task = asyncio.ensure_future(poller.run())
-        await _until(lambda: poller.teacher is not None, 2.0)
+        await _wait_until(lambda: poller.teacher is not None, 2.0)
         client.frozen.add(poller.teacher)
         remote.learn_routes(7, "{}")
-        await _until(lambda: own.routes_version == 7, 3.0)
+        await _wait_until(lambda: own.routes_version == 7, 3.0)
         task.cancel()
 
     run_virtual(run())
@@ -69,18 +73,18 @@
     """Guards against polling a partitioned control host that has outdated routes."""
 
     async def run() -> None:
-        client, own = FakePeers(), Knowledge(5.0)
+        client, own = FakePeerClient(), Knowledge(5.0)
         partitioned, current = Knowledge(5.0), Knowledge(5.0)
         partitioned.learn_routes(1, "old")
         current.learn_routes(2, "new")
-        client.answers = {
-            "a": _teacher(partitioned, connected=False),
-            "b": _teacher(current),
+        client.handlers = {
+            "a": _poll_handler(partitioned, connected=False),
+            "b": _poll_handler(current),
         }
-        poller = _learner(own, client, ("a", "b"))
+        poller = _make_poller(own, client, ("a", "b"))
         task = asyncio.ensure_future(poller.run())
-        await _until(lambda: own.routes_version == 2, 3.0)
-        await _until(lambda: poller.teacher == "b", 1.0)
+        await _wait_until(lambda: own.routes_version == 2, 3.0)
+        await _wait_until(lambda: poller.teacher == "b", 1.0)
         task.cancel()
 
     run_virtual(run())
@@ -90,15 +94,15 @@
     """Guards against losing a drain when all control hosts restart at once."""
 
     async def run() -> None:
-        client, own, first = FakePeers(), Knowledge(5.0), Knowledge(5.0)
+        client, own, first = FakePeerClient(), Knowledge(5.0), Knowledge(5.0)
         record = make_record(state=ServerState.DRAINING, sequence=8)
         first.learn_servers([record])
-        client.answers = {"a": _teacher(first)}
-        task = asyncio.ensure_future(_learner(own, client, ("a",)).run())
-        await _until(lambda: own.directory.find("i-1") is not None, 2.0)
+        client.handlers = {"a": _poll_handler(first)}
+        task = asyncio.ensure_future(_make_poller(own, client, ("a",)).run())
+        await _wait_until(lambda: own.directory.find("i-1") is not None, 2.0)
         restarted = Knowledge(5.0)
-        client.answers = {"a": _teacher(restarted)}
-        await _until(lambda: restarted.directory.find("i-1") == record, 4.0)
+        client.handlers = {"a": _poll_handler(restarted)}
+        await _wait_until(lambda: restarted.directory.find("i-1") == record, 4.0)
         restarted.learn_servers([make_record(sequence=5)])
         assert restarted.directory.usable() == []
         task.cancel()
@@ -122,15 +126,15 @@
     """Guards against unnecessary control traffic between availability zones."""
 
     async def run() -> None:
-        client, own, remote = FakePeers(), Knowledge(5.0), Knowledge(5.0)
+        client, own, remote = FakePeerClient(), Knowledge(5.0), Knowledge(5.0)
         remote.learn_control(["a", "b", "c"])
         remote.zones = {"a": "y", "b": "z", "c": "x"}
-        client.answers = {name: _teacher(remote) for name in "abc"}
-        poller = _learner(own, client, ("a", "c"))
+        client.handlers = {name: _poll_handler(remote) for name in "abc"}
+        poller = _make_poller(own, client, ("a", "c"))
         task = asyncio.ensure_future(poller.run())
-        await _until(lambda: poller.teacher == "b", 2.0)
+        await _wait_until(lambda: poller.teacher == "b", 2.0)
         client.frozen.add("b")
-        await _until(lambda: poller.teacher in ("a", "c"), 3.0)
+        await _wait_until(lambda: poller.teacher in ("a", "c"), 3.0)
         task.cancel()
 
     run_virtual(run())
--- a/tests/http/conftest.py
+++ b/tests/http/conftest.py
@@ -17,7 +17,7 @@
 
 
 @dataclass
-class Served:
+class RunningServer:
     """A running listener and the requests that it has received."""
 
     address: str
@@ -32,20 +32,20 @@
 @asynccontextmanager
 async def _serve(
     handler: Handler = _echo, limits: Limits = SMALL_LIMITS
-) -> AsyncIterator[Served]:
+) -> AsyncIterator[RunningServer]:
     async def record(request: Request) -> Response:
         server.requests.append(request)
         return await handler(request)
 
     listener = Listener(record, lambda: limits)
-    server = Served(await listener.start("127.0.0.1:0"), listener)
+    server = RunningServer(await listener.start("127.0.0.1:0"), listener)
     try:
         yield server
     finally:
         await listener.stop()
 
 
-async def _talk(address: str, data: bytes) -> bytes:
+async def _send_raw(address: str, data: bytes) -> bytes:
     """Send raw bytes; return all data received until the peer closes."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
@@ -57,10 +57,10 @@
 
 
 @pytest.fixture
-def serve() -> Callable[..., AbstractAsyncContextManager[Served]]:
+def serve() -> Callable[..., AbstractAsyncContextManager[RunningServer]]:
     return _serve
 
 
 @pytest.fixture
 def send_raw() -> Callable[[str, bytes], Awaitable[bytes]]:
-    return _talk
+    return _send_raw
--- a/tests/http/test_outbound.py
+++ b/tests/http/test_outbound.py
@@ -8,10 +8,12 @@
 import pytest
 from kingcuplug_http import Failure, OutboundConnection, Response, connect
 
-Script = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+ConnectionHandler = Callable[
+    [asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]
+]
 
 
-class Recorder:
+class RecordingExchange:
     """Exchange that accepts only responses with its id, and records the result."""
 
     def __init__(self, identifier: bytes) -> None:
@@ -31,14 +33,16 @@
         self.result.set_result(failure)
 
 
-def _exchange(reply: bytes, reset: bool = False) -> tuple[Response | Failure, bool]:
+def _run_request(
+    response_data: bytes, reset: bool = False
+) -> tuple[Response | Failure, bool]:
     """Return the result of one request, and whether the connection is reusable."""
 
     async def serve_connection(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(reply)
+        writer.write(response_data)
         await writer.drain()
         if reset:
             linger = struct.pack("ii", 1, 0)  # Closing resets the connection.
@@ -46,14 +50,14 @@
                 socket.SOL_SOCKET, socket.SO_LINGER, linger
             )
             writer.transport.abort()
-        elif b"Content-Length" not in reply:
+        elif b"Content-Length" not in response_data:
             writer.close()
 
     async def run() -> tuple[Response | Failure, bool]:
         server = await asyncio.start_server(serve_connection, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         connection: OutboundConnection = await connect(f"127.0.0.1:{port}", 5.0)
-        exchange = Recorder(b"7")
+        exchange = RecordingExchange(b"7")
         connection.send(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n", exchange)
         result = await asyncio.wait_for(exchange.result, timeout=5)
         await asyncio.sleep(0.02)
@@ -67,7 +71,7 @@
 
 def test_late_response_to_another_request_is_skipped():
     """Guards against a late response that belongs to the previous request."""
-    result, _ = _exchange(
+    result, _ = _run_request(
         b"HTTP/1.1 200 OK\r\nId: 6\r\nContent-Length: 3\r\n\r\nold"
         b"HTTP/1.1 200 OK\r\nId: 7\r\nContent-Length: 3\r\n\r\nnew"
     )
@@ -77,7 +81,7 @@
 
 def test_extra_data_after_the_response_closes_the_connection():
     """Guards against matching an unsolicited response to the next request."""
-    result, usable = _exchange(
+    result, usable = _run_request(
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
         b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra"
     )
@@ -96,13 +100,13 @@
 )
 def test_response_interrupted_by_a_reset_is_incomplete(reply):
     """Guards against a truncated response that appears complete."""
-    result, _ = _exchange(reply, reset=True)
+    result, _ = _run_request(reply, reset=True)
     assert result is Failure.LOST
 
 
 def test_response_without_length_ends_at_close():
     """Guards against rejecting a complete response that has no length."""
-    result, usable = _exchange(b"HTTP/1.1 200 OK\r\n\r\nwhole")
+    result, usable = _run_request(b"HTTP/1.1 200 OK\r\n\r\nwhole")
     assert isinstance(result, Response)
     assert result.body == b"whole"
     assert not usable
@@ -110,14 +114,14 @@
 
 def test_invalid_response_fails_the_request():
     """Guards against forwarding data that is not HTTP."""
-    result, usable = _exchange(b"\x00\x01garbage\r\n\r\n")
+    result, usable = _run_request(b"\x00\x01garbage\r\n\r\n")
     assert result is Failure.INVALID
     assert not usable
 
 
 def test_interim_response_is_ignored():
     """Guards against accepting 100 Continue as the final response."""
-    result, _ = _exchange(
+    result, _ = _run_request(
         b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
     )
     assert isinstance(result, Response)
