--- a/tests/fleet/test_mesh.py
+++ b/tests/fleet/test_mesh.py
@@ -43,14 +43,14 @@
         )
 
     def _make_handler(self, name: str) -> Handler:
-        async def answer(path, value):
+        async def handle(path, value):
             if path == REPORT_PATH:
                 return self.meshes[name].take_report(Report.from_json(value))
             assert path == SHARE_PATH
             self.pushes.append((name, len(value[3])))
             return self.meshes[name].take(value)
 
-        return answer
+        return handle
 
     def receive_heartbeat(self, name: str, **fields) -> None:
         """Deliver a server's heartbeat to a control host, as its listener does."""
--- a/tests/fleet/test_polling.py
+++ b/tests/fleet/test_polling.py
@@ -21,10 +21,10 @@
 def _poll_handler(
     view: Knowledge, connected: bool = True, address: str = ""
 ) -> Handler:
-    async def answer(path: str, value: Any) -> Any:
+    async def handle(path: str, value: Any) -> Any:
         return await teach(view, lambda: connected, address, value)
 
-    return answer
+    return handle
 
 
 def _make_poller(
