--- a/packages/fleet/src/kingcuplug_fleet/_directory.py
+++ b/packages/fleet/src/kingcuplug_fleet/_directory.py
@@ -1,77 +1,76 @@
-"""The backend servers that this host has heard of."""
+"""Directory of the backend servers that this host has discovered."""
 
 import hashlib
 from collections.abc import Collection
 from dataclasses import dataclass
 
-from kingcuplug_fleet._records import ServerRecord, ServerState
+from kingcuplug_fleet._server_record import ServerRecord, ServerState
 
 __all__ = ["Directory"]
 
-# Late statements of servers that are gone arrive within the length of a network
-# partition; after this time a host no longer has to recognize them.
-_ENDED_KEPT_S = 120.0
-# A server that says nothing for so long is gone without a word. One that was only
-# cut off is kept, because its statements count from where they were.
-_SILENT_KEPT_S = 3_600.0
-
-
-_DIGEST_BYTES = 8  # Two directories differ unnoticed once in 2**64 comparisons.
+# Late records of ended servers may arrive until a network partition has healed. After
+# this time a host no longer has to recognize them as outdated.
+_ENDED_RETENTION_S = 120.0
+# A server without a heartbeat for this long has crashed or was removed. One that is
+# only partitioned must be kept, because its sequence continues when it returns.
+_SILENT_RETENTION_S = 3_600.0
+# Two different directories have equal digests with a probability of 1 in 2**64.
+_DIGEST_BYTES = 8
 
 
 @dataclass(slots=True)
 class _Entry:
     record: ServerRecord
     version: int
-    heard_at: float
+    heartbeat_at: float
     first_hand: bool
 
 
 class Directory:
-    """The greatest statement of each server, with a version for each change.
+    """The record with the highest rank of each server, versioned by change.
 
     Parameters
     ----------
     silent_after_s : float
-        Without a statement for this long, a server counts as silent.
+        Time without a heartbeat after which a server counts as silent.
 
     Attributes
     ----------
     version : int
-        Grows with every change that other hosts must learn.
-    first_hand_version : int
-        The version of the last change that a server itself told this host.
+        Increases with every change that other hosts must learn.
+    direct_version : int
+        Version of the last change that this host received directly from a server.
     digest : int
-        Equal at hosts that hold the same statements, whatever their order. Servers
-        that have ended do not count, because hosts forget them at different times.
+        Equal on hosts that hold the same records, in any order. Ended servers are
+        excluded, because hosts drop them at different times.
     """
 
     def __init__(self, silent_after_s: float) -> None:
         self._silent_after_s = silent_after_s
         self._entries: dict[str, _Entry] = {}
-        self._newest_at: dict[str, str] = {}
+        self._newest_by_address: dict[str, str] = {}
         self.version = 0
-        self.first_hand_version = 0
+        self.direct_version = 0
         self.digest = 0
 
     def merge(self, record: ServerRecord, now: float, first_hand: bool = False) -> bool:
-        """Take a statement; return whether other hosts must learn of it.
+        """Merge a record; return whether it must be propagated to other hosts.
 
         Parameters
         ----------
-        first_hand : bool
-            Whether the server itself made it here.
+        direct : bool
+            Whether the record was received directly from the server.
         """
         entry = self._entries.get(record.id)
         if entry is not None and record.rank <= entry.record.rank:
             return False
-        if entry is not None and not record.says_more_than(entry.record):
+        if entry is not None and not record.differs_materially(entry.record):
             entry.record = record
-            entry.heard_at = now
+            entry.heartbeat_at = now
             return False
         self.version += 1
         if first_hand:
-            self.first_hand_version = self.version
+            self.direct_version = self.version
         if entry is not None:
             self.digest ^= _digest(entry.record)
         self.digest ^= _digest(record)
@@ -79,32 +78,34 @@
         self._claim_address(record)
         return True
 
-    def heard(self, identifier: str, born_ms: int, sequence: int, now: float) -> None:
-        """Take the news that another host has heard a server."""
-        entry = self._entries.get(identifier)
+    def record_heartbeat(
+        self, server_id: str, born_ms: int, sequence: int, now: float
+    ) -> None:
+        """Record a heartbeat that another host has received from a server."""
+        entry = self._entries.get(server_id)
         if entry is None or entry.record.born_ms != born_ms:
             return
         if sequence >= entry.record.sequence:
-            entry.heard_at = now
+            entry.heartbeat_at = now
 
-    def find(self, identifier: str) -> ServerRecord | None:
-        """Return the greatest statement of a server."""
-        entry = self._entries.get(identifier)
+    def find(self, server_id: str) -> ServerRecord | None:
+        """Return the record of a server, ``None`` if it is unknown."""
+        entry = self._entries.get(server_id)
         return entry.record if entry else None
 
-    def refresh(self, now: float, silent: Collection[str]) -> None:
-        """Take the news that all servers but the silent ones were heard elsewhere."""
+    def reset_heartbeat_times(self, now: float, silent: Collection[str]) -> None:
+        """Reset the heartbeat times of all servers except the silent ones."""
         for identifier, entry in self._entries.items():
             if identifier not in silent:
-                entry.heard_at = now
+                entry.heartbeat_at = now
 
     def since(self, version: int, first_hand: bool = False) -> list[ServerRecord]:
-        """Return the statements that changed after a version.
+        """Return the records that changed after a version.
 
         Parameters
         ----------
-        first_hand : bool
-            Only those that servers themselves made here.
+        direct : bool
+            Whether to return only records received directly from servers.
         """
         return [
             entry.record
@@ -112,8 +113,8 @@
             if entry.version > version and (entry.first_hand or not first_hand)
         ]
 
-    def leaving(self) -> list[ServerRecord]:
-        """Return the statements of servers that take no new work."""
+    def not_ready(self) -> list[ServerRecord]:
+        """Return the records of servers that are draining or have ended."""
         return [
             entry.record
             for entry in self._entries.values()
@@ -121,44 +122,45 @@
         ]
 
     def usable(self) -> list[ServerRecord]:
-        """Return the servers that take new work.
+        """Return the records of servers that accept new requests.
 
-        Of several servers that claim one address the one that started last has it.
+        Of several servers with the same address, only the one that started last is
+        returned.
         """
         return [
             entry.record
             for entry in self._entries.values()
             if entry.record.state is ServerState.READY
-            and self._newest_at.get(entry.record.address) == entry.record.id
+            and self._newest_by_address.get(entry.record.address) == entry.record.id
         ]
 
     def silent(self, now: float) -> set[str]:
-        """Return the ids of servers whose statements have stopped."""
+        """Return the ids of servers whose heartbeats have stopped."""
         limit = now - self._silent_after_s
-        return {i for i, entry in self._entries.items() if entry.heard_at < limit}
+        return {i for i, entry in self._entries.items() if entry.heartbeat_at < limit}
 
-    def forget(self, now: float) -> None:
-        """Drop servers that are long gone."""
+    def evict_expired(self, now: float) -> None:
+        """Remove servers whose retention time has passed."""
         for identifier, entry in tuple(self._entries.items()):
             ended = entry.record.state is ServerState.ENDED
-            kept_s = _ENDED_KEPT_S if ended else _SILENT_KEPT_S
-            if entry.heard_at < now - kept_s:
+            kept_s = _ENDED_RETENTION_S if ended else _SILENT_RETENTION_S
+            if entry.heartbeat_at < now - kept_s:
                 del self._entries[identifier]
                 self.digest ^= _digest(entry.record)
-                if self._newest_at.get(entry.record.address) == identifier:
-                    del self._newest_at[entry.record.address]
+                if self._newest_by_address.get(entry.record.address) == identifier:
+                    del self._newest_by_address[entry.record.address]
 
     def _claim_address(self, record: ServerRecord) -> None:
-        holder = self.find(self._newest_at.get(record.address, ""))
-        if holder is None or holder.born_ms <= record.born_ms:
-            self._newest_at[record.address] = record.id
+        current = self.find(self._newest_by_address.get(record.address, ""))
+        if current is None or current.born_ms <= record.born_ms:
+            self._newest_by_address[record.address] = record.id
 
 
 def _digest(record: ServerRecord) -> int:
-    """Return what a record adds to the directory's digest."""
+    """Return the digest of a record, which is combined by XOR into the directory's."""
     if record.state is ServerState.ENDED:
         return 0
-    said = (
+    content = (
         record.id,
         record.born_ms,
         record.service,
@@ -166,5 +168,5 @@
         record.slots,
         record.state.value,
     )
-    hashed = hashlib.blake2b(repr(said).encode(), digest_size=_DIGEST_BYTES)
-    return int.from_bytes(hashed.digest(), "big")
+    digest = hashlib.blake2b(repr(content).encode(), digest_size=_DIGEST_BYTES)
+    return int.from_bytes(digest.digest(), "big")
--- /dev/null
+++ b/packages/fleet/src/kingcuplug_fleet/_fleet_view.py
@@ -0,0 +1,226 @@
+"""One host's view of the fleet, with a signal for tasks that wait for changes."""
+
+import asyncio
+import hashlib
+from typing import Any
+from zlib import crc32
+
+import orjson
+from kingcuplug_common import Signal, identifier
+from kingcuplug_routing import PaceBoard, WindowCount
+
+from kingcuplug_fleet._directory import Directory
+from kingcuplug_fleet._server_record import ServerRecord
+
+__all__ = ["Knowledge"]
+
+# A host polls its control host at least once a second.
+_HOST_TIMEOUT_S = 3.5
+# Hosts divide shared limits in proportion to their requests in this window.
+_REQUESTS_WINDOW_S = 10.0
+# Smaller relative changes of the number of requests are not published.
+_MIN_REQUEST_CHANGE_RATIO = 0.1
+# Two different states have equal digests with a probability of 1 in 2**64.
+_STATE_DIGEST_BYTES = 8
+
+
+class Knowledge:
+    """A host's view of servers, the newest routes, control hosts and live hosts.
+
+    Parameters
+    ----------
+    silent_after_s : float
+        Time without a heartbeat after which a server counts as silent.
+
+    Attributes
+    ----------
+    epoch : str
+        Identifies this run of the process; versions of the directory are comparable
+        only within it.
+    changed : Signal
+        Notified on each change that is propagated to other hosts.
+    routes_version : int
+        Version of the newest route document.
+    routes_document : str
+        The newest route document.
+    control_hosts : tuple of str
+        Addresses of the discovered control hosts.
+    host_count : int
+        Number of live hosts that serve callers, 0 if unknown.
+    silent_servers : set of str
+        Ids of servers whose heartbeats have stopped.
+    slow_servers : dict
+        Pace of the servers that are slow by the samples of all hosts, by id.
+    zones : dict
+        Availability zones of control hosts, by address.
+    reachable_control_hosts : tuple of str
+        Addresses of control hosts from which the leader has recently received a push.
+    request_count : int
+        Requests of all hosts in the last ten seconds, 0 if unknown.
+    paces : PaceBoard
+        Response time samples reported by hosts; used on control hosts only.
+    """
+
+    def __init__(self, silent_after_s: float) -> None:
+        self._loop = asyncio.get_running_loop()
+        self._started_at = self._loop.time()
+        self._assumed_host_count = 0
+        self._local_polls: dict[str, float] = {}
+        self._remote_polls: dict[str, float] = {}
+        self.epoch = identifier()
+        self.changed = Signal()
+        self.directory = Directory(silent_after_s)
+        self.routes_version = 0
+        self.routes_document = ""
+        self.control: tuple[str, ...] = ()
+        self.hosts = 0
+        self.silent: set[str] = set()
+        self.slow: dict[str, float] = {}
+        self.paces = PaceBoard()
+        self.zones: dict[str, str] = {}
+        self.reachable: tuple[str, ...] = ()
+        self.requests = 0
+        self._request_window = WindowCount(_REQUESTS_WINDOW_S)
+        self._request_window_started_at = self._started_at
+        self._encoded_state = b""
+        self._state_digest = ""
+
+    def state(self) -> list[Any]:
+        """Return the state that hosts copy from their control host, without servers."""
+        return [
+            sorted(self.silent),
+            dict(sorted(self.slow.items())),
+            list(self.control),
+            dict(sorted(self.zones.items())),
+            self.hosts,
+            self.requests,
+            list(self.reachable),
+        ]
+
+    def state_key(self) -> str:
+        """Return a digest of `state`."""
+        data = orjson.dumps(self.state())
+        if data != self._encoded_state:
+            self._encoded_state = data
+            digest = hashlib.blake2b(data, digest_size=_STATE_DIGEST_BYTES)
+            self._state_digest = digest.hexdigest()
+        return self._state_digest
+
+    def learn_routes(self, version: int, document: str) -> None:
+        """Replace the route document if the version is newer."""
+        if version > self.routes_version:
+            self.routes_version, self.routes_document = version, document
+            self.changed.notify()
+
+    def learn_servers(
+        self, records: list[ServerRecord], first_hand: bool = False
+    ) -> bool:
+        """Merge records into the directory; return whether one must be propagated."""
+        now, merge = self._loop.time(), self.directory.merge
+        changes = [record for record in records if merge(record, now, first_hand)]
+        if changes:
+            self.changed.notify()
+        return bool(changes)
+
+    def learn_control(self, addresses: list[str]) -> None:
+        """Replace the addresses of the control hosts, unless the list is empty."""
+        control_hosts = tuple(sorted(addresses))
+        if control_hosts and control_hosts != self.control:
+            self.control = control_hosts
+            self.changed.notify()
+
+    def set_silent_servers(self, server_ids: set[str]) -> None:
+        """Replace the ids of the servers whose heartbeats have stopped."""
+        if server_ids != self.silent:
+            self.silent = server_ids
+            self.changed.notify()
+
+    def set_slow_servers(self, paces: dict[str, float]) -> None:
+        """Replace the paces of slow servers, by id."""
+        if paces != self.slow:
+            self.slow = paces
+            self.changed.notify()
+
+    def set_reachable_control_hosts(self, addresses: tuple[str, ...]) -> None:
+        """Replace the addresses of the control hosts that the leader can reach."""
+        if addresses != self.reachable:
+            self.reachable = addresses
+            self.changed.notify()
+
+    def assume_host_count(self, count: int) -> None:
+        """Assume a number of hosts until all live hosts have had time to poll."""
+        self._started_at = self._loop.time()
+        self._assumed_host_count = count
+        self.set_host_count(count)
+
+    def near(self, availability_zone: str, key: str) -> str | None:
+        """Return a reachable control host in an availability zone, if there is one.
+
+        Parameters
+        ----------
+        key : str
+            Key for rendezvous hashing: the same key selects the same control host
+            while that host is reachable.
+        """
+        near = [a for a in self.reachable if self.zones.get(a) == availability_zone]
+        return max(near, key=lambda a: crc32(f"{key} {a}".encode()), default=None)
+
+    def update_host_count(self) -> None:
+        """Update the number of live hosts from recent polls.
+
+        Shortly after a restart the assumed number is the minimum.
+        """
+        count = len(self.live_hosts())
+        if self._loop.time() - self._started_at < _HOST_TIMEOUT_S:
+            count = max(count, self._assumed_host_count)
+        self.set_host_count(count)
+
+    def set_host_count(self, count: int) -> None:
+        """Set the number of live hosts."""
+        if count != self.hosts:
+            self.hosts = count
+            self.changed.notify()
+
+    def set_request_count(self, count: int) -> None:
+        """Set the number of requests of all hosts in the last ten seconds."""
+        if count != self.requests:
+            self.requests = count
+            self.changed.notify()
+
+    def restart_request_count(self) -> None:
+        """Restart the request window; the count is unknown until it has passed."""
+        self._request_window = WindowCount(_REQUESTS_WINDOW_S)
+        self._request_window_started_at = self._loop.time()
+        self.set_request_count(0)
+
+    def add_requests(self, reported: int) -> None:
+        """Add a reported number of requests, and publish the total if it changed."""
+        now = self._loop.time()
+        self._request_window.add(now, reported)
+        if now - self._request_window_started_at < _REQUESTS_WINDOW_S:
+            return
+        total = self._request_window.total(now)
+        if abs(total - self.requests) > self.requests * _MIN_REQUEST_CHANGE_RATIO:
+            self.set_request_count(total)
+
+    def record_host_poll(self, name: str) -> None:
+        """Record a host's poll of this control host."""
+        self._local_polls[name] = self._loop.time()
+
+    def record_remote_host_poll(self, name: str) -> None:
+        """Record a host's poll of another control host."""
+        self._remote_polls[name] = self._loop.time()
+
+    def local_hosts(self) -> list[str]:
+        """Return the hosts that have polled this control host recently."""
+        self._local_polls = self._recent_polls(self._local_polls)
+        return list(self._local_polls)
+
+    def live_hosts(self) -> set[str]:
+        """Return the hosts that have polled any control host recently."""
+        self._remote_polls = self._recent_polls(self._remote_polls)
+        return set(self._remote_polls) | set(self.local_hosts())
+
+    def _recent_polls(self, hosts: dict[str, float]) -> dict[str, float]:
+        limit = self._loop.time() - _HOST_TIMEOUT_S
+        return {name: at for name, at in hosts.items() if at > limit}
--- a/packages/http/src/kingcuplug_http/_messages.py
+++ b/packages/http/src/kingcuplug_http/_messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses as both directions see them."""
+"""HTTP requests and responses, shared by inbound and outbound connections."""
 
 from dataclasses import dataclass, field
 from http import HTTPStatus
@@ -14,9 +14,9 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-# Headers that concern one connection only (RFC 9110, section 7.6.1). The length
-# is set anew for each hop, because bodies are always sent whole.
-_HOP_BY_HOP = frozenset(
+# Headers that apply to a single connection (RFC 9110, section 7.6.1). Content-Length
+# is set again for each hop, because bodies are always sent whole, not chunked.
+_HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"content-length",
@@ -31,22 +31,24 @@
         b"upgrade",
     )
 )
-_REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
-_BODILESS_STATUS = frozenset((204, 304))
+_REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
+_BODILESS_STATUSES = frozenset((204, 304))
 
 
 @dataclass(slots=True)
 class Request:
-    """A request that was received whole.
+    """A completely received request.
 
     Attributes
     ----------
     headers : list of (bytes, bytes)
-        Names as received.
+        Headers in the order and with the case of the names as received.
     received_at : float
-        Event loop time at which the last byte arrived.
-    first : bool
-        Whether it is the first on its connection.
+        Event loop time at which the last byte was received.
+    first_on_connection : bool
+        Whether it is the first request on its connection.
+    fields : dict
+        First value of each header, by lower-case name.
     """
 
     method: bytes
@@ -59,13 +61,13 @@
     fields: dict[bytes, bytes] = field(default_factory=dict)
 
     def header(self, name: bytes) -> bytes | None:
-        """Return a header's first value; `name` is in lower case."""
+        """Return a header's first value; `name` must be in lower case."""
         return self.fields.get(name)
 
 
 @dataclass(slots=True)
 class Response:
-    """A whole response."""
+    """A complete response."""
 
     status: int
     headers: Headers
@@ -73,51 +75,53 @@
     fields: dict[bytes, bytes] = field(default_factory=dict)
 
     def header(self, name: bytes) -> bytes | None:
-        """Return a header's first value; `name` is in lower case."""
+        """Return a header's first value; `name` must be in lower case."""
         return self.fields.get(name)
 
 
-def end_to_end(headers: Headers, dropped: frozenset[bytes] = frozenset()) -> Headers:
-    """Return the headers that go to the next hop, without the names in `dropped`.
+def end_to_end(headers: Headers, excluded: frozenset[bytes] = frozenset()) -> Headers:
+    """Return the headers to forward to the next hop, without those in `excluded`.
 
-    Headers named by ``Connection`` concern one connection only, too.
+    Headers listed in ``Connection`` are hop-by-hop headers and are removed, too.
     """
-    named: set[bytes] = set()
+    connection_options: set[bytes] = set()
     for name, value in headers:
         if name.lower() == b"connection":
-            named.update(option.strip().lower() for option in value.split(b","))
+            connection_options.update(
+                option.strip().lower() for option in value.split(b",")
+            )
     return [
         (name, value)
         for name, value in headers
-        if (lower := name.lower()) not in _HOP_BY_HOP
-        and lower not in named
-        and lower not in dropped
+        if (lower := name.lower()) not in _HOP_BY_HOP_HEADERS
+        and lower not in connection_options
+        and lower not in excluded
     ]
 
 
 def encode_response(response: Response, close: bool, head: bool = False) -> bytes:
-    """Return the bytes of a response.
+    """Return the serialized response.
 
     Parameters
     ----------
     close : bool
-        Tells the peer that the connection ends after this response.
+        Whether to announce that the connection is closed after this response.
     head : bool
-        The request was a HEAD, which is answered without a body.
+        Whether the request method was HEAD, so that the body is omitted.
     """
-    reason = _REASONS.get(response.status, b"Unknown")
+    reason = _REASON_PHRASES.get(response.status, b"Unknown")
     lines = [b"HTTP/1.1 %d %s\r\n" % (response.status, reason)]
     lines += [b"%s: %s\r\n" % pair for pair in response.headers]
-    if response.status not in _BODILESS_STATUS:
+    if response.status not in _BODILESS_STATUSES:
         length = b"%d" % len(response.body)
         if head:
-            # What a GET would have been answered with, as the server says.
+            # The length of the response to a GET, as announced by the backend server.
             length = response.fields.get(b"content-length", length)
         lines.append(b"Content-Length: %s\r\n" % length)
     if close:
         lines.append(b"Connection: close\r\n")
     lines.append(b"\r\n")
-    if not head and response.status not in _BODILESS_STATUS:
+    if not head and response.status not in _BODILESS_STATUSES:
         lines.append(response.body)
     return b"".join(lines)
 
@@ -125,7 +129,7 @@
 def error_response(
     status: int, message: str = "", retry_after_s: float | None = None
 ) -> Response:
-    """Return a response of this host's own, with a short plain text."""
+    """Return an error response generated by this host, with a plain text body."""
     headers: Headers = [(b"Content-Type", b"text/plain; charset=utf-8")]
     if retry_after_s is not None:
         headers.append((b"Retry-After", b"%.3f" % retry_after_s))
