--- a/packages/membership/src/kingcuplug_membership/__init__.py
+++ b/packages/membership/src/kingcuplug_membership/__init__.py
@@ -10,8 +10,7 @@
     Holding,
     parse_announcement,
 )
-from kingcuplug_membership._barrier import Barrier
-from kingcuplug_membership._continuity import Continuity
+from kingcuplug_membership._completeness import Continuity
 from kingcuplug_membership._directory import Directory, DirectoryChanges
 from kingcuplug_membership._entry import ServerEntry, holder_name, join
 from kingcuplug_membership._errors import (
@@ -23,6 +22,7 @@
     NotLeading,
 )
 from kingcuplug_membership._hosts import HostStatus
+from kingcuplug_membership._leader_exchange import Barrier
 from kingcuplug_membership._leases import LeaseGranted, LeaseTable
 from kingcuplug_membership._mesh import Mesh
 from kingcuplug_membership._rendezvous import preference
--- a/packages/membership/src/kingcuplug_membership/_announcement.py
+++ b/packages/membership/src/kingcuplug_membership/_announcement.py
@@ -1,7 +1,7 @@
-"""What a backend server says about itself.
+"""Announcements of backend servers, and their validation.
 
-Announcements arrive from processes outside the system, so the border validates
-them with a pydantic model; inside they are frozen dataclasses.
+Announcements come from processes outside the system. A pydantic model validates
+them on arrival; inside the system they are frozen dataclasses.
 """
 
 from dataclasses import dataclass
@@ -44,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """What a backend server offers; ordered by (incarnation, sequence).
+    """Capacity, state and shards of a server, ordered by (incarnation, sequence).
 
     Attributes
     ----------
     incarnation : int
-        Greater after every restart of the server.
+        Increases with every restart of the server.
     sequence : int
-        Greater with every changed or repeated announcement of one incarnation.
+        Increases with every announcement of one incarnation, changed or repeated.
     slots, connections : int
         Concurrent sub-requests and open connections that the server accepts.
     state : str
@@ -71,7 +71,7 @@
 
     @property
     def order(self) -> tuple[int, int]:
-        """Return the pair by which announcements of one server are ordered."""
+        """Return (incarnation, sequence), which orders a server's announcements."""
         return (self.incarnation, self.sequence)
 
 
@@ -123,7 +123,7 @@
     Raises
     ------
     AnnouncementInvalid
-        With every fault of the announcement.
+        If the announcement is not valid; the message lists every fault.
     """
     try:
         model = _AnnouncementModel.model_validate(value)
@@ -134,8 +134,8 @@
         ) from error
     fields = {name: getattr(model, name) for name in _AnnouncementModel.model_fields}
     fields["holdings"] = tuple(
-        Holding(held.snapshot, held.shard_count, tuple(sorted(held.shards)))
-        for held in sorted(model.holdings, key=lambda held: held.snapshot)
+        Holding(holding.snapshot, holding.shard_count, tuple(sorted(holding.shards)))
+        for holding in sorted(model.holdings, key=lambda holding: holding.snapshot)
     )
     return Announcement(**fields)
 
--- a/packages/membership/src/kingcuplug_membership/_changes.py
+++ b/packages/membership/src/kingcuplug_membership/_change_log.py
@@ -1,4 +1,4 @@
-"""Keys in the order of their last change, for sending what a reader lacks."""
+"""Change log of keys, from which a reader is sent only what it lacks."""
 
 from collections.abc import Callable, Hashable, Iterator
 from typing import Generic, NamedTuple, TypeVar
@@ -9,7 +9,10 @@
 
 
 class Mark(NamedTuple):
-    """When a key changed last, and whether this host was the first to learn it."""
+    """Version and time of a key's last change.
+
+    `local` tells whether this host received the change first and so replicates it.
+    """
 
     version: int
     time: float
@@ -17,13 +20,13 @@
 
 
 class ChangeLog(Generic[_Key]):
-    """Versions of keys; a key that changes again moves to the end.
+    """Last change of every key, in order; a key that changes again moves to the end.
 
     Attributes
     ----------
     version, local_version : int
-        Version of the last change, and of the last that this host was the first
-        to learn.
+        Version of the last change, and of the last change that this host received
+        first.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -44,7 +47,7 @@
         self._marks[key] = Mark(self.version, self._clock(), local)
 
     def remove(self, key: _Key) -> None:
-        """Forget `key`."""
+        """Remove the record of `key`."""
         self._marks.pop(key, None)
 
     def newest(self, version: int) -> Iterator[tuple[_Key, Mark]]:
@@ -56,12 +59,12 @@
 
     def since(self, version: int, local: bool = False) -> list[_Key]:
         """Return keys changed after `version`, the oldest first."""
-        found = [key for key, mark in self.newest(version) if mark.local or not local]
-        found.reverse()
-        return found
+        keys = [key for key, mark in self.newest(version) if mark.local or not local]
+        keys.reverse()
+        return keys
 
     def version_at(self, time: float) -> int:
-        """Return a version that contains no change from `time` on."""
+        """Return the newest version that contains no change from `time` on."""
         for mark in reversed(self._marks.values()):
             if mark.time < time:
                 return mark.version
--- a/packages/membership/src/kingcuplug_membership/_continuity.py
+++ b/packages/membership/src/kingcuplug_membership/_completeness.py
@@ -1,10 +1,11 @@
-"""Whether a control host's directory can be trusted to be complete.
+"""Completeness of a control host's directory.
 
 After a start, and after a time without confirmation by the leader in which all
-leases ran out, the directory may lack what other control hosts learned meanwhile,
-so that a grant would put entry hosts to work with servers that have left. A
-control host that was cut off for longer than tombstones last may even have missed
-the end of a server for good; it then starts again as if the process were new.
+leases expired, the directory may lack changes that other control hosts received
+meanwhile. A lease granted then would let entry hosts use servers that have left. A
+control host that was cut off for longer than tombstones are kept may have missed
+the end of a server for good; it then starts with an empty directory, as a new
+process does.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,14 +16,14 @@
 
 
 class Continuity:
-    """Tracks contact with the leader and with the other control hosts.
+    """Tracks contacts with the leader and the other control hosts.
 
     Parameters
     ----------
     clock : callable
         Monotonic time in seconds.
     peers : callable
-        Addresses of the other control hosts.
+        Returns the addresses of the other control hosts.
     """
 
     def __init__(
@@ -37,7 +38,7 @@
         self.restart()
 
     def restart(self) -> None:
-        """Begin to collect the directory anew."""
+        """Start to collect the directory from scratch."""
         self._started = self._clock()
         self._leader_at: float | None = None
         self._mesh_at: dict[str, float] = {}
@@ -50,7 +51,7 @@
         self._settled = False
 
     def note_mesh(self, peer: str) -> None:
-        """Record that everything `peer` has to tell is merged."""
+        """Record that all changes from `peer` are merged."""
         self._mesh_at[peer] = self._clock()
 
     def note_leader(self) -> None:
@@ -61,17 +62,17 @@
         self._leader_at = now
 
     def note_upload(self, peer: str) -> None:
-        """Record that this host leads and `peer` has sent all that it learned."""
+        """Record that `peer` has sent all its changes to this host, the leader."""
         self._uploaded.add(peer)
 
     def note_relay(self) -> None:
-        """Record that the directory of a settled leader is merged."""
+        """Record that the complete directory of the leader is merged."""
         self._relayed = True
 
     def interrupted(self) -> bool:
-        """Return whether tombstones can have been missed."""
-        contacts = [self._mesh_at.get(peer, self._started) for peer in self._peers()]
-        mesh_at = min(contacts, default=self._clock())
+        """Return whether tombstones may have been missed."""
+        synced = [self._mesh_at.get(peer, self._started) for peer in self._peers()]
+        mesh_at = min(synced, default=self._clock())
         leader_at = self._started if self._leader_at is None else self._leader_at
         gap = self._clock() - max(leader_at, mesh_at)
         return gap > self._settings.tombstone_ms / 2_000
--- a/packages/membership/src/kingcuplug_membership/_directory.py
+++ b/packages/membership/src/kingcuplug_membership/_directory.py
@@ -8,7 +8,7 @@
 
 from kingcuplug_common import identifier
 
-from kingcuplug_membership._changes import ChangeLog
+from kingcuplug_membership._change_log import ChangeLog
 from kingcuplug_membership._entry import Key, ServerEntry, join
 
 __all__ = ["Directory", "DirectoryChanges"]
@@ -16,7 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectoryChanges:
-    """Entries after a version, the oldest first; `more` follow after `version`."""
+    """Entries changed after a version, the oldest first.
+
+    `version` is the version reached; `more` tells whether further entries follow it.
+    """
 
     entries: tuple[ServerEntry, ...]
     version: int
@@ -24,21 +27,21 @@
 
 
 class Directory:
-    """Backend servers by service; the greatest rank wins.
+    """Backend servers by service; the entry with the greatest rank wins.
 
     Parameters
     ----------
     clock : callable
         Monotonic time in seconds.
     tombstone_ms : int
-        Time for which an ended server is remembered, so that a stale update does
-        not bring it back.
+        Time for which an ended server is kept as a tombstone, so that a stale update
+        does not restore it.
 
     Attributes
     ----------
     epoch : str
-        Identifies the sequence of versions; a new one means that a reader needs
-        everything.
+        Identifies the sequence of versions; after a change of epoch a reader needs
+        all entries.
     """
 
     def __init__(self, clock: Callable[[], float], tombstone_ms: int = 60_000) -> None:
@@ -60,40 +63,41 @@
 
     @property
     def version(self) -> int:
-        """Return the number of the last change."""
+        """Return the version of the last change."""
         return self._changes.version
 
     @property
     def local_version(self) -> int:
-        """Return the number of the last change that this host has to tell."""
+        """Return the version of the last change that this host replicates."""
         return self._changes.local_version
 
     def watch(self, callback: Callable[[ServerEntry], None]) -> None:
-        """Call `callback` with every entry that changes or is dropped."""
+        """Call `callback` with every entry that changes or is removed."""
         self._watchers.append(callback)
 
     def get(self, service: str, server: str) -> ServerEntry | None:
-        """Return what is known of a server, also after its end."""
+        """Return the entry of a server, also while it is a tombstone."""
         return self._entries.get((service, server))
 
     def servers(self, service: str) -> list[ServerEntry]:
         """Return the live servers of a service, draining ones included."""
-        found = self._services.get(service, {}).values()
-        return [entry for entry in found if entry.live]
+        entries = self._services.get(service, {}).values()
+        return [entry for entry in entries if entry.live]
 
     def services(self) -> list[str]:
         """Return the names of all services that have a known server."""
         return list(self._services)
 
     def merge(self, entry: ServerEntry, local: bool = False) -> bool:
-        """Merge an update; return whether it said anything new.
+        """Merge an update; return whether it changed the directory.
 
         Parameters
         ----------
         entry : ServerEntry
             The update.
         local : bool
-            Whether this host is the one that tells the other control hosts.
+            Whether this host received the update first and so replicates it to the
+            other control hosts.
         """
         known = self._entries.get(entry.key)
         if entry == known:
@@ -107,10 +111,10 @@
         return True
 
     def adopt(self, entry: ServerEntry) -> bool:
-        """Merge an update that this host must tell the others even if it is known.
+        """Merge an update and replicate it even if it is already known.
 
-        A session that moved here sends what its former home may not have passed
-        on before it was lost.
+        A session that moved here repeats updates that its former home may not have
+        replicated before it was lost.
         """
         if self.merge(entry, local=True):
             return True
@@ -136,9 +140,9 @@
 
     def _release(self, entry: ServerEntry, holders: set[str]) -> None:
         for holder in holders:
-            held = self._holders.get(holder, {})
-            held.pop(entry.key, None)
-            if not held:
+            keys = self._holders.get(holder, {})
+            keys.pop(entry.key, None)
+            if not keys:
                 self._holders.pop(holder, None)
 
     def changes_since(
@@ -151,11 +155,11 @@
     ) -> DirectoryChanges:
         """Return the entries changed after `version`, the oldest first."""
         keys = self._keys_since(version, services, local)
-        chosen = keys if limit is None else keys[:limit]
-        more = len(chosen) < len(keys)
-        reached = self._changes[chosen[-1]].version if more else self.version
+        batch = keys if limit is None else keys[:limit]
+        more = len(batch) < len(keys)
+        reached = self._changes[batch[-1]].version if more else self.version
         return DirectoryChanges(
-            tuple(self._entries[key] for key in chosen), reached, more
+            tuple(self._entries[key] for key in batch), reached, more
         )
 
     def _keys_since(
@@ -164,11 +168,12 @@
         if services is None:
             return self._changes.since(version, local)
         wanted = frozenset(services)
-        known = sum(len(self._services.get(service, ())) for service in wanted)
-        if self.version - version < known:
-            found = self._changes.since(version, local)
-            return [key for key in found if key[0] in wanted]
-        # Fewer servers than changes: each part of a long answer looks at these only.
+        server_count = sum(len(self._services.get(service, ())) for service in wanted)
+        if self.version - version < server_count:
+            changed = self._changes.since(version, local)
+            return [key for key in changed if key[0] in wanted]
+        # There are fewer servers than changes, so scan the servers; every part of a
+        # long reply repeats the scan.
         keys = [
             (service, server)
             for service in wanted
@@ -184,35 +189,35 @@
         return any(key[0] in services for key, _ in self._changes.newest(version))
 
     def version_at(self, time: float) -> int:
-        """Return a version that contains no change from `time` on."""
+        """Return the newest version that contains no change from `time` on."""
         return self._changes.version_at(time)
 
     def holders(self) -> list[str]:
-        """Return the entry hosts that hold a running lease."""
+        """Return the names of the holders of running leases."""
         return list(self._holders)
 
     def end_holder(self, holder: str) -> int:
         """End every lease that `holder` holds; return their number."""
-        held = list(self._holders.get(holder, ()))
-        for key in held:
+        keys = list(self._holders.get(holder, ()))
+        for key in keys:
             known = self._entries[key]
             self.merge(ServerEntry(known.announcement, (holder,), (holder,)), True)
-        return len(held)
+        return len(keys)
 
     def purge(self) -> int:
-        """Forget servers whose end is older than the tombstone's period."""
-        limit = self._clock() - self._tombstone
-        old = []
-        for key, time in self._tombstones.items():
-            if time > limit:
+        """Remove tombstones older than their retention; return their number."""
+        cutoff = self._clock() - self._tombstone
+        outdated = []
+        for key, ended_at in self._tombstones.items():
+            if ended_at > cutoff:
                 break
-            old.append(key)
-        for key in old:
+            outdated.append(key)
+        for key in outdated:
             self.drop(key)
-        return len(old)
+        return len(outdated)
 
     def drop(self, key: Key) -> None:
-        """Forget a server without a trace."""
+        """Remove a server without leaving a tombstone."""
         entry = self._entries.pop(key)
         servers = self._services[key[0]]
         del servers[key[1]]
@@ -232,6 +237,6 @@
         return list(self._entries)
 
     def reset(self) -> None:
-        """Forget everything and take a new epoch, as after a restart."""
+        """Remove all entries and start a new epoch, as after a restart."""
         self.epoch = identifier()
         self._clear()
--- a/packages/membership/src/kingcuplug_membership/_intake.py
+++ b/packages/membership/src/kingcuplug_membership/_directory_sync.py
@@ -1,4 +1,4 @@
-"""How an entry host takes the directory of its routed services from its home."""
+"""Synchronisation of an entry host's directory with its home control host."""
 
 from collections.abc import Callable
 
@@ -10,17 +10,18 @@
 
 
 class DirectoryIntake:
-    """Merges replies, and drops servers that a new home does not know.
+    """Merges session replies, and drops servers that a new home does not list.
 
-    Dropping waits for a server lease period: a control host that restarted gets
-    the other entry hosts' leases a little later than ours.
+    Servers are dropped only after `delay` seconds, a server lease period: a restarted
+    control host receives the leases of other entry hosts a little later than those of
+    this one.
 
     Attributes
     ----------
     version : int
-        How far the home's directory is merged.
+        Version up to which the home's directory is merged.
     complete : bool
-        Whether a whole directory has ever been merged.
+        Whether the whole directory has been merged at least once.
     """
 
     def __init__(
@@ -36,7 +37,7 @@
         self._doubted_until = 0.0
 
     def start(self) -> None:
-        """Expect the whole directory next."""
+        """Start over; the next reply begins the whole directory."""
         self.version = 0
         self._seen = None
 
--- a/packages/membership/src/kingcuplug_membership/_entry.py
+++ b/packages/membership/src/kingcuplug_membership/_entry.py
@@ -1,7 +1,7 @@
-"""The state of one backend server as the directory keeps and sends it.
+"""State of one backend server as the directory stores and sends it.
 
-An entry is the join of everything that was said about the greatest announcement:
-two entries merge to the same result in any order, however often they arrive.
+Entries form a join semilattice: merging is commutative, associative and idempotent,
+so updates may arrive in any order and more than once.
 """
 
 from dataclasses import dataclass
@@ -25,9 +25,10 @@
     Attributes
     ----------
     held : tuple of str
-        Entry hosts that granted a lease on this very announcement.
+        Runs of entry hosts, by `holder_name`, that granted a lease on exactly this
+        announcement.
     ended : tuple of str
-        Those of them whose lease has ended. An announcement that reached two
+        Those of `held` whose lease has ended. An announcement that reached two
         entry hosts is renewed at one of them only, so the end of the other lease
         does not end the server.
     """
@@ -55,7 +56,7 @@
 
 
 def join(one: ServerEntry, other: ServerEntry) -> ServerEntry:
-    """Return the least entry that contains both; the greater announcement wins."""
+    """Return the join of two entries; the greater announcement wins."""
     if one.announcement.order != other.announcement.order:
         return max(one, other, key=lambda entry: entry.announcement.order)
     announcement = one.announcement
@@ -69,8 +70,8 @@
 
 
 def _content(announcement: Announcement) -> tuple[bool, str]:
-    # Equal pairs have equal content unless the server is faulty or withdraws. The
-    # text decides the rest, so that all hosts settle on the same content.
+    # Announcements of equal order have equal content unless the server is faulty or
+    # withdraws. Comparing the text breaks the tie, so that all hosts converge.
     return (announcement.state == "withdrawn", repr(announcement))
 
 
--- a/packages/membership/src/kingcuplug_membership/_errors.py
+++ b/packages/membership/src/kingcuplug_membership/_errors.py
@@ -17,7 +17,7 @@
 
 
 class AnnouncementStale(KingcuplugError):
-    """An announcement that a newer one, or the end of its lease, has overtaken."""
+    """An announcement superseded by a newer one or by the end of its lease."""
 
 
 class LeaseUnknown(KingcuplugError):
@@ -33,4 +33,4 @@
 
 
 class NotLeading(KingcuplugError):
-    """A question that only the log's leader can answer."""
+    """A request that only the log's leader can answer."""
--- a/packages/membership/src/kingcuplug_membership/_hosts.py
+++ b/packages/membership/src/kingcuplug_membership/_hosts.py
@@ -1,8 +1,8 @@
-"""The entry hosts that hold a session lease.
+"""Entry hosts that hold a session lease.
 
-A control host keeps its own sessions. The leader keeps the sessions of all control
-hosts, so that it alone decides which entry host is lost and which revision is in
-force everywhere.
+A control host knows its own sessions. The leader collects the sessions of all
+control hosts, so that it alone decides which entry host is lost and which revision
+is in force everywhere.
 """
 
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 from kingcuplug_common import identifier
 
-from kingcuplug_membership._changes import ChangeLog
+from kingcuplug_membership._change_log import ChangeLog
 from kingcuplug_membership._messages import BarrierRequest, HostRow
 from kingcuplug_membership._settings import MembershipSettings
 
@@ -26,7 +26,7 @@
     confirmed : int
         Revision of the configuration that is in force there.
     control_host : str
-        Its home.
+        Control host that serves its session.
     """
 
     host: str
@@ -59,10 +59,10 @@
 class HostTable:
     """The leader's table of sessions, filled by the barrier exchange.
 
-    A control host grants no lease beyond its last barrier plus one lease, so the
-    rows of a control host are void one lease after its last barrier arrived. That
-    holds also for the rows of a control host that has restarted since: it has
-    forgotten the leases, but the entry hosts go on serving under them.
+    No lease of a control host runs longer than one lease period after its last barrier
+    exchange, so its rows expire one lease period after that exchange arrived. Rows of
+    a control host that has restarted since are kept as long: the new process does not
+    know the leases, but the entry hosts still serve under them.
     """
 
     def __init__(
@@ -79,18 +79,18 @@
 
     @property
     def complete(self) -> bool:
-        """Return whether all leases granted under earlier leaders have run out."""
+        """Return whether all leases granted under earlier leaders have expired."""
         return self._clock() >= self._started + self._settings.lease
 
     def record(self, request: BarrierRequest) -> bool:
-        """Merge a control host's sessions; return False if all are needed."""
+        """Merge a control host's sessions; return False if a full report is needed."""
         known = self._controls.get(request.sender)
         if known is not None and known.epoch != request.epoch:
             self._former.append((request.sender, known))
             del self._controls[request.sender]
             known = None
         if known is not None and request.version < known.version:
-            return False  # A request that arrives late; its rows are older.
+            return False  # Delivered out of order; its rows are older.
         if request.since == 0:
             known = _Control(request.epoch, 0, request.revision, 0)
             self._controls[request.sender] = known
@@ -108,14 +108,14 @@
 
     def statuses(self) -> dict[str, HostStatus]:
         """Return the entry hosts with a running lease, by host name."""
-        found: dict[str, HostStatus] = {}
+        statuses: dict[str, HostStatus] = {}
         for name, control in self._open():
             for row in control.rows.values():
                 status = HostStatus.of(row, name)
-                other = found.get(row.host)
+                other = statuses.get(row.host)
                 if other is None or _progress(other) < _progress(status):
-                    found[row.host] = status
-        return found
+                    statuses[row.host] = status
+        return statuses
 
     def lagging(self, revision: int) -> list[str]:
         """Return what keeps `revision` from being in force everywhere."""
@@ -133,15 +133,13 @@
         return waiting
 
     def refresh(self) -> dict[str, int]:
-        """Update the list of live hosts and return it."""
-        now_live = {
-            status.host: status.incarnation for status in self.statuses().values()
-        }
-        for host in now_live.keys() | self._live.keys():
-            if now_live.get(host) != self._live.get(host):
+        """Update the incarnations of live hosts and return them."""
+        live = {status.host: status.incarnation for status in self.statuses().values()}
+        for host in live.keys() | self._live.keys():
+            if live.get(host) != self._live.get(host):
                 self._live_changes.touch(host)
-        self._live = now_live
-        return now_live
+        self._live = live
+        return live
 
     def live_since(self, version: int) -> tuple[dict[str, int | None], int]:
         """Return live incarnations (None: not live) changed after `version`."""
@@ -152,10 +150,10 @@
 
     def _open(self) -> list[tuple[str, _Control]]:
         """Return the control hosts whose leases may still run."""
-        limit = self._clock() - self._settings.lease
-        self._former = [each for each in self._former if each[1].received > limit]
-        running = [each for each in self._controls.items() if each[1].received > limit]
-        return running + self._former
+        cutoff = self._clock() - self._settings.lease
+        self._former = [item for item in self._former if item[1].received > cutoff]
+        current = [item for item in self._controls.items() if item[1].received > cutoff]
+        return current + self._former
 
 
 def _progress(status: HostStatus) -> tuple[int, int]:
--- a/packages/membership/src/kingcuplug_membership/_barrier.py
+++ b/packages/membership/src/kingcuplug_membership/_leader_exchange.py
@@ -1,7 +1,7 @@
-"""The exchange of control hosts with the log's leader.
+"""Periodic barrier exchange between the control hosts and the log's leader.
 
-It bounds the leases that a control host may grant, tells the leader all sessions,
-and relays the directory between control hosts that cannot reach each other.
+It limits the leases that a control host may grant, reports all sessions to the
+leader, and relays the directory between control hosts that cannot reach each other.
 """
 
 import asyncio
@@ -12,11 +12,11 @@
 
 from kingcuplug_common import KingcuplugError, state_change
 
-from kingcuplug_membership._continuity import Continuity
+from kingcuplug_membership._completeness import Continuity
 from kingcuplug_membership._directory import Directory, DirectoryChanges
 from kingcuplug_membership._errors import NotLeading
 from kingcuplug_membership._hosts import HostStatus
-from kingcuplug_membership._leading import RELAY_MARGIN_S, Leading
+from kingcuplug_membership._leader_role import RELAY_MARGIN_S, Leading
 from kingcuplug_membership._messages import (
     BarrierReply,
     BarrierRequest,
@@ -35,14 +35,15 @@
 
 
 class Barrier:
-    """One control host's side of the exchange, as follower and as leader.
+    """A control host's side of the barrier exchange, as follower or as leader.
 
     Parameters
     ----------
     name : str
         Peer address of this host.
     revision : callable
-        Number of the configuration revision that this host grants.
+        Returns the number of the configuration revision for which this host grants
+        leases.
     call : callable
         Sends a barrier message to a peer.
     """
@@ -111,16 +112,16 @@
     async def confirm(self, time: float) -> None:
         """Wait until an exchange that began at `time` or later is applied here."""
         self._hurry.set()
-        # The log applies entries without telling membership, so this has to look.
+        # The log does not notify membership of applied entries, so poll for them.
         while self.grant_until() - self._settings.safe_lease < time:  # noqa: ASYNC110
             await asyncio.sleep(_CONFIRM_PERIOD_S)
 
     def uploaded(self) -> int:
-        """Return up to which version the leader has this host's directory."""
+        """Return the version up to which the leader has this host's directory."""
         return self._directory.version if self._leading.active() else self._uploaded
 
     def failing(self) -> bool:
-        """Return whether sessions should move while their leases still run."""
+        """Return whether sessions should move elsewhere before their leases expire."""
         return self.grant_until() - self._clock() < self._settings.safe_lease / 2
 
     def live(self) -> dict[str, int] | None:
@@ -132,10 +133,10 @@
         return self._entry_hosts
 
     def _count(self, known_to_leader: int) -> None:
-        # Counted once per exchange: a union of 6,300 names in every answer would
-        # cost a control host more than the rest of the answer.
-        own, _ = self._sessions.changes_since(0)
-        names = {row.host for row in own}.union(self._live or ())
+        # Computed once per exchange: a union of 6,300 host names for every reply
+        # would cost a control host more than the rest of the reply.
+        own_rows, _ = self._sessions.changes_since(0)
+        names = {row.host for row in own_rows}.union(self._live or ())
         self._entry_hosts = max(len(names), 0 if self._live else known_to_leader)
 
     def hosts(self) -> list[HostStatus]:
@@ -168,7 +169,7 @@
         """
         if not self._leading.active():
             raise NotLeading(
-                f"control host {self._name} does not lead",
+                f"control host {self._name} is not the leader",
                 f"ask the leader {self._leader.leader() or '(none is known)'}",
             )
         return self._leading.table().lagging(revision)
@@ -185,7 +186,7 @@
         return self._leading.handle(message)
 
     async def run(self) -> None:
-        """Exchange with the leader, or lead, until cancelled."""
+        """Exchange with the leader, or act as the leader, until cancelled."""
         while True:
             self._hurry.clear()
             pause = await self._step()
@@ -195,7 +196,7 @@
                     await self._hurry.wait()
 
     async def _step(self) -> float:
-        """Do one exchange; return the time to wait before the next."""
+        """Run one exchange or one leader step; return the delay before the next."""
         self._sessions.expire()
         period = self._settings.barrier_ms / 1_000
         if self._leading.active():
@@ -206,12 +207,12 @@
             return _RETRY_S
         started = self._clock()
         try:
-            done = await self._ask(leader)
+            finished = await self._ask(leader)
         except (OSError, TimeoutError, KingcuplugError):
             return _RETRY_S
         if not self._continuity.settled():
             period = _RETRY_S
-        return max(0.0, started + period - self._clock()) if done else 0.0
+        return max(0.0, started + period - self._clock()) if finished else 0.0
 
     def _note_state(self) -> None:
         failing = self.failing()
@@ -222,8 +223,8 @@
         self._failed = failing
 
     def _note_leading(self) -> None:
-        # Called before anything is granted: this host may lead again after a time
-        # in which it missed what others learned.
+        # Runs before any grant: a host that becomes the leader again may have missed
+        # changes that other control hosts received in the meantime.
         if self._continuity.interrupted():
             self._collect_again()
         self._continuity.note_leader()
@@ -238,8 +239,8 @@
         self._count(len(self._leading.table().statuses()))
 
     async def _ask(self, leader: str) -> bool:
-        """Exchange once; return False if there is more to exchange at once."""
-        sent = self._clock()
+        """Run one exchange; return False if the next one must follow at once."""
+        sent_at = self._clock()
         upload = self._upload()
         request = self._request(upload)
         async with asyncio.timeout(self._settings.barrier_ms / 1_000):
@@ -257,15 +258,15 @@
         self._take(request, reply)
         if reply.more or upload.more:
             return False
-        self._pending.append((reply.commit_index, sent + self._settings.safe_lease))
+        self._pending.append((reply.commit_index, sent_at + self._settings.safe_lease))
         return True
 
     def _retry(self, leader: str) -> bool:
-        """Send everything at once to a leader that lacks our sessions."""
+        """Restart with a full report to a leader that lacks this host's sessions."""
         if self._leader_table:
             self._forget_leader()
             return False
-        raise NotLeading(f"{leader} does not confirm", "ask again")
+        raise NotLeading(f"{leader} did not confirm the exchange", "retry the exchange")
 
     def _upload(self) -> DirectoryChanges:
         if self._relayed_into != self._directory.epoch:
@@ -317,17 +318,17 @@
     def _take_live(self, reply: BarrierReply) -> None:
         if reply.live is None:
             return
-        known = {} if reply.live_full or self._live is None else dict(self._live)
+        live = {} if reply.live_full or self._live is None else dict(self._live)
         for host, incarnation in reply.live.items():
             if incarnation is None:
-                known.pop(host, None)
+                live.pop(host, None)
             else:
-                known[host] = incarnation
-        self._live = known
+                live[host] = incarnation
+        self._live = live
         self._live_version = reply.live_version
 
     def _collect_again(self) -> None:
-        """Start as after a restart: ends of servers may have been missed."""
+        """Discard the directory as after a restart, since tombstones may be missing."""
         state_change("control host", "collects the directory again", name=self._name)
         self._continuity.restart()
         self._directory.reset()
--- a/packages/membership/src/kingcuplug_membership/_leading.py
+++ b/packages/membership/src/kingcuplug_membership/_leader_role.py
@@ -1,9 +1,9 @@
-"""What a control host does for the others while it is the log's leader."""
+"""Membership duties of the control host that leads the log."""
 
 from collections.abc import Callable
 from typing import Any
 
-from kingcuplug_membership._continuity import Continuity
+from kingcuplug_membership._completeness import Continuity
 from kingcuplug_membership._directory import Directory
 from kingcuplug_membership._entry import ServerEntry, holder_name
 from kingcuplug_membership._hosts import HostTable
@@ -19,12 +19,12 @@
 
 __all__ = ["RELAY_MARGIN_S", "Leading"]
 
-# A new leader merged a change at most this much later than its predecessor.
+# Longest time by which a new leader merged a change later than its predecessor did.
 RELAY_MARGIN_S = 5.0
 
 
 class Leading:
-    """The leader's table of hosts, its relay and its decision on lost hosts."""
+    """Host table, directory relay and detection of lost entry hosts on the leader."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         return self._clock() < self._leader.leading_until()
 
     def table(self) -> HostTable:
-        """Return the host table of this term, with our own sessions up to date."""
+        """Return the host table of this term, with this host's sessions up to date."""
         if self._term != self._leader.term():
             self._table = HostTable(self._clock, self._settings)
             self._term = self._leader.term()
@@ -77,7 +77,7 @@
         )
 
     def step(self) -> dict[str, int] | None:
-        """End the leases of lost hosts; return the live hosts if all are known."""
+        """End the leases of lost hosts; return the live hosts, or None if unknown."""
         table = self.table()
         live = table.refresh()
         if not table.complete:
@@ -86,7 +86,7 @@
         return live
 
     def _end_lost(self, live: dict[str, int]) -> None:
-        """End the leases of entry hosts that are gone for a server lease period."""
+        """End the leases of entry hosts not live for one server lease period."""
         now = self._clock()
         live_holders = {holder_name(*item) for item in live.items()}
         lost = [name for name in self._directory.holders() if name not in live_holders]
@@ -131,8 +131,8 @@
         if not table.complete:
             return None, 0, False
         full = request.table != table.epoch or request.live_version == 0
-        news, version = table.live_since(0 if full else request.live_version)
-        return (news if news or full else None), version, full
+        changes, version = table.live_since(0 if full else request.live_version)
+        return (changes if changes or full else None), version, full
 
     def _relay(
         self, request: BarrierRequest
@@ -144,7 +144,7 @@
         if request.relay_epoch == directory.epoch:
             since = request.relay_version
         elif request.relay_age_ms >= 0:
-            gap = request.relay_age_ms / 1_000 + RELAY_MARGIN_S
-            since = directory.version_at(self._clock() - gap)
+            age = request.relay_age_ms / 1_000 + RELAY_MARGIN_S
+            since = directory.version_at(self._clock() - age)
         changes = directory.changes_since(since, limit=self._settings.batch_limit)
         return directory.epoch, changes.version, changes.entries, changes.more
--- a/packages/membership/src/kingcuplug_membership/_leases.py
+++ b/packages/membership/src/kingcuplug_membership/_leases.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from kingcuplug_membership._announcement import Announcement
-from kingcuplug_membership._changes import ChangeLog
+from kingcuplug_membership._change_log import ChangeLog
 from kingcuplug_membership._entry import ServerEntry
 from kingcuplug_membership._errors import (
     AnnouncementInvalid,
@@ -29,7 +29,7 @@
     lease_ms : int
         Time after which the server counts as gone unless it renews.
     renew_address : str
-        Where to renew; the entry host itself, not the load balancer.
+        Address for renewals: the entry host itself, not the load balancer.
     renew_ms : int
         Period of renewal.
     """
@@ -58,11 +58,16 @@
     clock : callable
         Monotonic time in seconds.
     confirmed : callable
-        Whether the host's session lease runs. Without it the host can tell nobody
-        of a server, so it grants nothing and servers go elsewhere, and it expires
-        nothing since it may be the one that is cut off.
+        Returns whether the host's session lease runs. Without one the host cannot
+        publish a server, so it grants no lease and servers announce elsewhere; it
+        also expires no lease, since it may itself be cut off.
     known : callable
-        Returns what the directory knows of (service, server).
+        Returns the directory's entry of (service, server), or None.
+
+    Attributes
+    ----------
+    changed : callable
+        Called after every change of a lease.
     """
 
     def __init__(
@@ -88,7 +93,7 @@
 
     @property
     def version(self) -> int:
-        """Return the number of the last change."""
+        """Return the version of the last change."""
         return self._changes.version
 
     def announce(self, announcement: Announcement) -> LeaseGranted:
@@ -97,11 +102,11 @@
         Raises
         ------
         AnnouncementStale
-            If something newer is known of the server.
+            If a newer announcement of the server, or the end of its lease, is known.
         AnnouncementInvalid
             If the content changed under the same sequence.
         HostUnconfirmed
-            If this host has no session lease.
+            If this host has no running session lease.
         """
         self._require_confirmed()
         lease = self._leases.get(announcement.server)
@@ -126,7 +131,7 @@
         LeaseUnknown
             If no such lease runs here.
         HostUnconfirmed
-            If this host has no session lease.
+            If this host has no running session lease.
         """
         self._require_confirmed()
         lease = self._leases.get(server)
@@ -144,18 +149,18 @@
         """End the leases that were not renewed in time; return their number."""
         now = self._clock()
         if not self._confirmed():
-            # Servers could not renew here, so they get a whole lease afterwards.
+            # Servers cannot renew here meanwhile, so each gets a full lease afterwards.
             self._resumed = now + self._settings.server_lease_ms / 1_000
             return 0
-        over = [
+        expired = [
             lease
             for lease in self._leases.values()
             if not lease.ended and max(lease.expires, self._resumed) <= now
         ]
-        for lease in over:
+        for lease in expired:
             self._finish(lease, now)
         self._forget(now - self._settings.tombstone_ms / 1_000)
-        return len(over)
+        return len(expired)
 
     async def run(self) -> None:
         """Expire leases until cancelled."""
@@ -164,9 +169,10 @@
             await asyncio.sleep(_EXPIRE_PERIOD_S)
 
     def supersede(self, entry: ServerEntry) -> None:
-        """Give up a lease that the directory does not accept, if `entry` says so.
+        """End the lease that `entry`, an entry of the directory, overrules, if any.
 
-        The server's next renewal fails, so it announces with a greater sequence.
+        The server's next renewal then fails, and it announces again with a greater
+        sequence.
         """
         lease = self._leases.get(entry.announcement.server)
         if lease is None or lease.ended or lease.announcement.service != entry.key[0]:
@@ -181,10 +187,11 @@
     def changes_since(self, version: int) -> tuple[list[ServerEntry], int]:
         """Return the entries changed after `version`, and the version reached.
 
-        Version 0 gives all running leases, and the ends of the tombstones' period.
+        Version 0 returns all running leases and those that ended within the tombstone
+        period.
         """
-        found = [self._entry(key) for key in self._changes.since(version)]
-        return found, self.version
+        entries = [self._entry(key) for key in self._changes.since(version)]
+        return entries, self.version
 
     def _require_confirmed(self) -> None:
         if not self._confirmed():
--- a/packages/membership/src/kingcuplug_membership/_mesh.py
+++ b/packages/membership/src/kingcuplug_membership/_mesh.py
@@ -1,4 +1,7 @@
-"""Control hosts tell one another what they were the first to learn."""
+"""Replication of the directory and of verdicts between the control hosts.
+
+Every control host serves the changes that it received first; its peers poll for them.
+"""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -7,7 +10,7 @@
 
 from kingcuplug_common import KingcuplugError
 
-from kingcuplug_membership._continuity import Continuity
+from kingcuplug_membership._completeness import Continuity
 from kingcuplug_membership._directory import Directory
 from kingcuplug_membership._messages import MeshReply, MeshRequest, decode, encode
 from kingcuplug_membership._settings import MembershipSettings
@@ -21,7 +24,7 @@
 
 @dataclass(slots=True)
 class _Cursor:
-    """How far one peer's news are merged, and into which epoch of our directory."""
+    """Versions up to which a peer's changes are merged, and into which local epoch."""
 
     into: str
     epoch: str = ""
@@ -30,14 +33,14 @@
 
 
 class Mesh:
-    """One task per peer polls it for news; a reply comes when there are any.
+    """Polls every peer in a task of its own; a reply is held until there are changes.
 
     Parameters
     ----------
     name : str
         Peer address of this control host.
     peers : callable
-        Peer addresses of the other control hosts; they can change.
+        Returns the peer addresses of the other control hosts, which can change.
     call : callable
         Sends a mesh message to a peer.
     """
@@ -75,7 +78,7 @@
             news.set()
 
     async def run(self) -> None:
-        """Follow every peer until cancelled."""
+        """Poll every peer until cancelled."""
         following: dict[str, asyncio.Task[None]] = {}
         async with asyncio.TaskGroup() as tasks:
             while True:
@@ -117,7 +120,7 @@
             self._continuity.note_mesh(peer)
 
     async def handle(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Answer a peer's poll, after a wait if there is no news for it.
+        """Answer a peer's poll, after a wait if there are no changes for it.
 
         Raises
         ------
@@ -131,14 +134,14 @@
         return encode(self._reply(request))
 
     def _reply(self, request: MeshRequest) -> MeshReply:
-        fresh = request.epoch != self._directory.epoch
+        full = request.epoch != self._directory.epoch
         changes = self._directory.changes_since(
-            0 if fresh else request.version,
+            0 if full else request.version,
             local=True,
             limit=self._settings.batch_limit,
         )
         verdicts = self._verdicts.since(
-            0 if fresh else request.verdict_version, local=True
+            0 if full else request.verdict_version, local=True
         )
         return MeshReply(
             self._directory.epoch,
@@ -150,7 +153,7 @@
         )
 
     async def _hold(self, request: MeshRequest) -> None:
-        """Wait for news, for at most the poll's time."""
+        """Wait for changes, for at most the poll period."""
         end = self._clock() + self._settings.mesh_poll_ms / 1_000
         while not self._has_news(request):
             try:
@@ -158,8 +161,8 @@
                     await self._news.wait()
             except TimeoutError:
                 return
-        since = self._clock() - self._answered.get(request.sender, float("-inf"))
-        await asyncio.sleep(max(0.0, self._settings.spacing_ms / 1_000 - since))
+        elapsed = self._clock() - self._answered.get(request.sender, float("-inf"))
+        await asyncio.sleep(max(0.0, self._settings.spacing_ms / 1_000 - elapsed))
 
     def _has_news(self, request: MeshRequest) -> bool:
         return (
--- a/packages/membership/src/kingcuplug_membership/_messages.py
+++ b/packages/membership/src/kingcuplug_membership/_messages.py
@@ -1,7 +1,7 @@
 """Messages between hosts, with their JSON form.
 
-Fields at their default are left out of the JSON: an idle session exchanges one
-message per second, so its size decides the traffic of a node.
+Fields with their default value are left out of the JSON: an idle session exchanges
+one message per second, so the message size decides the traffic of a node.
 """
 
 from dataclasses import dataclass
@@ -35,22 +35,22 @@
     Attributes
     ----------
     number : int
-        Greater with every request of one run of the host; the control host drops
-        overtaken requests.
+        Increases with every request of one run of the host; the control host rejects
+        requests that a later one has overtaken.
     epoch : str
         Epoch of the control host's directory; empty to start a session.
     confirmed : int
         Revision of the configuration that is in force here; -1 for none.
     whole_text : bool
-        Whether deltas do not help, because the text's digest differed.
+        Whether the full text is needed, because the digest after the deltas differed.
     directory, verdict_version : int
-        Versions up to which the host has the control host's news.
+        Versions up to which the host has the control host's directory and verdicts.
     services : tuple of str or None
         Routed services; None if they are unchanged.
     updates : tuple of ServerEntry
         Lease changes; all leases at the start of a session.
     asked : tuple of str
-        Hosts whose live incarnation is wanted.
+        Hosts whose live incarnation is requested.
     """
 
     host: str
@@ -81,13 +81,13 @@
     restart : bool
         Whether the host must start the session again and send everything.
     revision, digest, deltas, text : int, str, tuple or None, str or None
-        Current revision and how to get there.
+        Current revision, its digest, and the deltas or full text that lead to it.
     full : bool
         Whether `entries` begin the whole directory of the routed services.
     more : bool
         Whether further entries follow with the next request.
     refused : tuple of ServerEntry
-        What the directory holds instead of updates that it did not accept.
+        Entries that the directory keeps in place of updates that it rejected.
     live : dict
         Live incarnation of the hosts asked for; None if none is live.
     delivered : bool
@@ -138,14 +138,14 @@
     revision : int
         Configuration revision under which the sender grants.
     relay_epoch, relay_version : str, int
-        How far the sender has the leader's directory.
+        Epoch and version up to which the sender has the leader's directory.
     relay_age_ms : int
-        Time since the sender last had a leader's directory; -1 for never.
+        Time since the sender last had a leader's whole directory; -1 for never.
     live_version : int
-        How far the sender has the leader's list of live hosts.
+        Version up to which the sender has the leader's list of live hosts.
     entries : tuple of ServerEntry
-        Directory changes that the sender was the first to learn; they reach the
-        leader also when it cannot connect to the sender.
+        Directory changes that the sender received first. This way they also reach a
+        leader that cannot connect to the sender.
     more : bool
         Whether further entries follow with the next request.
     """
@@ -177,7 +177,7 @@
         leader knows all sessions of the sender.
     entries : tuple of ServerEntry
         Directory changes from all control hosts, so that two that cannot reach
-        each other still learn them.
+        each other still receive them.
     live : dict or None
         Live incarnation by host, or None for hosts that left.
     entry_hosts : int
@@ -199,7 +199,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MeshRequest:
-    """Ask a control host for what it was the first to learn."""
+    """Poll a control host for the changes that it received first."""
 
     sender: str
     epoch: str = ""
@@ -209,7 +209,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MeshReply:
-    """What a control host was the first to learn."""
+    """Changes that a control host received first."""
 
     epoch: str
     version: int = 0
--- a/packages/membership/src/kingcuplug_membership/_rendezvous.py
+++ b/packages/membership/src/kingcuplug_membership/_rendezvous.py
@@ -9,7 +9,8 @@
 def preference(host: str, seeds: Iterable[str]) -> list[str]:
     """Order `seeds` for `host` by rendezvous hash.
 
-    The loss of one control host moves only its own sessions, and spreads them.
+    The loss of one control host moves only its own sessions, and spreads them over the
+    others.
     """
     return sorted(
         set(seeds),
--- a/packages/membership/src/kingcuplug_membership/_session_client.py
+++ b/packages/membership/src/kingcuplug_membership/_session_client.py
@@ -8,8 +8,8 @@
 from kingcuplug_common import KingcuplugError, state_change
 
 from kingcuplug_membership._directory import Directory
+from kingcuplug_membership._directory_sync import DirectoryIntake
 from kingcuplug_membership._entry import holder_name
-from kingcuplug_membership._intake import DirectoryIntake
 from kingcuplug_membership._leases import LeaseTable
 from kingcuplug_membership._messages import (
     SessionReply,
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Sent:
-    """A request, when it was sent, and which own news it carries."""
+    """A request, its time of sending, and the local versions that it brings."""
 
     request: SessionRequest
     time: float
@@ -38,7 +38,7 @@
 
 
 class SessionClient:
-    """One task that keeps the session, whatever becomes of the control hosts.
+    """Maintains the session, and moves it when a control host fails or refuses.
 
     Parameters
     ----------
@@ -47,7 +47,7 @@
     renew_address : str
         ``ip:port`` at which backend servers renew their leases.
     seeds : callable
-        Peer addresses of the control hosts.
+        Returns the peer addresses of the control hosts.
     configuration : ConfigurationSink
         The configuration in force here.
     call : callable
@@ -62,7 +62,7 @@
     directory : Directory
         The servers of the routed services.
     verdicts : VerdictBoard
-        Blames and condemnations of all entry hosts.
+        Crash verdicts of all entry hosts.
     live_entry_hosts : int
         Number of entry hosts with a running lease.
     """
@@ -130,15 +130,15 @@
         return self._settings.verdict_ms
 
     def report(self, verdict: Verdict) -> None:
-        """Tell all entry hosts of a blame or a condemnation."""
+        """Send a crash verdict to all entry hosts."""
         if self.verdicts.add(verdict, local=True):
             self._urgent.set()
 
     async def delivered(self, version: int) -> None:
         """Wait until the log's leader has the lease changes up to `version`.
 
-        From then on they are in force everywhere within a session lease, whoever
-        is cut off: no host gets a longer lease without them.
+        One session lease later they are in force everywhere, even if hosts are cut
+        off: no host gets a longer lease without them.
         """
         while self._delivered < version:
             await self._replied.wait()
@@ -151,7 +151,7 @@
         return await asyncio.shield(self._asked[host]) == incarnation
 
     async def run(self) -> None:
-        """Keep the session, and end server leases, until cancelled."""
+        """Maintain the session and expire server leases until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.leases.run())
             tasks.create_task(self._keep())
@@ -168,7 +168,7 @@
                 await self._move()
 
     def _start(self) -> None:
-        """Begin a session: both sides send everything."""
+        """Reset the session; the next exchange transfers the full state."""
         self._epoch = ""
         self._verdict_version = 0
         self._sent_verdicts = 0
@@ -177,7 +177,7 @@
         self._intake.start()
 
     async def _move(self) -> None:
-        """Go on to the next control host, after a pause once all have refused."""
+        """Switch to the next control host; pause once all of them have refused."""
         rounds = self._refusals // max(1, len(self._preference()))
         self._refusals += 1
         self._moves += 1
@@ -199,7 +199,7 @@
         return seeds[self._moves % len(seeds)]
 
     async def _exchange(self) -> bool:
-        """Do one exchange; return False if the control host grants nothing."""
+        """Run one exchange; return False if the control host grants nothing."""
         home = self._home()
         if self._clock() - self._answered_at > self._settings.lease:
             self._start()
@@ -234,13 +234,13 @@
         )
 
     async def _ask(self, home: str, request: SessionRequest) -> SessionReply | None:
-        """Send a request; return None if own news interrupt an idle poll."""
+        """Send a request; return None if a local change interrupts an idle poll."""
         settings = self._settings
-        # A control host confirms itself with the leader before it starts a session.
+        # A control host waits for the leader to confirm it before it opens a session.
         longest_ms = settings.poll_ms if request.epoch else settings.barrier_ms
         wait_ms = settings.grace_ms + longest_ms
-        calling = asyncio.ensure_future(self._call(home, encode(request)))
-        waiting: list[asyncio.Future[Any]] = [calling]
+        call = asyncio.ensure_future(self._call(home, encode(request)))
+        waiting: list[asyncio.Future[Any]] = [call]
         if _is_idle(request):
             waiting.append(asyncio.ensure_future(self._interruption()))
         try:
@@ -249,8 +249,8 @@
                 timeout=wait_ms / 1_000,
                 return_when=asyncio.FIRST_COMPLETED,
             )
-            if calling.done():
-                return decode(SessionReply, calling.result())
+            if call.done():
+                return decode(SessionReply, call.result())
             if waiting[-1].done():
                 return None
             raise TimeoutError(f"control host {home} does not answer")
@@ -290,19 +290,19 @@
             self.verdicts.add(verdict)
         self._verdict_version = reply.verdict_version
         for host, incarnation in (reply.live or {}).items():
-            waiting = self._asked.pop(host, None)
-            if waiting is not None and not waiting.done():
-                waiting.set_result(incarnation)
+            answer = self._asked.pop(host, None)
+            if answer is not None and not answer.done():
+                answer.set_result(incarnation)
 
     def _take_configuration(self, reply: SessionReply) -> bool:
-        """Put the current revision in force; return whether it is."""
+        """Apply the current revision; return whether it is in force here."""
         if reply.text is None and reply.deltas is None:
             return self._configuration.current() == reply.revision
         deltas = None if reply.deltas is None else list(reply.deltas)
         try:
             self._configuration.apply(reply.revision, deltas, reply.text, reply.digest)
         except Exception as error:
-            # Whatever the cause, the text in force here is not the accepted one.
+            # After any failure, the text in force here is not the accepted one.
             self._set_diverged(True, str(error))
             self._lease_until = float("-inf")
             return False
@@ -322,5 +322,5 @@
 
 
 def _is_idle(request: SessionRequest) -> bool:
-    news = request.updates or request.verdicts or request.asked
-    return bool(request.epoch) and not news and not request.whole_text
+    content = request.updates or request.verdicts or request.asked
+    return bool(request.epoch) and not content and not request.whole_text
--- a/packages/membership/src/kingcuplug_membership/_session_server.py
+++ b/packages/membership/src/kingcuplug_membership/_session_server.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from kingcuplug_membership._barrier import Barrier
-from kingcuplug_membership._continuity import Continuity
+from kingcuplug_membership._completeness import Continuity
 from kingcuplug_membership._directory import Directory
 from kingcuplug_membership._entry import ServerEntry
 from kingcuplug_membership._hosts import HostStatus
+from kingcuplug_membership._leader_exchange import Barrier
 from kingcuplug_membership._messages import (
     SessionReply,
     SessionRequest,
@@ -26,18 +26,18 @@
 
 
 class SessionServer:
-    """A control host's side of all its sessions.
+    """Serves the sessions of all entry hosts whose home is this control host.
 
     Parameters
     ----------
     name : str
         Peer address of this control host.
     peers : callable
-        Peer addresses of the other control hosts.
+        Returns the peer addresses of the other control hosts.
     configuration : ConfigurationSource
         The configuration applied here.
     leader : LeaderSource
-        What this host's replica knows of the leader.
+        State of the leader as known to this host's replica of the log.
     call_barrier : callable
         Sends a barrier message to a peer.
     clock : callable
@@ -48,11 +48,11 @@
     directory : Directory
         All backend servers.
     verdicts : VerdictBoard
-        Blames and condemnations of all entry hosts.
+        Crash verdicts of all entry hosts.
     barrier : Barrier
-        The exchange with the leader.
+        The barrier exchange with the leader.
     continuity : Continuity
-        Shared with the mesh.
+        Completeness of the directory; the mesh updates it too.
     """
 
     def __init__(
@@ -87,13 +87,13 @@
         self.verdicts.watch(lambda verdict: self._sessions.wake())
 
     async def run(self) -> None:
-        """Exchange with the leader and forget what is old, until cancelled."""
+        """Exchange with the leader and purge tombstones until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.barrier.run())
             tasks.create_task(self._tidy())
 
     def wake(self) -> None:
-        """Complete all polls; call it when a revision has been applied."""
+        """Complete all pending polls; call it when a revision has been applied."""
         self._sessions.wake()
 
     def hosts(self) -> list[HostStatus]:
@@ -110,7 +110,7 @@
             self.directory.purge()
 
     async def handle(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Answer a session request, after a wait if there is no news.
+        """Answer a session request, after a wait if there are no changes for it.
 
         Raises
         ------
@@ -122,8 +122,8 @@
         session = self._find(request)
         if isinstance(session, SessionReply):
             return encode(session)
-        starts = request.epoch == "" and not self._refusal(request)
-        if starts and not await self._is_current_view(received):
+        may_start = request.epoch == "" and not self._refusal(request)
+        if may_start and not await self._is_current_view(received):
             return encode(SessionReply(reason="the leader does not answer in time"))
         full = request.epoch == "" or self._route(session, request)
         self._sessions.confirm(session, request.confirmed)
@@ -165,7 +165,7 @@
         return known
 
     def _route(self, session: Session, request: SessionRequest) -> bool:
-        """Take over changed services; return whether they changed."""
+        """Update the routed services; return whether they changed."""
         if request.services is None:
             return False
         services = frozenset(request.services)
@@ -174,11 +174,11 @@
         return changed
 
     def _merge(self, request: SessionRequest) -> tuple[ServerEntry, ...]:
-        """Merge what the host sent; return what is known instead of refused updates."""
-        starts = request.epoch == ""
+        """Merge the host's updates; return the entries that overrule rejected ones."""
+        is_start = request.epoch == ""
         refused = []
         for update in request.updates:
-            if starts:
+            if is_start:
                 self.directory.adopt(update)
             else:
                 self.directory.merge(update, local=True)
@@ -190,15 +190,17 @@
         return tuple(refused)
 
     def _is_urgent(self, request: SessionRequest) -> bool:
-        asks = request.asked and self.barrier.live() is not None
-        return bool(request.updates or request.verdicts or asks or request.whole_text)
+        answerable = request.asked and self.barrier.live() is not None
+        return bool(
+            request.updates or request.verdicts or answerable or request.whole_text
+        )
 
     def _is_current(self, session: Session, request: SessionRequest) -> bool:
         known = self._sessions.get(session.host)
         return known is session and session.number == request.number
 
     async def _hold(self, session: Session, request: SessionRequest) -> None:
-        """Wait for news, for at most the poll's time."""
+        """Wait for changes, for at most the poll period."""
         end = self._clock() + self._settings.poll_ms / 1_000
         while self._is_current(session, request):
             session.wake.clear()
@@ -212,9 +214,9 @@
                 return
 
     async def _space(self, session: Session) -> None:
-        """Delay an answer under constant change, which then brings more at once."""
-        since = self._clock() - session.answered_at
-        await asyncio.sleep(max(0.0, self._settings.spacing_ms / 1_000 - since))
+        """Delay a reply under constant change, so that it carries more changes."""
+        elapsed = self._clock() - session.answered_at
+        await asyncio.sleep(max(0.0, self._settings.spacing_ms / 1_000 - elapsed))
 
     def _has_news(self, session: Session, request: SessionRequest) -> bool:
         return (
@@ -226,7 +228,7 @@
         )
 
     def _refusal(self, request: SessionRequest) -> str:
-        """Return why this host grants nothing now; empty if it does."""
+        """Return why this host grants no lease now; empty if it grants one."""
         if self.barrier.failing():
             return "the leader does not confirm this control host"
         if not self.continuity.settled():
@@ -293,8 +295,8 @@
 
     def _verdict_news(self, request: SessionRequest) -> tuple[Verdict, ...]:
         sent = {verdict.key for verdict in request.verdicts}
-        news = self.verdicts.since(request.verdict_version)
-        return tuple(verdict for verdict in news if verdict.key not in sent)
+        added = self.verdicts.since(request.verdict_version)
+        return tuple(verdict for verdict in added if verdict.key not in sent)
 
     def _live_news(self, request: SessionRequest) -> dict[str, int | None] | None:
         live = self.barrier.live()
--- a/packages/membership/src/kingcuplug_membership/_sessions.py
+++ b/packages/membership/src/kingcuplug_membership/_sessions.py
@@ -1,15 +1,15 @@
-"""The sessions of one control host."""
+"""Sessions of the entry hosts at one control host."""
 
 import asyncio
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from kingcuplug_membership._changes import ChangeLog
+from kingcuplug_membership._change_log import ChangeLog
 from kingcuplug_membership._messages import HostRow, SessionRequest
 
 __all__ = ["Session", "SessionTable"]
 
-# A poll lasts at most 1 s, so a host that was answered longer ago has gone.
+# A poll lasts at most 1 s, so a host that got its last reply longer ago has gone.
 _IDLE_S = 3.0
 
 
@@ -24,14 +24,14 @@
     granted_until : float
         End of the longest lease granted.
     answered_at : float
-        Time of the last answer.
+        Time of the last reply.
     listed : bool
-        Whether the leader is told of a running lease.
+        Whether the leader is told that the host holds a lease.
     behind : bool
-        Whether the last answer left out entries for its size.
+        Whether the last reply left out entries beyond the batch limit.
     awaited : int
         Directory version that the leader must have before the host's updates count
-        as delivered; 0 if the host was told so.
+        as delivered; 0 once a reply has reported the delivery.
     """
 
     host: str
@@ -48,25 +48,25 @@
     wake: asyncio.Event = field(default_factory=asyncio.Event)
 
     def row(self) -> HostRow:
-        """Return what the leader needs to know."""
+        """Return the row that is sent to the leader."""
         return HostRow(
             self.host, self.incarnation, self.availability_zone, self.confirmed
         )
 
 
 class SessionTable:
-    """Sessions by host, with the changes that the leader must learn."""
+    """Sessions by host, with a change log for the reports to the leader."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self._sessions: dict[str, Session] = {}
         self._changes: ChangeLog[str] = ChangeLog(clock)
-        # A version above 0 tells the leader that rows are changes, not everything.
+        # Start at version 1: `since` 0 in a barrier request marks a full report.
         self._changes.version = 1
 
     @property
     def version(self) -> int:
-        """Return the number of the last change."""
+        """Return the version of the last change."""
         return self._changes.version
 
     def get(self, host: str) -> Session | None:
@@ -78,7 +78,7 @@
         return list(self._sessions.values())
 
     def open(self, request: SessionRequest) -> Session:
-        """Start a session, or start it again."""
+        """Open a session, in place of an earlier one of the same host."""
         known = self._sessions.get(request.host)
         session = Session(
             request.host,
@@ -86,7 +86,7 @@
             request.availability_zone,
             request.number,
             frozenset(request.services or ()),
-            # A session that waits for its first answer is not idle.
+            # A session that waits for its first reply is not idle.
             answered_at=self._clock(),
         )
         if known is not None:
@@ -113,7 +113,7 @@
         session.granted_until = max(session.granted_until, until)
 
     def expire(self) -> None:
-        """Drop the sessions whose lease is over and that poll no longer."""
+        """Report expired leases to the leader, and drop sessions without polls."""
         now = self._clock()
         for session in self.all():
             if session.granted_until > now:
@@ -126,7 +126,7 @@
                 session.wake.set()
 
     def wake(self, service: str | None = None) -> None:
-        """Complete the polls that wait, or those that route `service`."""
+        """Complete all pending polls, or those of hosts that route `service`."""
         for session in self._sessions.values():
             if service is None or service in session.services:
                 session.wake.set()
--- a/packages/membership/src/kingcuplug_membership/_settings.py
+++ b/packages/membership/src/kingcuplug_membership/_settings.py
@@ -1,4 +1,4 @@
-"""Periods and bounds of membership, in one place."""
+"""Periods and bounds of membership."""
 
 from dataclasses import dataclass
 
@@ -12,15 +12,15 @@
     Attributes
     ----------
     lease_ms : int
-        Longest session lease. With the long poll it keeps a superseded text from
-        being served 4 s after its successor was accepted.
+        Longest session lease. Together with the long poll it ensures that no host
+        serves a superseded text 4 s after its successor was accepted.
     poll_ms, mesh_poll_ms : int
         Longest wait of a session poll and of a poll between control hosts.
     spacing_ms : int
-        Shortest time between two answers to one poller under constant change, so
+        Shortest time between two replies to one poller under constant change, so
         that a burst costs a bounded number of exchanges.
     grace_ms : int
-        Time a caller waits beyond the wait that it asked for. Poll, grace and one
+        Time for which a requester waits beyond the poll period. Poll, grace and one
         more exchange fit into the lease, so that the loss of a home control host
         leaves no gap.
     barrier_ms : int
@@ -28,7 +28,7 @@
     server_lease_ms, renew_ms : int
         Lease of a backend server and the period of its renewal.
     tombstone_ms : int
-        Time for which the end of a server is remembered.
+        Time for which an ended server is kept as a tombstone.
     settle_ms, settle_limit_ms : int
         Time in which a started control host collects the directory before it
         grants sessions, and longest wait for other control hosts after a time
@@ -36,16 +36,16 @@
     drift_bound : float
         Greatest relative difference between two monotonic clocks.
     verdict_ms : int
-        Time for which blames and condemnations are kept.
+        Time for which crash verdicts are kept.
     verdict_limit : int
-        Greatest number of blames and condemnations kept.
+        Greatest number of crash verdicts kept.
     session_batch_limit, batch_limit : int
-        Greatest number of directory entries in one answer to an entry host, and
-        in one message between control hosts. 2,000 entries take about 60 ms of
-        CPU to encode; after the loss of a control host, several entry hosts want
-        an answer within the grace at the same moment, so theirs are shorter.
+        Greatest number of directory entries in one reply to an entry host, and in
+        one message between control hosts. 2,000 entries take about 60 ms of CPU to
+        encode; after the loss of a control host, several entry hosts need a reply
+        within the grace at the same moment, so these replies are shorter.
     return_ms : int
-        Time after which an entry host tries its first choice of home again.
+        Time after which an entry host returns to its preferred control host.
     """
 
     lease_ms: int = 3_000
--- a/packages/membership/src/kingcuplug_membership/_sources.py
+++ b/packages/membership/src/kingcuplug_membership/_sources.py
@@ -1,6 +1,6 @@
-"""What membership needs from the log and the configuration, as closures.
+"""Interfaces of membership to the log and the configuration.
 
-Membership imports neither: the daemon connects them.
+They are closures that the daemon supplies, so that membership imports neither.
 """
 
 from collections.abc import Awaitable, Callable
@@ -10,7 +10,10 @@
 __all__ = ["Call", "ConfigurationSink", "ConfigurationSource", "LeaderSource"]
 
 Call = Callable[[str, dict[str, Any]], Awaitable[dict[str, Any]]]
-"""Peer address and message to reply; raises OSError or TimeoutError."""
+"""Send a message to a peer address and return the reply.
+
+Raises OSError or TimeoutError.
+"""
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderSource:
-    """What a control host's replica of the log knows of the leader.
+    """State of the leader as known to a control host's replica of the log.
 
     Attributes
     ----------
--- a/packages/membership/src/kingcuplug_membership/_verdicts.py
+++ b/packages/membership/src/kingcuplug_membership/_verdicts.py
@@ -1,10 +1,10 @@
-"""Blames and condemnations of request fingerprints, shared by all entry hosts."""
+"""Verdicts on request fingerprints that crash servers, shared by all entry hosts."""
 
 import dataclasses
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from kingcuplug_membership._changes import ChangeLog
+from kingcuplug_membership._change_log import ChangeLog
 from kingcuplug_membership._settings import MembershipSettings
 
 __all__ = ["Verdict", "VerdictBoard"]
@@ -12,20 +12,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """A fingerprint that is blamed for the crash of a server, or condemned.
+    """A fingerprint suspected of the crash of a server, or quarantined.
 
     Attributes
     ----------
     fingerprint : str
         Digest of service, kind and body of the request.
     server, incarnation : str, int
-        The run of the server that crashed; empty for a condemnation.
+        The run of the server that crashed; empty if the fingerprint is quarantined.
     remaining_ms : int
-        Time for which the verdict is kept on.
+        Remaining time for which the verdict is kept.
     service, availability_zone : str
-        Those of the crashed server, so that others can tell a failing zone.
+        Those of the crashed server, so that other hosts can detect a failing zone.
     proven : bool
-        Whether the fingerprint had completed somewhere before.
+        Whether a request with the fingerprint had completed somewhere before.
     """
 
     fingerprint: str
@@ -38,17 +38,17 @@
 
     @property
     def condemned(self) -> bool:
-        """Return whether the fingerprint is condemned, not only blamed."""
+        """Return whether the fingerprint is quarantined, not only suspected."""
         return not self.server
 
     @property
     def key(self) -> tuple[str, str, int]:
-        """Return what makes two verdicts the same."""
+        """Return the fields that identify a verdict."""
         return (self.fingerprint, self.server, self.incarnation)
 
 
 class VerdictBoard:
-    """Verdicts of the last minutes, bounded in number; the oldest go first."""
+    """Unexpired verdicts, bounded in number; the oldest are evicted first."""
 
     def __init__(
         self, clock: Callable[[], float], settings: MembershipSettings | None = None
@@ -65,12 +65,12 @@
 
     @property
     def version(self) -> int:
-        """Return the number of the last change."""
+        """Return the version of the last change."""
         return self._changes.version
 
     @property
     def local_version(self) -> int:
-        """Return the number of the last change that this host has to tell."""
+        """Return the version of the last change that this host replicates."""
         return self._changes.local_version
 
     def watch(self, callback: Callable[[Verdict], None]) -> None:
@@ -78,7 +78,7 @@
         self._watchers.append(callback)
 
     def add(self, verdict: Verdict, local: bool = False) -> bool:
-        """Keep a verdict; return whether it is new."""
+        """Store a verdict; return whether it is new."""
         self._purge()
         if verdict.key in self._expires:
             return False
@@ -93,15 +93,17 @@
         return True
 
     def since(self, version: int, local: bool = False) -> tuple[Verdict, ...]:
-        """Return the verdicts added after `version` that still run."""
+        """Return the verdicts added after `version` that have not expired."""
         now = self._clock()
-        found = []
+        unexpired = []
         for key in self._changes.since(version, local):
             remaining_ms = int((self._expires[key] - now) * 1_000)
             if remaining_ms > 0:
                 verdict = self._verdicts[key]
-                found.append(dataclasses.replace(verdict, remaining_ms=remaining_ms))
-        return tuple(found)
+                unexpired.append(
+                    dataclasses.replace(verdict, remaining_ms=remaining_ms)
+                )
+        return tuple(unexpired)
 
     def _purge(self) -> None:
         now = self._clock()
--- a/tests/membership/conftest.py
+++ b/tests/membership/conftest.py
@@ -1,4 +1,4 @@
-"""A small system of hosts on a fake network, in virtual time."""
+"""A small system of hosts on a simulated network, in virtual time."""
 
 import asyncio
 import json
@@ -44,10 +44,10 @@
 
 
 class FakeNetwork:
-    """Delivers JSON between addresses, with faults.
+    """Delivers JSON messages between addresses, with injected faults.
 
-    A cut or dropped message hangs, as with a silent partition; a stopped process
-    refuses the connection.
+    A dropped message, or one across a partition, hangs as with a silent partition; a
+    stopped process refuses the connection.
     """
 
     def __init__(self, seed: int) -> None:
@@ -70,7 +70,7 @@
         return frozenset((one, other)) not in self.cuts
 
     def caller(self, kind: str, source: str) -> Callable[[str, Any], Awaitable[Any]]:
-        """Return the closure by which `source` sends messages of `kind`."""
+        """Return the function by which `source` sends messages of `kind`."""
 
         async def call(peer: str, message: Any) -> Any:
             await self._travel(kind, source, peer, "request")
@@ -101,7 +101,7 @@
 
 
 class FakeLog:
-    """Revisions of the configuration, and who leads; no agreement of its own.
+    """Configuration revisions and the leader, without a consensus protocol.
 
     A leader that does not reach a majority loses its lease; after that, a control
     host that does reach one is elected.
@@ -119,14 +119,14 @@
         self._lease_end = 0.0
 
     def accept(self) -> int:
-        """Accept a new revision, if there is a leader; return the newest."""
+        """Accept a new revision, if there is a leader; return the newest number."""
         if self.leader and self._has_majority(self.leader):
             self.texts.append(json.dumps({"n": len(self.texts)}))
             self.accepted_at.append(now())
         return len(self.texts) - 1
 
     def elect(self, name: str | None) -> None:
-        """Change the leader at once; the caller sees to the former one's lease."""
+        """Change the leader at once, without waiting for the former leader's lease."""
         self.leader = name
         self.term += 1
         if name is not None:
@@ -138,7 +138,7 @@
         return self._lease_end if self.leader == name else 0.0
 
     def _has_majority(self, name: str) -> bool:
-        reached = [one for one in self.names if self.network.reachable(name, one)]
+        reached = [peer for peer in self.names if self.network.reachable(name, peer)]
         return len(reached) > len(self.names) // 2
 
     async def run(self) -> None:
@@ -147,14 +147,14 @@
             if self.leader and self._has_majority(self.leader):
                 self._lease_end = now() + LEADER_LEASE_S
             elif self.enabled and now() > self._lease_end:
-                able = [name for name in self.names if self._has_majority(name)]
-                self.elect(self.network.random.choice(able) if able else None)
+                eligible = [name for name in self.names if self._has_majority(name)]
+                self.elect(self.network.random.choice(eligible) if eligible else None)
                 self._lease_end = now() + LEADER_LEASE_S
             await asyncio.sleep(0.05)
 
 
 class Control:
-    """One control host's process."""
+    """Process of a control host."""
 
     def __init__(self, system: "System", name: str) -> None:
         self.system = system
@@ -234,7 +234,7 @@
 
 
 class Entry:
-    """One entry host's process, with the configuration in force there."""
+    """Process of an entry host, with the configuration in force there."""
 
     def __init__(self, system: "System", name: str) -> None:
         self.system = system
@@ -284,18 +284,18 @@
         self.start()
 
     def live(self, service: str = "counter") -> list[str]:
-        """Return the live servers that the router here would get."""
+        """Return the live servers that this host's router would use."""
         entries = self.client.directory.servers(service)
         return sorted(entry.announcement.server for entry in entries)
 
     def state(self, server: str, service: str = "counter") -> str | None:
-        """Return the state of a live server as known here."""
+        """Return the state of a live server in this host's directory."""
         entry = self.client.directory.get(service, server)
         return entry.announcement.state if entry and entry.live else None
 
 
 class Server:
-    """A backend server that renews, and announces elsewhere when that fails."""
+    """Backend server that renews its lease, and announces again if that fails."""
 
     def __init__(self, system: "System", name: str, via: int = 0, **fields: Any):
         self.system = system
@@ -317,11 +317,11 @@
 
     @property
     def order(self) -> tuple[int, int]:
-        """Return the rank of the current announcement."""
+        """Return incarnation and sequence of the current announcement."""
         return self.announcement.order
 
     def announce(self, **fields: Any) -> None:
-        """Announce through the first entry host that accepts."""
+        """Announce through the first entry host that accepts the announcement."""
         entries = list(self.system.entries.values())
         for offset in range(len(entries)):
             entry = entries[(self.via + offset) % len(entries)]
@@ -356,7 +356,7 @@
 
 
 class System:
-    """Control hosts c0.., entry hosts e0.. on one fake network."""
+    """Control hosts c0.. and entry hosts e0.. on one simulated network."""
 
     def __init__(self, controls: int, entries: int, seed: int = 1) -> None:
         self.network = FakeNetwork(seed)
@@ -393,7 +393,7 @@
 
 
 async def until(condition: Callable[[], bool], limit: float = 20.0) -> float:
-    """Wait until `condition` holds and return the time that took."""
+    """Wait until `condition` holds and return the time taken in seconds."""
     started = now()
     while not condition():
         if now() - started > limit:
@@ -407,7 +407,7 @@
 
 @pytest.fixture
 def play() -> Callable[..., None]:
-    """Return a function that runs a scenario on a ready system."""
+    """Return a function that runs a scenario once every entry host serves."""
 
     def run(
         scenario: Scenario, controls: int = 3, entries: int = 3, seed: int = 1
--- a/tests/membership/test_announcement.py
+++ b/tests/membership/test_announcement.py
@@ -1,4 +1,4 @@
-"""Announcements come from foreign processes and must be checked at the border."""
+"""Announcements come from processes outside the system and must be validated."""
 
 from dataclasses import asdict
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 def test_valid_announcement_is_read() -> None:
-    # Guards against a border that loses fields.
+    # Guards against a parser that loses fields.
     assert parse_announcement(VALID) == make_announcement()
 
 
@@ -35,7 +35,7 @@
     ],
 )
 def test_nonsense_is_refused_with_remedy(fault: dict[str, Any], place: str) -> None:
-    # Guards against nonsense that reaches the directory, and against an error
+    # Guards against invalid values that reach the directory, and against an error
     # that does not say what to correct.
     with pytest.raises(AnnouncementInvalid) as caught:
         parse_announcement(VALID | fault)
@@ -45,12 +45,12 @@
 
 @pytest.mark.parametrize("value", [None, [], "text", 3, {}])
 def test_other_json_is_refused(value: Any) -> None:
-    # Guards against an untyped error on a body that is no object.
+    # Guards against an untyped error for a body that is not a JSON object.
     with pytest.raises(AnnouncementInvalid):
         parse_announcement(value)
 
 
 def test_all_faults_are_named_at_once() -> None:
-    # Guards against an operator who corrects one field per attempt.
+    # Guards against errors that make an operator correct one field per attempt.
     with pytest.raises(AnnouncementInvalid, match=r"2 faults.*slots.*connections"):
         parse_announcement(VALID | {"slots": 0, "connections": 0})
--- a/tests/membership/test_directory.py
+++ b/tests/membership/test_directory.py
@@ -1,4 +1,4 @@
-"""Directories must agree whatever the order in which updates arrive."""
+"""Directories must converge in whatever order updates arrive."""
 
 from dataclasses import replace
 
@@ -29,7 +29,7 @@
 
 
 def test_greater_pair_wins(directory: Directory) -> None:
-    # Guards against a stale update after a newer one.
+    # Guards against a stale update that replaces a newer one.
     assert directory.merge(with_order(2, 1))
     assert not directory.merge(with_order(1, 9))
     assert not directory.merge(with_order(2, 1))
@@ -38,7 +38,7 @@
 
 
 def test_end_wins_over_its_announcement_only(directory: Directory) -> None:
-    # Guards against an end that arrives late and ends the successor.
+    # Guards against a delayed end of a lease that ends the next announcement's lease.
     directory.merge(with_order(1, 2))
     directory.merge(replace(with_order(1, 1), ended=("e0/1",)))
     assert directory.servers("counter")
@@ -48,7 +48,7 @@
 
 
 def test_lease_at_other_host_keeps_server(directory: Directory) -> None:
-    # Guards against a duplicate announcement through two entry hosts, of which the
+    # Guards against the loss of a server that announced through two entry hosts: the
     # one without renewals ends its lease.
     directory.merge(LIVE)
     directory.merge(replace(LIVE, held=("e1/1",)))
@@ -59,7 +59,7 @@
 
 
 def test_withdrawal_ends_all_leases(directory: Directory) -> None:
-    # Guards against a withdrawn server that a second lease keeps alive.
+    # Guards against a withdrawn server that a second lease keeps listed.
     directory.merge(replace(LIVE, held=("e1/1",)))
     gone = replace(LIVE.announcement, state="withdrawn")
     directory.merge(ServerEntry(gone, ("e0/1",), ("e0/1",)))
@@ -69,8 +69,8 @@
 def test_tombstone_outlives_stale_updates(
     directory: Directory, clock: list[float]
 ) -> None:
-    # Guards against a stale update that revives a server, and against tombstones
-    # that are kept for ever.
+    # Guards against a stale update that restores an ended server, and against
+    # tombstones that are never removed.
     directory.merge(replace(LIVE, ended=("e0/1",)))
     clock[0] = 59
     assert directory.purge() == 0
@@ -82,33 +82,34 @@
 
 
 def test_changes_are_limited_and_resumed(directory: Directory) -> None:
-    # Guards against entries that are lost between two parts of a long answer.
+    # Guards against entries that are lost between two parts of a long reply.
     entries = [ServerEntry(make_announcement(f"s{n}"), ("e0/1",)) for n in range(7)]
     for entry in entries:
         directory.merge(entry)
-    found: list[ServerEntry] = []
+    received: list[ServerEntry] = []
     version, more = 0, True
     while more:
         changes = directory.changes_since(version, ("counter",), limit=3)
-        found += changes.entries
+        received += changes.entries
         version, more = changes.version, changes.more
-    assert found == entries
+    assert received == entries
     assert version == directory.version
 
 
 def test_changes_of_other_services_are_left_out(directory: Directory) -> None:
-    # Guards against entry hosts that get the whole system's directory.
+    # Guards against entry hosts that receive the directory of all services.
     directory.merge(LIVE)
     cutting = replace(LIVE.announcement, service="cutting")
     directory.merge(ServerEntry(cutting, ("e0/1",)))
     for version in (0, 1):
-        found = directory.changes_since(version, ("cutting",)).entries
-        assert [entry.key[0] for entry in found] == ["cutting"]
+        entries = directory.changes_since(version, ("cutting",)).entries
+        assert [entry.key[0] for entry in entries] == ["cutting"]
     assert directory.changes_since(1, ("counter",)).entries == ()
 
 
 def test_adopted_entry_is_told_again(directory: Directory) -> None:
-    # Guards against a server that only the lost former home would have passed on.
+    # Guards against a server that is never replicated because the control host that
+    # received it first was lost.
     directory.merge(LIVE)
     assert directory.changes_since(0, local=True).entries == ()
     assert not directory.adopt(LIVE)
@@ -139,7 +140,7 @@
 
     @rule(update=_UPDATES, number=st.integers(0, 2))
     def learn(self, update: ServerEntry, number: int) -> None:
-        """Let one directory learn something new."""
+        """Merge a new update into one directory."""
         self.updates.append(update)
         self.directories[number].merge(update)
 
@@ -152,13 +153,13 @@
 
     @rule(source=st.integers(0, 2), number=st.integers(0, 2))
     def exchange(self, source: int, number: int) -> None:
-        """Let one directory learn all that another knows."""
+        """Merge all entries of one directory into another."""
         for entry in self.directories[source].changes_since(0).entries:
             self.directories[number].merge(entry)
 
     def teardown(self) -> None:
         """Deliver everything everywhere, in three orders, and compare."""
-        # Guards against hosts that disagree for good after the same updates.
+        # Guards against hosts that never converge after the same updates.
         if not self.updates:
             return
         orders = (self.updates, self.updates[::-1], sorted(self.updates, key=repr))
@@ -173,9 +174,11 @@
 
     def _greatest_rank(self) -> tuple[int, int, int]:
         order = max(update.announcement.order for update in self.updates)
-        last = [one for one in self.updates if one.announcement.order == order]
-        withdrawn = any(one.announcement.state == "withdrawn" for one in last)
-        running = {one.held for one in last} - {one.held for one in last if one.ended}
+        last = [entry for entry in self.updates if entry.announcement.order == order]
+        withdrawn = any(entry.announcement.state == "withdrawn" for entry in last)
+        running = {entry.held for entry in last} - {
+            entry.held for entry in last if entry.ended
+        }
         return (*order, 0 if running and not withdrawn else 1)
 
 
--- a/tests/membership/test_leases.py
+++ b/tests/membership/test_leases.py
@@ -1,4 +1,4 @@
-"""The lease table must end what is gone and keep what is only unreachable."""
+"""The lease table must end leases of lost servers, not of those it cannot reach."""
 
 from dataclasses import replace
 
@@ -17,7 +17,7 @@
 
 
 class Table(LeaseTable):
-    """A lease table with a clock, a session and a directory set by hand."""
+    """Lease table whose clock, session state and directory entry the test sets."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -32,7 +32,7 @@
         )
 
     def news(self) -> list[tuple[int, bool]]:
-        """Return sequence and liveness of what a new session would send."""
+        """Return sequence and liveness of the entries that a new session sends."""
         return [
             (entry.announcement.sequence, entry.live)
             for entry in self.changes_since(0)[0]
@@ -73,7 +73,7 @@
 def test_unknown_renewal_is_refused(
     table: Table, announcement: Announcement, order: tuple[str, int, int]
 ) -> None:
-    # Guards against a server that believes it has a lease where it has none.
+    # Guards against a server that goes on renewing a lease that does not exist.
     table.announce(announcement)
     with pytest.raises(LeaseUnknown, match="greater sequence"):
         table.renew(*order)
@@ -82,7 +82,7 @@
 def test_ended_lease_needs_greater_sequence(
     table: Table, announcement: Announcement
 ) -> None:
-    # Guards against a delayed copy of an announcement that revives a lost server.
+    # Guards against a delayed copy of an announcement that restores a lost server.
     table.announce(announcement)
     table.now += 3
     table.expire()
@@ -106,7 +106,7 @@
 def test_older_announcement_is_refused(
     table: Table, announcement: Announcement
 ) -> None:
-    # Guards against a stale update after a newer one.
+    # Guards against a stale announcement that replaces a newer one.
     table.announce(replace(announcement, incarnation=2))
     with pytest.raises(AnnouncementStale, match="incarnation 2"):
         table.announce(replace(announcement, sequence=9))
@@ -115,14 +115,14 @@
 def test_changed_content_needs_greater_sequence(
     table: Table, announcement: Announcement
 ) -> None:
-    # Guards against hosts that keep different content under one rank.
+    # Guards against hosts that hold different content for one incarnation and sequence.
     table.announce(announcement)
     with pytest.raises(AnnouncementInvalid, match="greater sequence"):
         table.announce(replace(announcement, slots=4))
 
 
 def test_withdrawal_is_final(table: Table, announcement: Announcement) -> None:
-    # Guards against a server that leaves and is offered again.
+    # Guards against a withdrawn server that is listed again.
     table.announce(announcement)
     table.announce(replace(announcement, state="withdrawn"))
     table.announce(replace(announcement, state="withdrawn"))
@@ -146,7 +146,7 @@
 def test_unconfirmed_host_ends_nothing(
     table: Table, announcement: Announcement
 ) -> None:
-    # Guards against an observer that is cut off and declares its servers gone.
+    # Guards against an entry host that is cut off and ends the leases of its servers.
     table.announce(announcement)
     table.running = False
     table.now += 60
@@ -163,15 +163,15 @@
     # Guards against a server that stays in the service that it left.
     table.announce(announcement)
     table.announce(replace(announcement, service="cutting", sequence=2))
-    found = {entry.key[0]: entry.live for entry in table.changes_since(0)[0]}
-    assert found == {"counter": False, "cutting": True}
+    live = {entry.key[0]: entry.live for entry in table.changes_since(0)[0]}
+    assert live == {"counter": False, "cutting": True}
     table.announce(replace(announcement, sequence=3))
-    found = {entry.key[0]: entry.live for entry in table.changes_since(0)[0]}
-    assert found == {"counter": True, "cutting": False}
+    live = {entry.key[0]: entry.live for entry in table.changes_since(0)[0]}
+    assert live == {"counter": True, "cutting": False}
 
 
 def test_ended_leases_are_forgotten(table: Table, announcement: Announcement) -> None:
-    # Guards against a table that grows with every server that ever announced.
+    # Guards against a table that keeps every server that ever announced.
     table.announce(announcement)
     table.now += 3
     table.expire()
--- a/tests/membership/test_servers.py
+++ b/tests/membership/test_servers.py
@@ -1,4 +1,4 @@
-"""What becomes of backend servers on a whole system of hosts."""
+"""Announcement, draining and loss of backend servers across a system of hosts."""
 
 import asyncio
 from collections.abc import Callable
@@ -24,7 +24,7 @@
 
 
 def test_server_is_known_everywhere_and_ends(play: Play) -> None:
-    # Guards against servers that stay hidden, or stay listed when they are lost.
+    # Guards against servers that are never listed, or stay listed when they are lost.
     async def scenario(system: System) -> None:
         server = Server(system, "s1")
         await until(lambda: everywhere(system, ["s1"]), 1.0)
@@ -47,8 +47,8 @@
 
 
 def test_flapping_server_settles(play: Play) -> None:
-    # Guards against directories that disagree after a server came and went quickly
-    # through different entry hosts.
+    # Guards against directories that diverge after a server restarted in quick
+    # succession through different entry hosts.
     async def scenario(system: System) -> None:
         for incarnation in range(1, 15):
             server = Server(system, "s1", via=incarnation, incarnation=incarnation)
@@ -59,17 +59,18 @@
         Server(system, "s1", incarnation=15)
         await asyncio.sleep(1)
         await watch(lambda: everywhere(system, ["s1"]), 5)
-        found = {
+        known_entries = {
             entry.client.directory.get("counter", "s1")
             for entry in system.entries.values()
         }
-        assert len(found) == 1
+        assert len(known_entries) == 1
 
     play(scenario)
 
 
 def test_duplicate_announcement_does_not_end_server(play: Play) -> None:
-    # Guards against the end of a lease that was granted for a second copy.
+    # Guards against a server that ends with the lease granted for a duplicate of its
+    # announcement.
     async def scenario(system: System) -> None:
         server = Server(system, "s1", via=1)
         await asyncio.sleep(0)
@@ -81,7 +82,7 @@
 
 
 def test_return_with_another_incarnation(play: Play) -> None:
-    # Guards against the old run's end that ends the new run at the same address.
+    # Guards against the end of a server's old run that also ends its new run.
     async def scenario(system: System) -> None:
         first = Server(system, "s1", via=0)
         await until(lambda: everywhere(system, ["s1"]))
@@ -97,7 +98,8 @@
 
 
 def test_stale_announcement_does_not_revive(play: Play) -> None:
-    # Guards against a delayed copy of an announcement at another entry host.
+    # Guards against a delayed copy of an announcement that restores a withdrawn server
+    # through another entry host.
     async def scenario(system: System) -> None:
         server = Server(system, "s1")
         await until(lambda: everywhere(system, ["s1"]))
@@ -115,8 +117,8 @@
 
 @pytest.mark.parametrize("cut", ["e0", "e2", "c0", "c1", "c2", "mesh", "nothing"])
 def test_drain_is_in_force_within_3_s(play: Play, cut: str) -> None:
-    # Guards against new work for a leaving server at an entry host that hears
-    # nothing of it: such a host must have stopped taking work by then.
+    # Guards against new work for a draining server at an entry host that does not
+    # receive the change: such a host must have stopped taking work by then.
     async def scenario(system: System) -> None:
         server = Server(system, "s1", via=0)
         await until(lambda: everywhere(system, ["s1"]))
@@ -137,8 +139,8 @@
             lambda: all(
                 entry.state("s1") == "draining" or not entry.client.is_confirmed()
                 for entry in system.entries.values()
-                # The host that accepted the announcement and is cut off at that
-                # moment cannot pass it on; `delivered` tells it so.
+                # An entry host that is cut off as it accepts the announcement cannot
+                # replicate it; its `delivered` does not return.
                 if cut != "e0" or entry.name == "e0"
             ),
             3,
@@ -148,7 +150,7 @@
 
 
 def test_delivered_tells_whether_an_announcement_went_out(play: Play) -> None:
-    # Guards against a positive answer to a drain that nobody else ever hears of.
+    # Guards against a positive reply to a drain that no other host ever receives.
     async def scenario(system: System) -> None:
         entry = system.entries["e0"]
         entry.leases.announce(make_announcement())
@@ -164,18 +166,18 @@
 
 def test_lost_zone_ends_its_servers(play: Play) -> None:
     # Guards against servers of a lost zone that stay listed because their entry
-    # hosts and the control host that knew them are lost too.
+    # host and the control host of its session are lost too.
     async def scenario(system: System) -> None:
         kept = Server(system, "s0", via=0)
         lost = [Server(system, f"s{number}", via=1) for number in range(1, 9)]
         names = [f"s{number}" for number in range(9)]
         await until(lambda: everywhere(system, names))
-        # A session that the leader has not been told of counts as lost at once.
+        # A session not yet reported to the leader counts as lost at once.
         await until(lambda: len(system.leader.hosts()) == len(system.entries))
         zone = {system.home("e1"), "e1", *names[1:]} - {"c0"}
         system.network.isolated |= zone
-        rest = [system.entries["e0"], system.entries["e2"]]
-        took = await until(lambda: all(entry.live() == ["s0"] for entry in rest), 7)
+        others = [system.entries["e0"], system.entries["e2"]]
+        took = await until(lambda: all(entry.live() == ["s0"] for entry in others), 7)
         # The session lease of 3 s, less the age of the last barrier (at most 0.5 s),
         # and the server lease of 2 s have to pass first.
         assert took > 4.0
@@ -186,8 +188,8 @@
 
 
 def test_cut_off_observers_end_nothing(play: Play) -> None:
-    # Guards against a control host or an entry host that is cut off and declares
-    # everybody else gone.
+    # Guards against a control host or an entry host that is cut off and ends the
+    # leases of all others.
     async def scenario(system: System) -> None:
         for number in range(3):
             Server(system, f"s{number}", via=number)
@@ -195,8 +197,8 @@
         await until(lambda: everywhere(system, names))
         system.network.isolated |= {"c2", "e2"}
         await asyncio.sleep(20)
-        observer = system.controls["c2"].server
-        assert len(observer.directory.servers("counter")) == 3
+        isolated = system.controls["c2"].server
+        assert len(isolated.directory.servers("counter")) == 3
         assert system.entries["e2"].live() == names
         assert not system.entries["e2"].client.is_confirmed()
         system.network.isolated.clear()
@@ -207,8 +209,8 @@
 
 
 def test_servers_of_cut_off_entry_host_move(play: Play) -> None:
-    # Guards against servers that renew at a host which can tell nobody, until they
-    # are declared lost.
+    # Guards against servers that renew at an entry host that is cut off until the
+    # leader counts them as lost.
     async def scenario(system: System) -> None:
         server = Server(system, "s1", via=1)
         await until(lambda: everywhere(system, ["s1"]))
@@ -221,7 +223,7 @@
 
 
 def test_restarted_entry_host_keeps_its_servers_listed(play: Play) -> None:
-    # Guards against an outage of all servers that announced at a restarted host.
+    # Guards against an outage of all servers that announced at a restarted entry host.
     async def scenario(system: System) -> None:
         Server(system, "s1", via=1)
         await until(lambda: everywhere(system, ["s1"]))
@@ -234,8 +236,8 @@
 
 
 def test_withdrawn_server_stays_away_after_a_long_cut(play: Play) -> None:
-    # Guards against a control host that was cut off for longer than tombstones
-    # last, kept the server, and brings it back.
+    # Guards against a control host that was cut off for longer than tombstones are
+    # kept, still lists the server, and replicates it again.
     async def scenario(system: System) -> None:
         server = Server(system, "s1")
         Server(system, "s2")
@@ -257,7 +259,7 @@
 
 def test_change_passes_mesh_without_the_leader(play: Play) -> None:
     # Guards against changes that wait for the exchange with the leader, which can
-    # be missing for the time of an election.
+    # fail for the duration of an election.
     async def scenario(system: System) -> None:
         Server(system, "s1")
         await until(lambda: everywhere(system, ["s1"]))
@@ -271,8 +273,8 @@
 
 
 def test_overruled_lease_is_announced_again(play: Play) -> None:
-    # Guards against a server that renews for ever at an entry host whose leases
-    # the leader has ended.
+    # Guards against a server that keeps renewing at an entry host whose leases the
+    # leader has ended.
     async def scenario(system: System) -> None:
         Server(system, "s1", via=1)
         await until(lambda: everywhere(system, ["s1"]))
@@ -284,8 +286,8 @@
 
 
 def test_delivered_waits_for_the_leader(play: Play) -> None:
-    # Guards against a positive answer to a drain that only a control host knows
-    # which is cut off from the leader.
+    # Guards against a positive reply to a drain that has reached only a control host
+    # that is cut off from the leader.
     async def scenario(system: System) -> None:
         entry = next(
             entry for name, entry in system.entries.items() if system.home(name) != "c0"
--- a/tests/membership/test_sessions.py
+++ b/tests/membership/test_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions must bridge lost control hosts, and never serve a superseded text."""
+"""Sessions must survive lost control hosts, and never serve a superseded text."""
 
 import asyncio
 import contextlib
@@ -18,7 +18,7 @@
     VerdictBoard,
     preference,
 )
-from kingcuplug_membership._intake import DirectoryIntake
+from kingcuplug_membership._directory_sync import DirectoryIntake
 from kingcuplug_membership._messages import SessionReply
 
 from .conftest import Entry, Server, System, make_announcement, now, until
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize("controls", [1, 3])
 def test_restarted_control_host(play: Play, controls: int) -> None:
     # Guards against an outage while a control host with a new epoch collects the
-    # directory, and against entry hosts that believe its first, incomplete answer.
+    # directory, and against entry hosts that adopt its first, incomplete reply.
     async def scenario(system: System) -> None:
         names = await prepare(system)
         for control in system.controls.values():
@@ -82,8 +82,8 @@
 
 
 def test_control_host_without_leader_sends_sessions_away(play: Play) -> None:
-    # Guards against sessions that stay with a control host until their lease is
-    # over, although the other control hosts are confirmed.
+    # Guards against sessions that stay with a control host until their lease
+    # expires, although the other control hosts are confirmed by the leader.
     async def scenario(system: System) -> None:
         names = await prepare(system)
         home = system.home("e1")
@@ -96,7 +96,7 @@
 
 
 def test_return_to_first_choice(play: Play) -> None:
-    # Guards against sessions that pile up at the control hosts that never restart.
+    # Guards against sessions that accumulate at the control hosts that never restart.
     async def scenario(system: System) -> None:
         first = preference("e0", system.controls)[0]
         system.controls[first].stop()
@@ -112,7 +112,7 @@
 
 
 def test_quorum_loss_stops_service_and_keeps_servers(play: Play) -> None:
-    # Guards against a host that serves although nobody can confirm its text.
+    # Guards against an entry host that serves although no leader can confirm its text.
     async def scenario(system: System) -> None:
         names = await prepare(system)
         system.log.enabled = False
@@ -135,8 +135,8 @@
 
 
 def test_new_leader_waits_a_lease_before_it_reports(play: Play) -> None:
-    # Guards against "in force everywhere" while a host that only the former leader
-    # knew still serves the old text.
+    # Guards against "in force everywhere" while a host whose session only the former
+    # leader knew still serves the old text.
     async def scenario(system: System) -> None:
         victim = next(name for name in system.entries if system.home(name) == "c0")
         system.network.isolated |= {victim, "c0"}
@@ -151,7 +151,7 @@
 
 
 def test_wait_in_force_with_cut_off_host(play: Play) -> None:
-    # Guards against an early "in force everywhere", and against a wait without end.
+    # Guards against an early "in force everywhere", and against a wait that never ends.
     async def scenario(system: System) -> None:
         await asyncio.sleep(4)
         system.network.isolated.add("e2")
@@ -165,7 +165,7 @@
 
 
 def test_wait_in_force_is_quick_when_all_answer(play: Play) -> None:
-    # Guards against a wait for leases that need not run out.
+    # Guards against a wait for the expiry of leases when all hosts have confirmed.
     async def scenario(system: System) -> None:
         await asyncio.sleep(4)
         started = now()
@@ -177,8 +177,8 @@
 
 
 def test_wait_in_force_covers_session_that_just_began(play: Play) -> None:
-    # Guards against a host that got the old text from a control host after that
-    # control host's last barrier, unknown to the leader.
+    # Guards against "in force everywhere" while a host serves the old text that it got
+    # from a control host after that control host's last barrier exchange.
     async def scenario(system: System) -> None:
         firsts = {name: preference(name, system.controls)[0] for name in system.entries}
         name, home = next(item for item in firsts.items() if item[1] != "c0")
@@ -205,7 +205,7 @@
 
 def test_session_starts_only_on_a_new_word_of_the_leader(play: Play) -> None:
     # Guards against a restarted entry host that serves an older text than before
-    # its restart, because its home had not heard of the newer one yet.
+    # its restart, because its home has not received the newer one yet.
     async def scenario(system: System) -> None:
         firsts = {name: preference(name, system.controls)[0] for name in system.entries}
         name, home = next(item for item in firsts.items() if item[1] != "c0")
@@ -225,8 +225,8 @@
 
 
 def test_restarted_control_host_does_not_hide_its_leases(play: Play) -> None:
-    # Guards against "in force everywhere" while a lease runs that only the former
-    # run of a restarted control host had granted.
+    # Guards against "in force everywhere" while a lease still runs that a control host
+    # granted before its restart.
     async def scenario(system: System) -> None:
         firsts = {name: preference(name, system.controls)[0] for name in system.entries}
         name, home = next(item for item in firsts.items() if item[1] != "c0")
@@ -259,7 +259,7 @@
 
 
 def test_wait_in_force_needs_the_leader(play: Play) -> None:
-    # Guards against an answer from a host that does not know all sessions.
+    # Guards against a reply from a control host that does not know all sessions.
     async def scenario(system: System) -> None:
         with pytest.raises(NotLeading, match="c0"):
             await system.controls["c1"].server.wait_in_force(0)
@@ -268,7 +268,7 @@
 
 
 def test_diverged_digest_stops_service_until_whole_text(play: Play) -> None:
-    # Guards against a host that serves a text other than the accepted one.
+    # Guards against an entry host that serves a text other than the accepted one.
     async def scenario(system: System) -> None:
         entry = system.entries["e1"]
         entry.failures_to_apply = 3
@@ -283,7 +283,7 @@
 
 
 class Checker:
-    """Fails when a confirmed host serves what it must have given up by then."""
+    """Fails if a confirmed host serves a superseded text or an outdated server."""
 
     def __init__(self, system: System) -> None:
         self.system = system
@@ -312,7 +312,7 @@
                 raise AssertionError(f"{entry.name} uses {name} at {now()}")
 
     def drain(self, server: Server) -> None:
-        """Drain a server, and remember it once a control host knows."""
+        """Drain a server, and record it once the leader has the change."""
         server.announce(state="draining")
         if server.home is not None:
             note = self._note(server, server.home.client, server.home.leases.version)
@@ -325,7 +325,7 @@
             self.drains.append((name, order, now()))
 
     def stop(self) -> None:
-        """End the checks and raise what they found."""
+        """End the checks and raise their failures."""
         for task in self.tasks:
             if task.done():
                 task.result()
@@ -333,7 +333,7 @@
 
 
 async def disturb(system: System, checker: Checker) -> None:
-    """Do one random fault or repair."""
+    """Inject one random fault, repair or change."""
     random = system.network.random
     name = random.choice([*system.entries, *system.controls])
     choice = random.randrange(9)
@@ -359,8 +359,8 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_nothing_superseded_is_served(play: Play, seed: int) -> None:
     # Guards against a host that serves a text 4 s after its successor was accepted,
-    # or a server 3 s after a control host learned that it drains, whatever is lost,
-    # cut off, repeated, reordered or restarted meanwhile.
+    # or a server 3 s after the leader received that it drains, whatever is lost, cut
+    # off, duplicated, reordered or restarted meanwhile.
     async def scenario(system: System) -> None:
         names = await prepare(system)
         network = system.network
@@ -387,7 +387,8 @@
 
 
 def test_verdicts_reach_all_entry_hosts(play: Play) -> None:
-    # Guards against a request that crashes servers at one entry host after another.
+    # Guards against a request that crashes servers through one entry host after
+    # another.
     async def scenario(system: System) -> None:
         system.entries["e0"].client.report(Verdict("f1", "s1", 1))
         system.entries["e1"].client.report(Verdict("f1"))
@@ -398,8 +399,8 @@
 
 
 def test_verdicts_are_bounded_and_end() -> None:
-    # Guards against a board that grows, and against a request that is refused for
-    # ever.
+    # Guards against a table that grows without bound, and against a request that is
+    # refused for good.
     time = [0.0]
     board = VerdictBoard(lambda: time[0], MembershipSettings(verdict_limit=3))
     for number in range(5):
@@ -414,7 +415,7 @@
 
 def test_liveness_of_a_claim_holder(play: Play) -> None:
     # Guards against the takeover of an order from a host that still runs, and
-    # against an order that stays with a lost one.
+    # against an order that stays with a lost host.
     async def scenario(system: System) -> None:
         await asyncio.sleep(5)
         client = system.entries["e0"].client
@@ -434,7 +435,7 @@
 
 @pytest.mark.parametrize("kind", ["session", "mesh", "barrier"])
 def test_nonsense_message_is_refused(play: Play, kind: str) -> None:
-    # Guards against a message that stops a control host.
+    # Guards against an invalid message that stops a control host.
     async def scenario(system: System) -> None:
         call = system.network.caller(kind, "e0")
         for message in ({}, [], {"host": 3}, {"sender": None}):
@@ -452,7 +453,7 @@
 
 
 def test_overtaken_request_changes_nothing(play: Play) -> None:
-    # Guards against a delayed request that resets the session after it.
+    # Guards against a delayed request that resets a session which is already ahead.
     async def scenario(system: System) -> None:
         call = system.network.caller("session", "e9")
         first = await call("c0", make_request(5))
@@ -470,7 +471,7 @@
 
 
 def test_control_host_behind_an_entry_host_grants_nothing(play: Play) -> None:
-    # Guards against a text that reverts.
+    # Guards against an entry host that goes back to an older text.
     async def scenario(system: System) -> None:
         call = system.network.caller("session", "e9")
         reply = await call("c0", make_request(1, confirmed=3))
@@ -494,8 +495,8 @@
 
 
 def test_new_leader_grants_nothing_before_others_upload(play: Play) -> None:
-    # Guards against grants in the moment between an election that ends a time
-    # without leader and the new leader's first round.
+    # Guards against grants between an election that ends a time without a leader
+    # and the new leader's first exchanges.
     async def scenario(system: System) -> None:
         system.log.enabled = False
         system.log.elect(None)
@@ -510,8 +511,8 @@
 
 
 def test_continuity_after_a_time_without_leader() -> None:
-    # Guards against grants from a directory that lacks what other control hosts
-    # learned while there was no leader.
+    # Guards against grants from a directory that lacks changes that other control
+    # hosts received while there was no leader.
     time = [0.0]
     continuity = Continuity(lambda: time[0], lambda: ["c1", "c2"])
     continuity.note_leader()
@@ -546,7 +547,7 @@
 
 
 def test_long_directory_arrives_in_parts(play: Play) -> None:
-    # Guards against entries that are lost between the parts of a long answer, in a
+    # Guards against entries that are lost between the parts of a long reply, in a
     # session, between control hosts and from the leader.
     async def scenario(system: System) -> None:
         for number in range(2_100):
@@ -589,8 +590,8 @@
 @pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize("step", STEPS)
 def test_fault_at_step_of_session(play: Play, fault: str, step: str) -> None:
-    # Guards against an exchange that loses something when a message of it is lost,
-    # repeated or late: every step must end as without the fault.
+    # Guards against an exchange that loses a change when one of its messages is lost,
+    # duplicated or late: every step must end as without the fault.
     async def scenario(system: System) -> None:
         server = Server(system, "s0", via=0)
         await until(lambda: complete(system, ["s0"]))
