--- a/packages/membership/src/kingcuplug_membership/__init__.py
+++ b/packages/membership/src/kingcuplug_membership/__init__.py
@@ -10,9 +10,9 @@
     Holding,
     parse_announcement,
 )
-from kingcuplug_membership._completeness import Continuity
+from kingcuplug_membership._completeness import CompletenessTracker
 from kingcuplug_membership._directory import Directory, DirectoryChanges
-from kingcuplug_membership._entry import ServerEntry, holder_name, join
+from kingcuplug_membership._entry import ServerEntry, holder_name, join_entries
 from kingcuplug_membership._errors import (
     AnnouncementInvalid,
     AnnouncementStale,
@@ -22,10 +22,10 @@
     NotLeading,
 )
 from kingcuplug_membership._hosts import HostStatus
-from kingcuplug_membership._leader_exchange import Barrier
+from kingcuplug_membership._leader_exchange import LeaderExchange
 from kingcuplug_membership._leases import LeaseGranted, LeaseTable
 from kingcuplug_membership._mesh import Mesh
-from kingcuplug_membership._rendezvous import preference
+from kingcuplug_membership._rendezvous import rendezvous_order
 from kingcuplug_membership._session_client import SessionClient
 from kingcuplug_membership._session_server import SessionServer
 from kingcuplug_membership._settings import MembershipSettings
@@ -35,22 +35,23 @@
     ConfigurationSource,
     LeaderSource,
 )
-from kingcuplug_membership._verdicts import Verdict, VerdictBoard
+from kingcuplug_membership._verdicts import CrashVerdictTable, Verdict
 
 __all__ = [
     "Announcement",
     "AnnouncementInvalid",
     "AnnouncementStale",
-    "Barrier",
     "Call",
+    "CompletenessTracker",
     "ConfigurationSink",
     "ConfigurationSource",
-    "Continuity",
+    "CrashVerdictTable",
     "Directory",
     "DirectoryChanges",
     "Holding",
     "HostStatus",
     "HostUnconfirmed",
+    "LeaderExchange",
     "LeaderSource",
     "LeaseGranted",
     "LeaseTable",
@@ -63,9 +64,8 @@
     "SessionClient",
     "SessionServer",
     "Verdict",
-    "VerdictBoard",
     "holder_name",
-    "join",
+    "join_entries",
     "parse_announcement",
-    "preference",
+    "rendezvous_order",
 ]
--- a/packages/membership/src/kingcuplug_membership/_announcement.py
+++ b/packages/membership/src/kingcuplug_membership/_announcement.py
@@ -20,7 +20,7 @@
 
 __all__ = ["Announcement", "Holding", "parse_announcement"]
 
-State = Literal["serving", "draining", "withdrawn"]
+ServerState = Literal["serving", "draining", "withdrawn"]
 
 _MAX_COUNTER = 2**63 - 1
 _MAX_SHARDS = 1_000_000
@@ -66,11 +66,11 @@
     sequence: int
     slots: int
     connections: int
-    state: State = "serving"
+    state: ServerState = "serving"
     holdings: tuple[Holding, ...] = ()
 
     @property
-    def order(self) -> tuple[int, int]:
+    def rank(self) -> tuple[int, int]:
         """Return (incarnation, sequence), which orders a server's announcements."""
         return (self.incarnation, self.sequence)
 
@@ -104,7 +104,7 @@
     sequence: _Counter
     slots: int = Field(strict=True, ge=1, le=10_000)
     connections: int = Field(strict=True, ge=1, le=100_000)
-    state: State = "serving"
+    state: ServerState = "serving"
     holdings: tuple[_HoldingModel, ...] = Field(default=(), max_length=_MAX_SNAPSHOTS)
 
     @model_validator(mode="after")
@@ -129,7 +129,7 @@
         model = _AnnouncementModel.model_validate(value)
     except ValidationError as error:
         raise AnnouncementInvalid(
-            f"announcement has {error.error_count()} faults: {_faults(error)}",
+            f"announcement has {error.error_count()} faults: {_describe_errors(error)}",
             "correct the named fields and announce again",
         ) from error
     fields = {name: getattr(model, name) for name in _AnnouncementModel.model_fields}
@@ -140,7 +140,7 @@
     return Announcement(**fields)
 
 
-def _faults(error: ValidationError) -> str:
+def _describe_errors(error: ValidationError) -> str:
     return "; ".join(
         f"{'.'.join(str(part) for part in fault['loc']) or 'announcement'}: "
         f"{fault['msg']}"
--- a/packages/membership/src/kingcuplug_membership/_change_log.py
+++ b/packages/membership/src/kingcuplug_membership/_change_log.py
@@ -33,39 +33,41 @@
         self.version = 0
         self.local_version = 0
         self._clock = clock
-        self._marks: dict[_Key, Mark] = {}
+        self._records: dict[_Key, Mark] = {}
 
     def __getitem__(self, key: _Key) -> Mark:
-        return self._marks[key]
+        return self._records[key]
 
-    def touch(self, key: _Key, local: bool = False) -> None:
+    def record_change(self, key: _Key, local: bool = False) -> None:
         """Record a change of `key`."""
         self.version += 1
         if local:
             self.local_version = self.version
-        self._marks.pop(key, None)
-        self._marks[key] = Mark(self.version, self._clock(), local)
+        self._records.pop(key, None)
+        self._records[key] = Mark(self.version, self._clock(), local)
 
     def remove(self, key: _Key) -> None:
         """Remove the record of `key`."""
-        self._marks.pop(key, None)
+        self._records.pop(key, None)
 
-    def newest(self, version: int) -> Iterator[tuple[_Key, Mark]]:
+    def newest_since(self, version: int) -> Iterator[tuple[_Key, Mark]]:
         """Yield keys changed after `version`, the newest first."""
-        for key, mark in reversed(self._marks.items()):
+        for key, mark in reversed(self._records.items()):
             if mark.version <= version:
                 return
             yield key, mark
 
-    def since(self, version: int, local: bool = False) -> list[_Key]:
+    def keys_since(self, version: int, local: bool = False) -> list[_Key]:
         """Return keys changed after `version`, the oldest first."""
-        keys = [key for key, mark in self.newest(version) if mark.local or not local]
+        keys = [
+            key for key, mark in self.newest_since(version) if mark.local or not local
+        ]
         keys.reverse()
         return keys
 
-    def version_at(self, time: float) -> int:
+    def version_before(self, time: float) -> int:
         """Return the newest version that contains no change from `time` on."""
-        for mark in reversed(self._marks.values()):
+        for mark in reversed(self._records.values()):
             if mark.time < time:
                 return mark.version
         return 0
--- a/packages/membership/src/kingcuplug_membership/_completeness.py
+++ b/packages/membership/src/kingcuplug_membership/_completeness.py
@@ -12,10 +12,10 @@
 
 from kingcuplug_membership._settings import MembershipSettings
 
-__all__ = ["Continuity"]
+__all__ = ["CompletenessTracker"]
 
 
-class Continuity:
+class CompletenessTracker:
     """Tracks contacts with the leader and the other control hosts.
 
     Parameters
@@ -39,55 +39,64 @@
 
     def restart(self) -> None:
         """Start to collect the directory from scratch."""
-        self._started = self._clock()
-        self._leader_at: float | None = None
-        self._mesh_at: dict[str, float] = {}
-        self._resume()
-
-    def _resume(self) -> None:
-        self._resumed = self._clock()
-        self._uploaded: set[str] = set()
-        self._relayed = False
-        self._settled = False
-
-    def note_mesh(self, peer: str) -> None:
+        self._started_at = self._clock()
+        self._leader_contact_at: float | None = None
+        self._peer_synced_at: dict[str, float] = {}
+        self._reset_completeness()
+
+    def _reset_completeness(self) -> None:
+        self._leader_resumed_at = self._clock()
+        self._uploaded_peers: set[str] = set()
+        self._relay_received = False
+        self._complete = False
+
+    def record_peer_sync(self, peer: str) -> None:
         """Record that all changes from `peer` are merged."""
-        self._mesh_at[peer] = self._clock()
+        self._peer_synced_at[peer] = self._clock()
 
-    def note_leader(self) -> None:
+    def record_leader_contact(self) -> None:
         """Record a confirmation by the leader, or that this host leads."""
         now = self._clock()
-        if self._leader_at is None or now - self._leader_at > self._settings.lease:
-            self._resume()
-        self._leader_at = now
-
-    def note_upload(self, peer: str) -> None:
+        if (
+            self._leader_contact_at is None
+            or now - self._leader_contact_at > self._settings.lease
+        ):
+            self._reset_completeness()
+        self._leader_contact_at = now
+
+    def record_upload(self, peer: str) -> None:
         """Record that `peer` has sent all its changes to this host, the leader."""
-        self._uploaded.add(peer)
+        self._uploaded_peers.add(peer)
 
-    def note_relay(self) -> None:
+    def record_relay(self) -> None:
         """Record that the complete directory of the leader is merged."""
-        self._relayed = True
+        self._relay_received = True
 
-    def interrupted(self) -> bool:
+    def may_miss_tombstones(self) -> bool:
         """Return whether tombstones may have been missed."""
-        synced = [self._mesh_at.get(peer, self._started) for peer in self._peers()]
+        synced = [
+            self._peer_synced_at.get(peer, self._started_at) for peer in self._peers()
+        ]
         mesh_at = min(synced, default=self._clock())
-        leader_at = self._started if self._leader_at is None else self._leader_at
+        leader_at = (
+            self._started_at
+            if self._leader_contact_at is None
+            else self._leader_contact_at
+        )
         gap = self._clock() - max(leader_at, mesh_at)
         return gap > self._settings.tombstone_ms / 2_000
 
-    def settled(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether the directory is complete enough to serve entry hosts."""
-        if not self._settled and self._leader_at is not None:
-            self._settled = self._is_complete()
-        return self._settled
+        if not self._complete and self._leader_contact_at is not None:
+            self._complete = self._evaluate()
+        return self._complete
 
-    def _is_complete(self) -> bool:
+    def _evaluate(self) -> bool:
         now = self._clock()
-        if (now - self._started) * 1_000 < self._settings.settle_ms:
+        if (now - self._started_at) * 1_000 < self._settings.settle_ms:
             return False
-        uploaded = all(peer in self._uploaded for peer in self._peers())
-        waited_ms = (now - self._resumed) * 1_000
+        uploaded = all(peer in self._uploaded_peers for peer in self._peers())
+        waited_ms = (now - self._leader_resumed_at) * 1_000
         waited = waited_ms >= self._settings.settle_limit_ms
-        return self._relayed or uploaded or waited
+        return self._relay_received or uploaded or waited
--- a/packages/membership/src/kingcuplug_membership/_directory.py
+++ b/packages/membership/src/kingcuplug_membership/_directory.py
@@ -9,7 +9,7 @@
 from kingcuplug_common import identifier
 
 from kingcuplug_membership._change_log import ChangeLog
-from kingcuplug_membership._entry import Key, ServerEntry, join
+from kingcuplug_membership._entry import Key, ServerEntry, join_entries
 
 __all__ = ["Directory", "DirectoryChanges"]
 
@@ -47,8 +47,8 @@
     def __init__(self, clock: Callable[[], float], tombstone_ms: int = 60_000) -> None:
         self.epoch = identifier()
         self._clock = clock
-        self._tombstone = tombstone_ms / 1_000
-        self._watchers: list[Callable[[ServerEntry], None]] = []
+        self._tombstone_s = tombstone_ms / 1_000
+        self._subscribers: list[Callable[[ServerEntry], None]] = []
         self._clear()
 
     def _clear(self) -> None:
@@ -73,7 +73,7 @@
 
     def watch(self, callback: Callable[[ServerEntry], None]) -> None:
         """Call `callback` with every entry that changes or is removed."""
-        self._watchers.append(callback)
+        self._subscribers.append(callback)
 
     def get(self, service: str, server: str) -> ServerEntry | None:
         """Return the entry of a server, also while it is a tombstone."""
@@ -102,15 +102,15 @@
         known = self._entries.get(entry.key)
         if entry == known:
             return False
-        merged = entry if known is None else join(known, entry)
+        merged = entry if known is None else join_entries(known, entry)
         if merged == known:
             return False
-        self._store(merged, known)
-        self._changes.touch(entry.key, local)
-        self._notify(merged)
+        self._store_entry(merged, known)
+        self._changes.record_change(entry.key, local)
+        self._notify_subscribers(merged)
         return True
 
-    def adopt(self, entry: ServerEntry) -> bool:
+    def merge_and_replicate(self, entry: ServerEntry) -> bool:
         """Merge an update and replicate it even if it is already known.
 
         A session that moved here repeats updates that its former home may not have
@@ -119,26 +119,26 @@
         if self.merge(entry, local=True):
             return True
         if not self._changes[entry.key].local:
-            self._changes.touch(entry.key, local=True)
-            self._notify(entry)
+            self._changes.record_change(entry.key, local=True)
+            self._notify_subscribers(entry)
         return False
 
-    def _store(self, entry: ServerEntry, known: ServerEntry | None) -> None:
+    def _store_entry(self, entry: ServerEntry, previous: ServerEntry | None) -> None:
         key = entry.key
         self._entries[key] = entry
         self._services.setdefault(key[0], {})[key[1]] = entry
-        if known is not None:
-            self._release(known, set(known.held) - set(entry.held))
+        if previous is not None:
+            self._remove_holders(previous, set(previous.held) - set(entry.held))
         for holder in entry.held:
             if holder in entry.ended:
-                self._release(entry, {holder})
+                self._remove_holders(entry, {holder})
             else:
                 self._holders.setdefault(holder, {})[key] = None
         self._tombstones.pop(key, None)
         if not entry.live:
             self._tombstones[key] = self._clock()
 
-    def _release(self, entry: ServerEntry, holders: set[str]) -> None:
+    def _remove_holders(self, entry: ServerEntry, holders: set[str]) -> None:
         for holder in holders:
             keys = self._holders.get(holder, {})
             keys.pop(entry.key, None)
@@ -166,11 +166,11 @@
         self, version: int, services: Iterable[str] | None, local: bool
     ) -> list[Key]:
         if services is None:
-            return self._changes.since(version, local)
+            return self._changes.keys_since(version, local)
         wanted = frozenset(services)
         server_count = sum(len(self._services.get(service, ())) for service in wanted)
         if self.version - version < server_count:
-            changed = self._changes.since(version, local)
+            changed = self._changes.keys_since(version, local)
             return [key for key in changed if key[0] in wanted]
         # There are fewer servers than changes, so scan the servers; every part of a
         # long reply repeats the scan.
@@ -184,19 +184,19 @@
         keys = [key for key in keys if marks[key].local or not local]
         return sorted(keys, key=lambda key: marks[key].version)
 
-    def has_news(self, version: int, services: frozenset[str]) -> bool:
+    def has_changes(self, version: int, services: frozenset[str]) -> bool:
         """Return whether a server of `services` changed after `version`."""
-        return any(key[0] in services for key, _ in self._changes.newest(version))
+        return any(key[0] in services for key, _ in self._changes.newest_since(version))
 
-    def version_at(self, time: float) -> int:
+    def version_before(self, time: float) -> int:
         """Return the newest version that contains no change from `time` on."""
-        return self._changes.version_at(time)
+        return self._changes.version_before(time)
 
-    def holders(self) -> list[str]:
+    def lease_holders(self) -> list[str]:
         """Return the names of the holders of running leases."""
         return list(self._holders)
 
-    def end_holder(self, holder: str) -> int:
+    def end_leases(self, holder: str) -> int:
         """End every lease that `holder` holds; return their number."""
         keys = list(self._holders.get(holder, ()))
         for key in keys:
@@ -204,32 +204,32 @@
             self.merge(ServerEntry(known.announcement, (holder,), (holder,)), True)
         return len(keys)
 
-    def purge(self) -> int:
+    def purge_tombstones(self) -> int:
         """Remove tombstones older than their retention; return their number."""
-        cutoff = self._clock() - self._tombstone
+        cutoff = self._clock() - self._tombstone_s
         outdated = []
         for key, ended_at in self._tombstones.items():
             if ended_at > cutoff:
                 break
             outdated.append(key)
         for key in outdated:
-            self.drop(key)
+            self.remove(key)
         return len(outdated)
 
-    def drop(self, key: Key) -> None:
+    def remove(self, key: Key) -> None:
         """Remove a server without leaving a tombstone."""
         entry = self._entries.pop(key)
         servers = self._services[key[0]]
         del servers[key[1]]
         if not servers:
             del self._services[key[0]]
-        self._release(entry, set(entry.held))
+        self._remove_holders(entry, set(entry.held))
         self._tombstones.pop(key, None)
         self._changes.remove(key)
-        self._notify(entry)
+        self._notify_subscribers(entry)
 
-    def _notify(self, entry: ServerEntry) -> None:
-        for callback in self._watchers:
+    def _notify_subscribers(self, entry: ServerEntry) -> None:
+        for callback in self._subscribers:
             callback(entry)
 
     def keys(self) -> list[Key]:
--- a/packages/membership/src/kingcuplug_membership/_directory_sync.py
+++ b/packages/membership/src/kingcuplug_membership/_directory_sync.py
@@ -6,13 +6,13 @@
 from kingcuplug_membership._entry import Key
 from kingcuplug_membership._messages import SessionReply
 
-__all__ = ["DirectoryIntake"]
+__all__ = ["DirectorySync"]
 
 
-class DirectoryIntake:
+class DirectorySync:
     """Merges session replies, and drops servers that a new home does not list.
 
-    Servers are dropped only after `delay` seconds, a server lease period: a restarted
+    Servers are dropped only after `drop_delay_s`, a server lease period: a restarted
     control host receives the leases of other entry hosts a little later than those of
     this one.
 
@@ -25,47 +25,47 @@
     """
 
     def __init__(
-        self, directory: Directory, clock: Callable[[], float], delay: float
+        self, directory: Directory, clock: Callable[[], float], drop_delay_s: float
     ) -> None:
         self.version = 0
         self.complete = False
         self._directory = directory
         self._clock = clock
-        self._delay = delay
-        self._seen: set[Key] | None = None
-        self._doubted: set[Key] = set()
-        self._doubted_until = 0.0
+        self._drop_delay_s = drop_delay_s
+        self._listed: set[Key] | None = None
+        self._unlisted: set[Key] = set()
+        self._drop_unlisted_at = 0.0
 
-    def start(self) -> None:
+    def restart(self) -> None:
         """Start over; the next reply begins the whole directory."""
         self.version = 0
-        self._seen = None
+        self._listed = None
 
-    def take(self, reply: SessionReply) -> None:
+    def apply_reply(self, reply: SessionReply) -> None:
         """Merge the entries of a reply."""
         if reply.full:
-            self._seen = set()
+            self._listed = set()
         for entry in reply.entries:
-            self._doubted.discard(entry.key)
-            if self._seen is not None:
-                self._seen.add(entry.key)
+            self._unlisted.discard(entry.key)
+            if self._listed is not None:
+                self._listed.add(entry.key)
             self._directory.merge(entry)
         self.version = reply.directory
-        self._drop_doubted()
+        self._drop_unlisted()
         if not reply.more:
-            self._finish()
-        self._directory.purge()
+            self._finish_transfer()
+        self._directory.purge_tombstones()
 
-    def _finish(self) -> None:
+    def _finish_transfer(self) -> None:
         self.complete = True
-        if self._seen is not None:
-            self._doubted = set(self._directory.keys()) - self._seen
-            self._doubted_until = self._clock() + self._delay
-            self._seen = None
+        if self._listed is not None:
+            self._unlisted = set(self._directory.keys()) - self._listed
+            self._drop_unlisted_at = self._clock() + self._drop_delay_s
+            self._listed = None
 
-    def _drop_doubted(self) -> None:
-        if self._clock() < self._doubted_until:
+    def _drop_unlisted(self) -> None:
+        if self._clock() < self._drop_unlisted_at:
             return
-        for key in self._doubted.intersection(self._directory.keys()):
-            self._directory.drop(key)
-        self._doubted = set()
+        for key in self._unlisted.intersection(self._directory.keys()):
+            self._directory.remove(key)
+        self._unlisted = set()
--- a/packages/membership/src/kingcuplug_membership/_entry.py
+++ b/packages/membership/src/kingcuplug_membership/_entry.py
@@ -8,7 +8,7 @@
 
 from kingcuplug_membership._announcement import Announcement
 
-__all__ = ["Key", "ServerEntry", "holder_name", "join"]
+__all__ = ["Key", "ServerEntry", "holder_name", "join_entries"]
 
 Key = tuple[str, str]
 
@@ -52,28 +52,28 @@
     @property
     def rank(self) -> tuple[int, int, int]:
         """Return (incarnation, sequence, ended)."""
-        return (*self.announcement.order, 0 if self.live else 1)
+        return (*self.announcement.rank, 0 if self.live else 1)
 
 
-def join(one: ServerEntry, other: ServerEntry) -> ServerEntry:
+def join_entries(first: ServerEntry, second: ServerEntry) -> ServerEntry:
     """Return the join of two entries; the greater announcement wins."""
-    if one.announcement.order != other.announcement.order:
-        return max(one, other, key=lambda entry: entry.announcement.order)
-    announcement = one.announcement
-    if announcement != other.announcement:
-        announcement = max(announcement, other.announcement, key=_content)
+    if first.announcement.rank != second.announcement.rank:
+        return max(first, second, key=lambda entry: entry.announcement.rank)
+    announcement = first.announcement
+    if announcement != second.announcement:
+        announcement = max(announcement, second.announcement, key=_tie_break_key)
     return ServerEntry(
         announcement,
-        _union(one.held, other.held),
-        _union(one.ended, other.ended),
+        _union(first.held, second.held),
+        _union(first.ended, second.ended),
     )
 
 
-def _content(announcement: Announcement) -> tuple[bool, str]:
+def _tie_break_key(announcement: Announcement) -> tuple[bool, str]:
     # Announcements of equal order have equal content unless the server is faulty or
     # withdraws. Comparing the text breaks the tie, so that all hosts converge.
     return (announcement.state == "withdrawn", repr(announcement))
 
 
-def _union(one: tuple[str, ...], other: tuple[str, ...]) -> tuple[str, ...]:
-    return one if one == other else tuple(sorted({*one, *other}))
+def _union(first: tuple[str, ...], second: tuple[str, ...]) -> tuple[str, ...]:
+    return first if first == second else tuple(sorted({*first, *second}))
--- a/packages/membership/src/kingcuplug_membership/_hosts.py
+++ b/packages/membership/src/kingcuplug_membership/_hosts.py
@@ -14,7 +14,7 @@
 from kingcuplug_membership._messages import BarrierRequest, HostRow
 from kingcuplug_membership._settings import MembershipSettings
 
-__all__ = ["HostStatus", "HostTable"]
+__all__ = ["EntryHostTable", "HostStatus"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
     control_host: str
 
     @classmethod
-    def of(cls, row: HostRow, control_host: str) -> "HostStatus":
+    def from_row(cls, row: HostRow, control_host: str) -> "HostStatus":
         """Return the status that `control_host` reports in `row`."""
         return cls(
             row.host,
@@ -48,15 +48,15 @@
 
 
 @dataclass(slots=True)
-class _Control:
+class _ControlHostRecord:
     epoch: str
     version: int
     revision: int
-    received: float
+    received_at: float
     rows: dict[str, HostRow] = field(default_factory=dict)
 
 
-class HostTable:
+class EntryHostTable:
     """The leader's table of sessions, filled by the barrier exchange.
 
     No lease of a control host runs longer than one lease period after its last barrier
@@ -71,36 +71,36 @@
         self.epoch = identifier()
         self._clock = clock
         self._settings = settings or MembershipSettings()
-        self._started = clock()
-        self._controls: dict[str, _Control] = {}
-        self._former: list[tuple[str, _Control]] = []
-        self._live: dict[str, int] = {}
+        self._started_at = clock()
+        self._control_hosts: dict[str, _ControlHostRecord] = {}
+        self._former_runs: list[tuple[str, _ControlHostRecord]] = []
+        self._live_incarnations: dict[str, int] = {}
         self._live_changes: ChangeLog[str] = ChangeLog(clock)
 
     @property
     def complete(self) -> bool:
         """Return whether all leases granted under earlier leaders have expired."""
-        return self._clock() >= self._started + self._settings.lease
+        return self._clock() >= self._started_at + self._settings.lease
 
     def record(self, request: BarrierRequest) -> bool:
         """Merge a control host's sessions; return False if a full report is needed."""
-        known = self._controls.get(request.sender)
+        known = self._control_hosts.get(request.sender)
         if known is not None and known.epoch != request.epoch:
-            self._former.append((request.sender, known))
-            del self._controls[request.sender]
+            self._former_runs.append((request.sender, known))
+            del self._control_hosts[request.sender]
             known = None
         if known is not None and request.version < known.version:
             return False  # Delivered out of order; its rows are older.
         if request.since == 0:
-            known = _Control(request.epoch, 0, request.revision, 0)
-            self._controls[request.sender] = known
+            known = _ControlHostRecord(request.epoch, 0, request.revision, 0)
+            self._control_hosts[request.sender] = known
         if known is None or request.table not in ("", self.epoch):
             return False
         if request.since > known.version:
             return False
         known.version = request.version
         known.revision = request.revision
-        known.received = self._clock()
+        known.received_at = self._clock()
         known.rows.update((row.host, row) for row in request.rows)
         for host in request.left:
             known.rows.pop(host, None)
@@ -109,11 +109,11 @@
     def statuses(self) -> dict[str, HostStatus]:
         """Return the entry hosts with a running lease, by host name."""
         statuses: dict[str, HostStatus] = {}
-        for name, control in self._open():
+        for name, control in self._unexpired():
             for row in control.rows.values():
-                status = HostStatus.of(row, name)
+                status = HostStatus.from_row(row, name)
                 other = statuses.get(row.host)
-                if other is None or _progress(other) < _progress(status):
+                if other is None or _recency(other) < _recency(status):
                     statuses[row.host] = status
         return statuses
 
@@ -122,7 +122,7 @@
         waiting = [] if self.complete else ["leases granted under the former leader"]
         waiting += [
             f"control host {name}"
-            for name, control in self._open()
+            for name, control in self._unexpired()
             if control.revision < revision
         ]
         waiting += [
@@ -132,29 +132,33 @@
         ]
         return waiting
 
-    def refresh(self) -> dict[str, int]:
+    def refresh_live(self) -> dict[str, int]:
         """Update the incarnations of live hosts and return them."""
         live = {status.host: status.incarnation for status in self.statuses().values()}
-        for host in live.keys() | self._live.keys():
-            if live.get(host) != self._live.get(host):
-                self._live_changes.touch(host)
-        self._live = live
+        for host in live.keys() | self._live_incarnations.keys():
+            if live.get(host) != self._live_incarnations.get(host):
+                self._live_changes.record_change(host)
+        self._live_incarnations = live
         return live
 
     def live_since(self, version: int) -> tuple[dict[str, int | None], int]:
         """Return live incarnations (None: not live) changed after `version`."""
-        hosts = self._live_changes.since(version)
-        return {host: self._live.get(host) for host in hosts}, (
+        hosts = self._live_changes.keys_since(version)
+        return {host: self._live_incarnations.get(host) for host in hosts}, (
             self._live_changes.version
         )
 
-    def _open(self) -> list[tuple[str, _Control]]:
+    def _unexpired(self) -> list[tuple[str, _ControlHostRecord]]:
         """Return the control hosts whose leases may still run."""
         cutoff = self._clock() - self._settings.lease
-        self._former = [item for item in self._former if item[1].received > cutoff]
-        current = [item for item in self._controls.items() if item[1].received > cutoff]
-        return current + self._former
+        self._former_runs = [
+            item for item in self._former_runs if item[1].received_at > cutoff
+        ]
+        current = [
+            item for item in self._control_hosts.items() if item[1].received_at > cutoff
+        ]
+        return current + self._former_runs
 
 
-def _progress(status: HostStatus) -> tuple[int, int]:
+def _recency(status: HostStatus) -> tuple[int, int]:
     return (status.incarnation, status.confirmed)
--- a/packages/membership/src/kingcuplug_membership/_leader_exchange.py
+++ b/packages/membership/src/kingcuplug_membership/_leader_exchange.py
@@ -12,11 +12,11 @@
 
 from kingcuplug_common import KingcuplugError, state_change
 
-from kingcuplug_membership._completeness import Continuity
+from kingcuplug_membership._completeness import CompletenessTracker
 from kingcuplug_membership._directory import Directory, DirectoryChanges
 from kingcuplug_membership._errors import NotLeading
 from kingcuplug_membership._hosts import HostStatus
-from kingcuplug_membership._leader_role import RELAY_MARGIN_S, Leading
+from kingcuplug_membership._leader_role import RELAY_MARGIN_S, LeaderRole
 from kingcuplug_membership._messages import (
     BarrierReply,
     BarrierRequest,
@@ -27,14 +27,14 @@
 from kingcuplug_membership._settings import MembershipSettings
 from kingcuplug_membership._sources import Call, LeaderSource
 
-__all__ = ["Barrier"]
+__all__ = ["LeaderExchange"]
 
 _RETRY_S = 0.1
-_WAIT_PERIOD_S = 0.05
-_CONFIRM_PERIOD_S = 0.01
+_IN_FORCE_POLL_S = 0.05
+_CONFIRM_POLL_S = 0.01
 
 
-class Barrier:
+class LeaderExchange:
     """A control host's side of the barrier exchange, as follower or as leader.
 
     Parameters
@@ -53,7 +53,7 @@
         name: str,
         directory: Directory,
         sessions: SessionTable,
-        continuity: Continuity,
+        continuity: CompletenessTracker,
         leader: LeaderSource,
         revision: Callable[[], int],
         call: Call,
@@ -63,14 +63,14 @@
         self._name = name
         self._directory = directory
         self._sessions = sessions
-        self._continuity = continuity
+        self._completeness = continuity
         self._leader = leader
         self._revision = revision
         self._call = call
-        self._hurry = asyncio.Event()
+        self._wakeup = asyncio.Event()
         self._clock = clock
         self._settings = settings or MembershipSettings()
-        self._leading = Leading(
+        self._leader_role = LeaderRole(
             name,
             directory,
             sessions,
@@ -80,71 +80,77 @@
             clock,
             self._settings,
         )
-        self._limit = float("-inf")
-        self._pending: deque[tuple[int, float]] = deque()
-        self._failed = True
-        self._live: dict[str, int] | None = None
-        self._entry_hosts = 0
+        self._grant_limit = float("-inf")
+        self._unapplied: deque[tuple[int, float]] = deque()
+        self._was_failing = True
+        self._live_incarnations: dict[str, int] | None = None
+        self._entry_host_count = 0
         self._relayed_at: float | None = None
-        self._relayed_into = directory.epoch
-        self._forget_leader()
+        self._relay_target_epoch = directory.epoch
+        self._reset_leader_state()
 
-    def _forget_leader(self) -> None:
-        self._leader_table = ""
-        self._reported = 0
+    def _reset_leader_state(self) -> None:
+        self._leader_table_epoch = ""
+        self._reported_version = 0
         self._relay_epoch = ""
         self._relay_version = 0
         self._live_version = 0
-        self._uploaded = 0
+        self._uploaded_version = 0
         if self._relayed_at is not None:
             since = self._relayed_at - RELAY_MARGIN_S
-            self._uploaded = self._directory.version_at(since)
+            self._uploaded_version = self._directory.version_before(since)
 
     def grant_until(self) -> float:
         """Return the time up to which this host may grant session leases."""
-        if self._leading.active():
-            self._note_leading()
-            self._limit = self._clock() + self._settings.safe_lease
-        while self._pending and self._pending[0][0] <= self._leader.applied_index():
-            self._limit = max(self._limit, self._pending.popleft()[1])
-        return self._limit
-
-    async def confirm(self, time: float) -> None:
-        """Wait until an exchange that began at `time` or later is applied here."""
-        self._hurry.set()
+        if self._leader_role.is_active():
+            self._record_leading()
+            self._grant_limit = self._clock() + self._settings.safe_lease
+        while self._unapplied and self._unapplied[0][0] <= self._leader.applied_index():
+            self._grant_limit = max(self._grant_limit, self._unapplied.popleft()[1])
+        return self._grant_limit
+
+    async def wait_confirmed(self, since: float) -> None:
+        """Wait until an exchange that began at `since` or later is applied here."""
+        self._wakeup.set()
         # The log does not notify membership of applied entries, so poll for them.
-        while self.grant_until() - self._settings.safe_lease < time:  # noqa: ASYNC110
-            await asyncio.sleep(_CONFIRM_PERIOD_S)
+        while self.grant_until() - self._settings.safe_lease < since:  # noqa: ASYNC110
+            await asyncio.sleep(_CONFIRM_POLL_S)
 
-    def uploaded(self) -> int:
+    def uploaded_version(self) -> int:
         """Return the version up to which the leader has this host's directory."""
-        return self._directory.version if self._leading.active() else self._uploaded
+        return (
+            self._directory.version
+            if self._leader_role.is_active()
+            else self._uploaded_version
+        )
 
-    def failing(self) -> bool:
+    def is_failing(self) -> bool:
         """Return whether sessions should move elsewhere before their leases expire."""
         return self.grant_until() - self._clock() < self._settings.safe_lease / 2
 
-    def live(self) -> dict[str, int] | None:
+    def live_incarnations(self) -> dict[str, int] | None:
         """Return incarnations of live entry hosts; None if not yet known."""
-        return self._live
+        return self._live_incarnations
 
-    def count_hosts(self) -> int:
+    def entry_host_count(self) -> int:
         """Return the number of live entry hosts, as of the last exchange."""
-        return self._entry_hosts
+        return self._entry_host_count
 
-    def _count(self, known_to_leader: int) -> None:
+    def _update_entry_host_count(self, leader_count: int) -> None:
         # Computed once per exchange: a union of 6,300 host names for every reply
         # would cost a control host more than the rest of the reply.
         own_rows, _ = self._sessions.changes_since(0)
-        names = {row.host for row in own_rows}.union(self._live or ())
-        self._entry_hosts = max(len(names), 0 if self._live else known_to_leader)
+        names = {row.host for row in own_rows}.union(self._live_incarnations or ())
+        self._entry_host_count = max(
+            len(names), 0 if self._live_incarnations else leader_count
+        )
 
     def hosts(self) -> list[HostStatus]:
         """Return the entry hosts known here; all of them on the leader."""
-        if self._leading.active():
-            return list(self._leading.table().statuses().values())
+        if self._leader_role.is_active():
+            return list(self._leader_role.host_table().statuses().values())
         rows, _ = self._sessions.changes_since(0)
-        return [HostStatus.of(row, self._name) for row in rows]
+        return [HostStatus.from_row(row, self._name) for row in rows]
 
     async def wait_in_force(self, revision: int) -> None:
         """Wait until no host can serve an older revision.
@@ -157,7 +163,7 @@
         while True:
             if not self.lagging(revision):
                 return
-            await asyncio.sleep(_WAIT_PERIOD_S)
+            await asyncio.sleep(_IN_FORCE_POLL_S)
 
     def lagging(self, revision: int) -> list[str]:
         """Return what keeps `revision` from being in force everywhere.
@@ -167,12 +173,12 @@
         NotLeading
             If this host is not the leader.
         """
-        if not self._leading.active():
+        if not self._leader_role.is_active():
             raise NotLeading(
                 f"control host {self._name} is not the leader",
                 f"ask the leader {self._leader.leader() or '(none is known)'}",
             )
-        return self._leading.table().lagging(revision)
+        return self._leader_role.host_table().lagging(revision)
 
     def handle(self, message: dict[str, Any]) -> dict[str, Any]:
         """Answer the barrier request of another control host.
@@ -183,115 +189,117 @@
             If the request cannot be read.
         """
         self.grant_until()
-        return self._leading.handle(message)
+        return self._leader_role.handle(message)
 
     async def run(self) -> None:
         """Exchange with the leader, or act as the leader, until cancelled."""
         while True:
-            self._hurry.clear()
-            pause = await self._step()
-            self._note_state()
+            self._wakeup.clear()
+            pause = await self._exchange_or_lead()
+            self._publish_state()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(pause):
-                    await self._hurry.wait()
+                    await self._wakeup.wait()
 
-    async def _step(self) -> float:
+    async def _exchange_or_lead(self) -> float:
         """Run one exchange or one leader step; return the delay before the next."""
         self._sessions.expire()
         period = self._settings.barrier_ms / 1_000
-        if self._leading.active():
+        if self._leader_role.is_active():
             self._lead()
-            return period if self._continuity.settled() else _RETRY_S
+            return period if self._completeness.is_complete() else _RETRY_S
         leader = self._leader.leader()
         if leader is None or leader == self._name:
             return _RETRY_S
         started = self._clock()
         try:
-            finished = await self._ask(leader)
+            finished = await self._exchange(leader)
         except (OSError, TimeoutError, KingcuplugError):
             return _RETRY_S
-        if not self._continuity.settled():
+        if not self._completeness.is_complete():
             period = _RETRY_S
         return max(0.0, started + period - self._clock()) if finished else 0.0
 
-    def _note_state(self) -> None:
-        failing = self.failing()
-        if failing != self._failed:
+    def _publish_state(self) -> None:
+        failing = self.is_failing()
+        if failing != self._was_failing:
             state = "unconfirmed" if failing else "confirmed by the leader"
             state_change("control host", state, name=self._name)
             self._sessions.wake()
-        self._failed = failing
+        self._was_failing = failing
 
-    def _note_leading(self) -> None:
+    def _record_leading(self) -> None:
         # Runs before any grant: a host that becomes the leader again may have missed
         # changes that other control hosts received in the meantime.
-        if self._continuity.interrupted():
-            self._collect_again()
-        self._continuity.note_leader()
+        if self._completeness.may_miss_tombstones():
+            self._restart_collection()
+        self._completeness.record_leader_contact()
 
     def _lead(self) -> None:
-        self._note_leading()
+        self._record_leading()
         self._relayed_at = self._clock()
-        self._relayed_into = self._directory.epoch
-        live = self._leading.step()
+        self._relay_target_epoch = self._directory.epoch
+        live = self._leader_role.end_lost_leases()
         if live is not None:
-            self._live = live
-        self._count(len(self._leading.table().statuses()))
+            self._live_incarnations = live
+        self._update_entry_host_count(len(self._leader_role.host_table().statuses()))
 
-    async def _ask(self, leader: str) -> bool:
+    async def _exchange(self, leader: str) -> bool:
         """Run one exchange; return False if the next one must follow at once."""
         sent_at = self._clock()
-        upload = self._upload()
-        request = self._request(upload)
+        upload = self._next_upload()
+        request = self._build_request(upload)
         async with asyncio.timeout(self._settings.barrier_ms / 1_000):
             answer = await self._call(leader, encode(request))
         reply = decode(BarrierReply, answer)
         if not reply.confirmed:
-            return self._retry(leader)
-        if self._continuity.interrupted():
-            self._collect_again()
+            return self._restart_report(leader)
+        if self._completeness.may_miss_tombstones():
+            self._restart_collection()
             return False
-        self._continuity.note_leader()
-        self._uploaded = upload.version
+        self._completeness.record_leader_contact()
+        self._uploaded_version = upload.version
         if upload.entries:
             self._sessions.wake()
-        self._take(request, reply)
+        self._apply_reply(request, reply)
         if reply.more or upload.more:
             return False
-        self._pending.append((reply.commit_index, sent_at + self._settings.safe_lease))
+        self._unapplied.append(
+            (reply.commit_index, sent_at + self._settings.safe_lease)
+        )
         return True
 
-    def _retry(self, leader: str) -> bool:
+    def _restart_report(self, leader: str) -> bool:
         """Restart with a full report to a leader that lacks this host's sessions."""
-        if self._leader_table:
-            self._forget_leader()
+        if self._leader_table_epoch:
+            self._reset_leader_state()
             return False
         raise NotLeading(f"{leader} did not confirm the exchange", "retry the exchange")
 
-    def _upload(self) -> DirectoryChanges:
-        if self._relayed_into != self._directory.epoch:
-            self._relayed_into = self._directory.epoch
+    def _next_upload(self) -> DirectoryChanges:
+        if self._relay_target_epoch != self._directory.epoch:
+            self._relay_target_epoch = self._directory.epoch
             self._relay_epoch = ""
             self._relayed_at = None
-            self._uploaded = 0
+            self._uploaded_version = 0
         return self._directory.changes_since(
-            self._uploaded, local=True, limit=self._settings.batch_limit
+            self._uploaded_version, local=True, limit=self._settings.batch_limit
         )
 
-    def _request(self, upload: DirectoryChanges) -> BarrierRequest:
-        rows, left = self._sessions.changes_since(self._reported)
+    def _build_request(self, upload: DirectoryChanges) -> BarrierRequest:
+        rows, left = self._sessions.changes_since(self._reported_version)
         age_ms = -1
         if self._relayed_at is not None:
             age_ms = int((self._clock() - self._relayed_at) * 1_000)
         return BarrierRequest(
             sender=self._name,
             epoch=self._directory.epoch,
-            table=self._leader_table,
-            since=self._reported,
+            table=self._leader_table_epoch,
+            since=self._reported_version,
             version=self._sessions.version,
             revision=self._revision(),
             rows=rows,
-            left=left if self._reported else (),
+            left=left if self._reported_version else (),
             relay_epoch=self._relay_epoch,
             relay_version=self._relay_version,
             relay_age_ms=age_ms,
@@ -300,11 +308,11 @@
             more=upload.more,
         )
 
-    def _take(self, request: BarrierRequest, reply: BarrierReply) -> None:
-        self._leader_table = reply.table
-        self._reported = request.version
-        self._take_live(reply)
-        self._count(reply.entry_hosts)
+    def _apply_reply(self, request: BarrierRequest, reply: BarrierReply) -> None:
+        self._leader_table_epoch = reply.table
+        self._reported_version = request.version
+        self._apply_live_changes(reply)
+        self._update_entry_host_count(reply.entry_hosts)
         if not reply.relay_epoch:
             return
         for entry in reply.entries:
@@ -313,23 +321,27 @@
         self._relay_version = reply.relay_version
         if not reply.more:
             self._relayed_at = self._clock()
-            self._continuity.note_relay()
+            self._completeness.record_relay()
 
-    def _take_live(self, reply: BarrierReply) -> None:
+    def _apply_live_changes(self, reply: BarrierReply) -> None:
         if reply.live is None:
             return
-        live = {} if reply.live_full or self._live is None else dict(self._live)
+        live = (
+            {}
+            if reply.live_full or self._live_incarnations is None
+            else dict(self._live_incarnations)
+        )
         for host, incarnation in reply.live.items():
             if incarnation is None:
                 live.pop(host, None)
             else:
                 live[host] = incarnation
-        self._live = live
+        self._live_incarnations = live
         self._live_version = reply.live_version
 
-    def _collect_again(self) -> None:
+    def _restart_collection(self) -> None:
         """Discard the directory as after a restart, since tombstones may be missing."""
         state_change("control host", "collects the directory again", name=self._name)
-        self._continuity.restart()
+        self._completeness.restart()
         self._directory.reset()
         self._sessions.wake()
--- a/packages/membership/src/kingcuplug_membership/_leases.py
+++ b/packages/membership/src/kingcuplug_membership/_leases.py
@@ -42,7 +42,7 @@
 @dataclass(slots=True)
 class _Lease:
     announcement: Announcement
-    expires: float
+    expires_at: float
     ended: bool = False
 
 
@@ -57,16 +57,16 @@
         ``ip:port`` at which servers renew.
     clock : callable
         Monotonic time in seconds.
-    confirmed : callable
+    is_confirmed : callable
         Returns whether the host's session lease runs. Without one the host cannot
         publish a server, so it grants no lease and servers announce elsewhere; it
         also expires no lease, since it may itself be cut off.
-    known : callable
+    lookup : callable
         Returns the directory's entry of (service, server), or None.
 
     Attributes
     ----------
-    changed : callable
+    on_change : callable
         Called after every change of a lease.
     """
 
@@ -75,21 +75,21 @@
         holder: str,
         renew_address: str,
         clock: Callable[[], float],
-        confirmed: Callable[[], bool] = lambda: True,
-        known: Callable[[str, str], ServerEntry | None] = lambda service, server: None,
+        is_confirmed: Callable[[], bool] = lambda: True,
+        lookup: Callable[[str, str], ServerEntry | None] = lambda service, server: None,
         settings: MembershipSettings | None = None,
     ) -> None:
         self.holder = holder
-        self.changed: Callable[[], None] = lambda: None
+        self.on_change: Callable[[], None] = lambda: None
         self._settings = settings or MembershipSettings()
         self._renew_address = renew_address
         self._clock = clock
-        self._confirmed = confirmed
-        self._known = known
+        self._is_confirmed = is_confirmed
+        self._lookup = lookup
         self._leases: dict[str, _Lease] = {}
-        self._moved: dict[tuple[str, str], _Lease] = {}
+        self._former_service_leases: dict[tuple[str, str], _Lease] = {}
         self._changes: ChangeLog[tuple[str, str]] = ChangeLog(clock)
-        self._resumed = clock()
+        self._earliest_expiry = clock()
 
     @property
     def version(self) -> int:
@@ -111,17 +111,21 @@
         self._require_confirmed()
         lease = self._leases.get(announcement.server)
         if lease is not None and lease.announcement == announcement:
-            return self._repeat(lease)
+            return self._extend_lease(lease)
         if lease is not None:
             _check_successor(lease, announcement)
-        self._check_known(announcement)
+        self._check_directory(announcement)
         if lease is not None and lease.announcement.service != announcement.service:
-            self._leave_service(lease)
+            self._end_former_service(lease)
         ended = announcement.state == "withdrawn"
-        self._moved.pop((announcement.service, announcement.server), None)
-        self._leases[announcement.server] = _Lease(announcement, self._end(), ended)
-        self._touch(announcement)
-        return self._granted()
+        self._former_service_leases.pop(
+            (announcement.service, announcement.server), None
+        )
+        self._leases[announcement.server] = _Lease(
+            announcement, self._next_expiry(), ended
+        )
+        self._record_change(announcement)
+        return self._make_grant()
 
     def renew(self, server: str, incarnation: int, sequence: int) -> LeaseGranted:
         """Extend a lease.
@@ -136,30 +140,30 @@
         self._require_confirmed()
         lease = self._leases.get(server)
         order = (incarnation, sequence)
-        if lease is None or lease.ended or lease.announcement.order != order:
+        if lease is None or lease.ended or lease.announcement.rank != order:
             raise LeaseUnknown(
                 f"no lease of server {server} with incarnation {incarnation} and "
                 f"sequence {sequence} runs at this entry host",
                 "announce again through the load balancer with a greater sequence",
             )
-        lease.expires = self._end()
-        return self._granted()
+        lease.expires_at = self._next_expiry()
+        return self._make_grant()
 
     def expire(self) -> int:
         """End the leases that were not renewed in time; return their number."""
         now = self._clock()
-        if not self._confirmed():
+        if not self._is_confirmed():
             # Servers cannot renew here meanwhile, so each gets a full lease afterwards.
-            self._resumed = now + self._settings.server_lease_ms / 1_000
+            self._earliest_expiry = now + self._settings.server_lease_ms / 1_000
             return 0
         expired = [
             lease
             for lease in self._leases.values()
-            if not lease.ended and max(lease.expires, self._resumed) <= now
+            if not lease.ended and max(lease.expires_at, self._earliest_expiry) <= now
         ]
         for lease in expired:
-            self._finish(lease, now)
-        self._forget(now - self._settings.tombstone_ms / 1_000)
+            self._end_lease(lease, now)
+        self._purge_ended(now - self._settings.tombstone_ms / 1_000)
         return len(expired)
 
     async def run(self) -> None:
@@ -168,7 +172,7 @@
             self.expire()
             await asyncio.sleep(_EXPIRE_PERIOD_S)
 
-    def supersede(self, entry: ServerEntry) -> None:
+    def end_if_overruled(self, entry: ServerEntry) -> None:
         """End the lease that `entry`, an entry of the directory, overrules, if any.
 
         The server's next renewal then fails, and it announces again with a greater
@@ -177,12 +181,12 @@
         lease = self._leases.get(entry.announcement.server)
         if lease is None or lease.ended or lease.announcement.service != entry.key[0]:
             return
-        newer = entry.announcement.order > lease.announcement.order
-        same = entry.announcement.order == lease.announcement.order
+        newer = entry.announcement.rank > lease.announcement.rank
+        same = entry.announcement.rank == lease.announcement.rank
         withdrawn = entry.announcement.state == "withdrawn"
         if newer or (same and (withdrawn or self.holder in entry.ended)):
             lease.ended = True
-            lease.expires = self._clock()
+            lease.expires_at = self._clock()
 
     def changes_since(self, version: int) -> tuple[list[ServerEntry], int]:
         """Return the entries changed after `version`, and the version reached.
@@ -190,65 +194,67 @@
         Version 0 returns all running leases and those that ended within the tombstone
         period.
         """
-        entries = [self._entry(key) for key in self._changes.since(version)]
+        entries = [self._make_entry(key) for key in self._changes.keys_since(version)]
         return entries, self.version
 
     def _require_confirmed(self) -> None:
-        if not self._confirmed():
+        if not self._is_confirmed():
             raise HostUnconfirmed(
                 "this entry host has no running session lease",
                 "announce again through the load balancer with a greater sequence",
             )
 
-    def _repeat(self, lease: _Lease) -> LeaseGranted:
+    def _extend_lease(self, lease: _Lease) -> LeaseGranted:
         if lease.ended and lease.announcement.state != "withdrawn":
-            raise _stale(lease.announcement, "its lease has ended")
-        lease.expires = self._end()
-        return self._granted()
+            raise _stale_error(lease.announcement, "its lease has ended")
+        lease.expires_at = self._next_expiry()
+        return self._make_grant()
 
-    def _check_known(self, announcement: Announcement) -> None:
-        known = self._known(announcement.service, announcement.server)
-        if known is None or known.announcement.order < announcement.order:
+    def _check_directory(self, announcement: Announcement) -> None:
+        known = self._lookup(announcement.service, announcement.server)
+        if known is None or known.announcement.rank < announcement.rank:
             return
-        if known.announcement.order > announcement.order:
-            raise _stale(known.announcement, "it has announced since")
+        if known.announcement.rank > announcement.rank:
+            raise _stale_error(known.announcement, "it has announced since")
         if not known.live and announcement.state != "withdrawn":
-            raise _stale(known.announcement, "its lease has ended")
+            raise _stale_error(known.announcement, "its lease has ended")
 
-    def _leave_service(self, lease: _Lease) -> None:
-        self._moved[lease.announcement.service, lease.announcement.server] = lease
-        self._finish(lease, self._clock())
+    def _end_former_service(self, lease: _Lease) -> None:
+        self._former_service_leases[
+            lease.announcement.service, lease.announcement.server
+        ] = lease
+        self._end_lease(lease, self._clock())
 
-    def _finish(self, lease: _Lease, now: float) -> None:
+    def _end_lease(self, lease: _Lease, now: float) -> None:
         lease.ended = True
-        lease.expires = now
-        self._touch(lease.announcement)
+        lease.expires_at = now
+        self._record_change(lease.announcement)
 
-    def _forget(self, limit: float) -> None:
+    def _purge_ended(self, cutoff: float) -> None:
         for server, lease in list(self._leases.items()):
-            if lease.ended and lease.expires < limit:
+            if lease.ended and lease.expires_at < cutoff:
                 del self._leases[server]
                 self._changes.remove((lease.announcement.service, server))
-        for key, lease in list(self._moved.items()):
-            if lease.expires < limit:
-                del self._moved[key]
+        for key, lease in list(self._former_service_leases.items()):
+            if lease.expires_at < cutoff:
+                del self._former_service_leases[key]
                 self._changes.remove(key)
 
-    def _touch(self, announcement: Announcement) -> None:
-        self._changes.touch((announcement.service, announcement.server))
-        self.changed()
+    def _record_change(self, announcement: Announcement) -> None:
+        self._changes.record_change((announcement.service, announcement.server))
+        self.on_change()
 
-    def _entry(self, key: tuple[str, str]) -> ServerEntry:
+    def _make_entry(self, key: tuple[str, str]) -> ServerEntry:
         lease = self._leases.get(key[1])
         if lease is None or lease.announcement.service != key[0]:
-            lease = self._moved[key]
+            lease = self._former_service_leases[key]
         held = (self.holder,)
         return ServerEntry(lease.announcement, held, held if lease.ended else ())
 
-    def _end(self) -> float:
+    def _next_expiry(self) -> float:
         return self._clock() + self._settings.server_lease_ms / 1_000
 
-    def _granted(self) -> LeaseGranted:
+    def _make_grant(self) -> LeaseGranted:
         settings = self._settings
         return LeaseGranted(
             settings.server_lease_ms, self._renew_address, settings.renew_ms
@@ -257,12 +263,12 @@
 
 def _check_successor(lease: _Lease, announcement: Announcement) -> None:
     known = lease.announcement
-    if announcement.order < known.order:
-        raise _stale(known, "it has announced since")
-    if announcement.order > known.order:
+    if announcement.rank < known.rank:
+        raise _stale_error(known, "it has announced since")
+    if announcement.rank > known.rank:
         return
     if known.state == "withdrawn" or lease.ended:
-        raise _stale(known, "its lease has ended")
+        raise _stale_error(known, "its lease has ended")
     if announcement.state != "withdrawn":
         raise AnnouncementInvalid(
             f"server {known.server} announces other content under the same "
@@ -271,9 +277,9 @@
         )
 
 
-def _stale(known: Announcement, why: str) -> AnnouncementStale:
+def _stale_error(known: Announcement, reason: str) -> AnnouncementStale:
     return AnnouncementStale(
         f"server {known.server} of service {known.service} is known with "
-        f"incarnation {known.incarnation} and sequence {known.sequence}, and {why}",
+        f"incarnation {known.incarnation} and sequence {known.sequence}, and {reason}",
         "announce with a greater sequence, or a greater incarnation after a restart",
     )
--- a/packages/membership/src/kingcuplug_membership/_mesh.py
+++ b/packages/membership/src/kingcuplug_membership/_mesh.py
@@ -10,24 +10,24 @@
 
 from kingcuplug_common import KingcuplugError
 
-from kingcuplug_membership._completeness import Continuity
+from kingcuplug_membership._completeness import CompletenessTracker
 from kingcuplug_membership._directory import Directory
 from kingcuplug_membership._messages import MeshReply, MeshRequest, decode, encode
 from kingcuplug_membership._settings import MembershipSettings
 from kingcuplug_membership._sources import Call
-from kingcuplug_membership._verdicts import VerdictBoard
+from kingcuplug_membership._verdicts import CrashVerdictTable
 
 __all__ = ["Mesh"]
 
-_PEERS_PERIOD_S = 1.0
+_PEER_REFRESH_PERIOD_S = 1.0
 
 
 @dataclass(slots=True)
-class _Cursor:
+class _PeerCursor:
     """Versions up to which a peer's changes are merged, and into which local epoch."""
 
-    into: str
-    epoch: str = ""
+    local_epoch: str
+    peer_epoch: str = ""
     version: int = 0
     verdict_version: int = 0
 
@@ -49,8 +49,8 @@
         self,
         name: str,
         directory: Directory,
-        verdicts: VerdictBoard,
-        continuity: Continuity,
+        verdicts: CrashVerdictTable,
+        continuity: CompletenessTracker,
         peers: Callable[[], Iterable[str]],
         call: Call,
         clock: Callable[[], float],
@@ -59,22 +59,22 @@
         self._name = name
         self._directory = directory
         self._verdicts = verdicts
-        self._continuity = continuity
+        self._completeness = continuity
         self._peers = peers
         self._call = call
         self._clock = clock
         self._settings = settings or MembershipSettings()
-        self._news = asyncio.Event()
-        self._told = (directory.local_version, verdicts.local_version)
-        self._answered: dict[str, float] = {}
-        directory.watch(lambda entry: self._notice())
-        verdicts.watch(lambda verdict: self._notice())
+        self._changed = asyncio.Event()
+        self._notified_versions = (directory.local_version, verdicts.local_version)
+        self._replied_at: dict[str, float] = {}
+        directory.watch(lambda entry: self._wake_polls())
+        verdicts.watch(lambda verdict: self._wake_polls())
 
-    def _notice(self) -> None:
+    def _wake_polls(self) -> None:
         told = (self._directory.local_version, self._verdicts.local_version)
-        if told != self._told:
-            self._told = told
-            news, self._news = self._news, asyncio.Event()
+        if told != self._notified_versions:
+            self._notified_versions = told
+            news, self._changed = self._changed, asyncio.Event()
             news.set()
 
     async def run(self) -> None:
@@ -84,40 +84,40 @@
             while True:
                 wanted = set(self._peers()) - {self._name}
                 for peer in sorted(wanted - following.keys()):
-                    following[peer] = tasks.create_task(self._follow(peer))
+                    following[peer] = tasks.create_task(self._poll_peer(peer))
                 for peer in sorted(following.keys() - wanted):
                     following.pop(peer).cancel()
-                await asyncio.sleep(_PEERS_PERIOD_S)
+                await asyncio.sleep(_PEER_REFRESH_PERIOD_S)
 
-    async def _follow(self, peer: str) -> None:
-        cursor = _Cursor(self._directory.epoch)
+    async def _poll_peer(self, peer: str) -> None:
+        cursor = _PeerCursor(self._directory.epoch)
         while True:
             try:
-                await self._pull(peer, cursor)
+                await self._poll_once(peer, cursor)
             except (OSError, TimeoutError, KingcuplugError):
                 await asyncio.sleep(self._settings.spacing_ms / 1_000)
 
-    async def _pull(self, peer: str, cursor: _Cursor) -> None:
-        if cursor.into != self._directory.epoch:
-            cursor.into, cursor.epoch = self._directory.epoch, ""
+    async def _poll_once(self, peer: str, cursor: _PeerCursor) -> None:
+        if cursor.local_epoch != self._directory.epoch:
+            cursor.local_epoch, cursor.peer_epoch = self._directory.epoch, ""
         request = MeshRequest(
-            self._name, cursor.epoch, cursor.version, cursor.verdict_version
+            self._name, cursor.peer_epoch, cursor.version, cursor.verdict_version
         )
         wait_ms = self._settings.mesh_poll_ms + self._settings.grace_ms
         async with asyncio.timeout(wait_ms / 1_000):
             answer = await self._call(peer, encode(request))
         reply = decode(MeshReply, answer)
-        if cursor.into != self._directory.epoch:
+        if cursor.local_epoch != self._directory.epoch:
             return
         for entry in reply.entries:
             self._directory.merge(entry)
         for verdict in reply.verdicts:
             self._verdicts.add(verdict)
-        cursor.epoch = reply.epoch
+        cursor.peer_epoch = reply.epoch
         cursor.version = reply.version
         cursor.verdict_version = reply.verdict_version
         if not reply.more:
-            self._continuity.note_mesh(peer)
+            self._completeness.record_peer_sync(peer)
 
     async def handle(self, message: dict[str, Any]) -> dict[str, Any]:
         """Answer a peer's poll, after a wait if there are no changes for it.
@@ -129,11 +129,11 @@
         """
         request = decode(MeshRequest, message)
         if request.epoch == self._directory.epoch:
-            await self._hold(request)
-        self._answered[request.sender] = self._clock()
-        return encode(self._reply(request))
+            await self._wait_for_changes(request)
+        self._replied_at[request.sender] = self._clock()
+        return encode(self._build_reply(request))
 
-    def _reply(self, request: MeshRequest) -> MeshReply:
+    def _build_reply(self, request: MeshRequest) -> MeshReply:
         full = request.epoch != self._directory.epoch
         changes = self._directory.changes_since(
             0 if full else request.version,
@@ -152,19 +152,19 @@
             self._verdicts.version,
         )
 
-    async def _hold(self, request: MeshRequest) -> None:
+    async def _wait_for_changes(self, request: MeshRequest) -> None:
         """Wait for changes, for at most the poll period."""
         end = self._clock() + self._settings.mesh_poll_ms / 1_000
-        while not self._has_news(request):
+        while not self._has_changes(request):
             try:
                 async with asyncio.timeout(end - self._clock()):
-                    await self._news.wait()
+                    await self._changed.wait()
             except TimeoutError:
                 return
-        elapsed = self._clock() - self._answered.get(request.sender, float("-inf"))
+        elapsed = self._clock() - self._replied_at.get(request.sender, float("-inf"))
         await asyncio.sleep(max(0.0, self._settings.spacing_ms / 1_000 - elapsed))
 
-    def _has_news(self, request: MeshRequest) -> bool:
+    def _has_changes(self, request: MeshRequest) -> bool:
         return (
             request.epoch != self._directory.epoch
             or self._directory.local_version > request.version
--- a/packages/membership/src/kingcuplug_membership/_rendezvous.py
+++ b/packages/membership/src/kingcuplug_membership/_rendezvous.py
@@ -3,10 +3,10 @@
 import hashlib
 from collections.abc import Iterable
 
-__all__ = ["preference"]
+__all__ = ["rendezvous_order"]
 
 
-def preference(host: str, seeds: Iterable[str]) -> list[str]:
+def rendezvous_order(host: str, seeds: Iterable[str]) -> list[str]:
     """Order `seeds` for `host` by rendezvous hash.
 
     The loss of one control host moves only its own sessions, and spreads them over the
--- a/packages/membership/src/kingcuplug_membership/_session_client.py
+++ b/packages/membership/src/kingcuplug_membership/_session_client.py
@@ -8,7 +8,7 @@
 from kingcuplug_common import KingcuplugError, state_change
 
 from kingcuplug_membership._directory import Directory
-from kingcuplug_membership._directory_sync import DirectoryIntake
+from kingcuplug_membership._directory_sync import DirectorySync
 from kingcuplug_membership._entry import holder_name
 from kingcuplug_membership._leases import LeaseTable
 from kingcuplug_membership._messages import (
@@ -17,22 +17,22 @@
     decode,
     encode,
 )
-from kingcuplug_membership._rendezvous import preference
+from kingcuplug_membership._rendezvous import rendezvous_order
 from kingcuplug_membership._settings import MembershipSettings
 from kingcuplug_membership._sources import Call, ConfigurationSink
-from kingcuplug_membership._verdicts import Verdict, VerdictBoard
+from kingcuplug_membership._verdicts import CrashVerdictTable, Verdict
 
 __all__ = ["SessionClient"]
 
-_LONGEST_PAUSE_S = 1.0
+_MAX_RETRY_PAUSE_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class _Sent:
+class _SentRequest:
     """A request, its time of sending, and the local versions that it brings."""
 
     request: SessionRequest
-    time: float
+    sent_at: float
     leases_version: int
     verdicts_version: int
 
@@ -61,7 +61,7 @@
         Leases of the servers that announced here.
     directory : Directory
         The servers of the routed services.
-    verdicts : VerdictBoard
+    verdicts : CrashVerdictTable
         Crash verdicts of all entry hosts.
     live_entry_hosts : int
         Number of entry hosts with a running lease.
@@ -89,21 +89,21 @@
         self._settings = settings or MembershipSettings()
         self.live_entry_hosts = 1
         self.directory = Directory(clock, self._settings.tombstone_ms)
-        self.verdicts = VerdictBoard(clock, self._settings)
+        self.verdicts = CrashVerdictTable(clock, self._settings)
         self._lease_until = float("-inf")
-        self._diverged = False
+        self._text_diverged = False
         server_lease = self._settings.server_lease_ms / 1_000
-        self._intake = DirectoryIntake(self.directory, clock, server_lease)
-        self._urgent = asyncio.Event()
+        self._directory_sync = DirectorySync(self.directory, clock, server_lease)
+        self._local_change = asyncio.Event()
         self._replied = asyncio.Event()
-        self._asked: dict[str, asyncio.Future[int | None]] = {}
-        self._number = 0
-        self._moves = 0
+        self._liveness_queries: dict[str, asyncio.Future[int | None]] = {}
+        self._request_number = 0
+        self._home_index = 0
         self._refusals = 0
-        self._return_at = 0.0
-        self._answered_at = float("-inf")
-        self._delivered = 0
-        self._start()
+        self._return_home_at = 0.0
+        self._replied_at = float("-inf")
+        self._delivered_version = 0
+        self._reset_session()
         self.leases = LeaseTable(
             holder_name(host, incarnation),
             renew_address,
@@ -112,12 +112,12 @@
             self.directory.get,
             self._settings,
         )
-        self.leases.changed = self._urgent.set
+        self.leases.on_change = self._local_change.set
 
     def is_confirmed(self) -> bool:
         """Return whether this host may take new work."""
         running = self._clock() < self._lease_until
-        return running and self._intake.complete and not self._diverged
+        return running and self._directory_sync.complete and not self._text_diverged
 
     @property
     def revision(self) -> int:
@@ -132,7 +132,7 @@
     def report(self, verdict: Verdict) -> None:
         """Send a crash verdict to all entry hosts."""
         if self.verdicts.add(verdict, local=True):
-            self._urgent.set()
+            self._local_change.set()
 
     async def delivered(self, version: int) -> None:
         """Wait until the log's leader has the lease changes up to `version`.
@@ -140,23 +140,23 @@
         One session lease later they are in force everywhere, even if hosts are cut
         off: no host gets a longer lease without them.
         """
-        while self._delivered < version:
+        while self._delivered_version < version:
             await self._replied.wait()
 
     async def is_live(self, host: str, incarnation: int) -> bool:
         """Ask whether a run of an entry host holds a session lease."""
-        if host not in self._asked:
-            self._asked[host] = asyncio.get_running_loop().create_future()
-            self._urgent.set()
-        return await asyncio.shield(self._asked[host]) == incarnation
+        if host not in self._liveness_queries:
+            self._liveness_queries[host] = asyncio.get_running_loop().create_future()
+            self._local_change.set()
+        return await asyncio.shield(self._liveness_queries[host]) == incarnation
 
     async def run(self) -> None:
         """Maintain the session and expire server leases until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.leases.run())
-            tasks.create_task(self._keep())
+            tasks.create_task(self._maintain_session())
 
-    async def _keep(self) -> None:
+    async def _maintain_session(self) -> None:
         while True:
             try:
                 granted = await self._exchange()
@@ -165,75 +165,78 @@
             if granted:
                 self._refusals = 0
             else:
-                await self._move()
+                await self._switch_home()
 
-    def _start(self) -> None:
+    def _reset_session(self) -> None:
         """Reset the session; the next exchange transfers the full state."""
         self._epoch = ""
         self._verdict_version = 0
-        self._sent_verdicts = 0
-        self._sent_leases = 0
-        self._services: tuple[str, ...] | None = None
-        self._intake.start()
+        self._sent_verdicts_version = 0
+        self._sent_leases_version = 0
+        self._sent_services: tuple[str, ...] | None = None
+        self._directory_sync.restart()
 
-    async def _move(self) -> None:
+    async def _switch_home(self) -> None:
         """Switch to the next control host; pause once all of them have refused."""
-        rounds = self._refusals // max(1, len(self._preference()))
+        rounds = self._refusals // max(1, len(self._ordered_seeds()))
         self._refusals += 1
-        self._moves += 1
-        self._return_at = self._clock() + self._settings.return_ms / 1_000
-        self._start()
+        self._home_index += 1
+        self._return_home_at = self._clock() + self._settings.return_ms / 1_000
+        self._reset_session()
         pause = self._settings.spacing_ms / 1_000 * rounds
-        await asyncio.sleep(min(_LONGEST_PAUSE_S, pause))
+        await asyncio.sleep(min(_MAX_RETRY_PAUSE_S, pause))
 
-    def _preference(self) -> list[str]:
-        return preference(self._host, self._seeds())
+    def _ordered_seeds(self) -> list[str]:
+        return rendezvous_order(self._host, self._seeds())
 
-    def _home(self) -> str:
-        seeds = self._preference()
+    def _select_home(self) -> str:
+        seeds = self._ordered_seeds()
         if not seeds:
             raise ConnectionError("no control host is known")
-        if self._moves % len(seeds) and self._clock() >= self._return_at:
-            self._moves = 0
-            self._start()
-        return seeds[self._moves % len(seeds)]
+        if self._home_index % len(seeds) and self._clock() >= self._return_home_at:
+            self._home_index = 0
+            self._reset_session()
+        return seeds[self._home_index % len(seeds)]
 
     async def _exchange(self) -> bool:
         """Run one exchange; return False if the control host grants nothing."""
-        home = self._home()
-        if self._clock() - self._answered_at > self._settings.lease:
-            self._start()
-        self._urgent.clear()
-        sent = _Sent(
-            self._request(), self._clock(), self.leases.version, self.verdicts.version
+        home = self._select_home()
+        if self._clock() - self._replied_at > self._settings.lease:
+            self._reset_session()
+        self._local_change.clear()
+        sent = _SentRequest(
+            self._build_request(),
+            self._clock(),
+            self.leases.version,
+            self.verdicts.version,
         )
-        reply = await self._ask(home, sent.request)
+        reply = await self._send(home, sent.request)
         if reply is None:
             return True
-        self._answered_at = self._clock()
-        return self._take(sent, reply)
+        self._replied_at = self._clock()
+        return self._apply_reply(sent, reply)
 
-    def _request(self) -> SessionRequest:
-        self._number += 1
-        updates, _ = self.leases.changes_since(self._sent_leases)
+    def _build_request(self) -> SessionRequest:
+        self._request_number += 1
+        updates, _ = self.leases.changes_since(self._sent_leases_version)
         services = self._configuration.services()
         return SessionRequest(
             host=self._host,
             incarnation=self._incarnation,
             availability_zone=self._availability_zone,
-            number=self._number,
+            number=self._request_number,
             epoch=self._epoch,
-            confirmed=-1 if self._diverged else self._configuration.current(),
-            whole_text=self._diverged,
-            directory=self._intake.version,
+            confirmed=-1 if self._text_diverged else self._configuration.current(),
+            whole_text=self._text_diverged,
+            directory=self._directory_sync.version,
             verdict_version=self._verdict_version,
-            services=None if services == self._services else services,
+            services=None if services == self._sent_services else services,
             updates=tuple(updates),
-            verdicts=self.verdicts.since(self._sent_verdicts, local=True),
-            asked=tuple(self._asked),
+            verdicts=self.verdicts.since(self._sent_verdicts_version, local=True),
+            asked=tuple(self._liveness_queries),
         )
 
-    async def _ask(self, home: str, request: SessionRequest) -> SessionReply | None:
+    async def _send(self, home: str, request: SessionRequest) -> SessionReply | None:
         """Send a request; return None if a local change interrupts an idle poll."""
         settings = self._settings
         # A control host waits for the leader to confirm it before it opens a session.
@@ -242,7 +245,7 @@
         call = asyncio.ensure_future(self._call(home, encode(request)))
         waiting: list[asyncio.Future[Any]] = [call]
         if _is_idle(request):
-            waiting.append(asyncio.ensure_future(self._interruption()))
+            waiting.append(asyncio.ensure_future(self._wait_for_change()))
         try:
             await asyncio.wait(
                 waiting,
@@ -258,43 +261,43 @@
             for task in waiting:
                 task.cancel()
 
-    async def _interruption(self) -> None:
+    async def _wait_for_change(self) -> None:
         await asyncio.sleep(self._settings.spacing_ms / 1_000)
-        await self._urgent.wait()
+        await self._local_change.wait()
 
-    def _take(self, sent: _Sent, reply: SessionReply) -> bool:
+    def _apply_reply(self, sent: _SentRequest, reply: SessionReply) -> bool:
         for entry in (*reply.refused, *reply.entries):
-            self.leases.supersede(entry)
+            self.leases.end_if_overruled(entry)
         if reply.restart:
-            self._start()
+            self._reset_session()
             return True
         if reply.lease_ms <= 0:
             return False
         self._epoch = reply.epoch
         if sent.request.services is not None:
-            self._services = sent.request.services
-        self._sent_leases = sent.leases_version
+            self._sent_services = sent.request.services
+        self._sent_leases_version = sent.leases_version
         if reply.delivered:
-            self._delivered = sent.leases_version
-        self._sent_verdicts = sent.verdicts_version
+            self._delivered_version = sent.leases_version
+        self._sent_verdicts_version = sent.verdicts_version
         self.live_entry_hosts = max(1, reply.live_entry_hosts)
-        self._take_news(reply)
-        granted = self._take_configuration(reply) and self._take_lease(sent, reply)
+        self._apply_updates(reply)
+        granted = self._apply_configuration(reply) and self._extend_lease(sent, reply)
         replied, self._replied = self._replied, asyncio.Event()
         replied.set()
         return granted
 
-    def _take_news(self, reply: SessionReply) -> None:
-        self._intake.take(reply)
+    def _apply_updates(self, reply: SessionReply) -> None:
+        self._directory_sync.apply_reply(reply)
         for verdict in reply.verdicts:
             self.verdicts.add(verdict)
         self._verdict_version = reply.verdict_version
         for host, incarnation in (reply.live or {}).items():
-            answer = self._asked.pop(host, None)
+            answer = self._liveness_queries.pop(host, None)
             if answer is not None and not answer.done():
                 answer.set_result(incarnation)
 
-    def _take_configuration(self, reply: SessionReply) -> bool:
+    def _apply_configuration(self, reply: SessionReply) -> bool:
         """Apply the current revision; return whether it is in force here."""
         if reply.text is None and reply.deltas is None:
             return self._configuration.current() == reply.revision
@@ -309,15 +312,15 @@
         self._set_diverged(False)
         return self._configuration.current() == reply.revision
 
-    def _set_diverged(self, diverged: bool, why: str = "") -> None:
-        if diverged != self._diverged:
+    def _set_diverged(self, diverged: bool, reason: str = "") -> None:
+        if diverged != self._text_diverged:
             state = "configuration differs" if diverged else "configuration accepted"
-            state_change("session", state, host=self._host, why=why)
-        self._diverged = diverged
+            state_change("session", state, host=self._host, why=reason)
+        self._text_diverged = diverged
 
-    def _take_lease(self, sent: _Sent, reply: SessionReply) -> bool:
+    def _extend_lease(self, sent: _SentRequest, reply: SessionReply) -> bool:
         lease = reply.lease_ms / 1_000 * (1 - self._settings.drift_bound)
-        self._lease_until = max(self._lease_until, sent.time + lease)
+        self._lease_until = max(self._lease_until, sent.sent_at + lease)
         return True
 
 
--- a/packages/membership/src/kingcuplug_membership/_session_server.py
+++ b/packages/membership/src/kingcuplug_membership/_session_server.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from kingcuplug_membership._completeness import Continuity
+from kingcuplug_membership._completeness import CompletenessTracker
 from kingcuplug_membership._directory import Directory
 from kingcuplug_membership._entry import ServerEntry
 from kingcuplug_membership._hosts import HostStatus
-from kingcuplug_membership._leader_exchange import Barrier
+from kingcuplug_membership._leader_exchange import LeaderExchange
 from kingcuplug_membership._messages import (
     SessionReply,
     SessionRequest,
@@ -18,11 +18,11 @@
 from kingcuplug_membership._sessions import Session, SessionTable
 from kingcuplug_membership._settings import MembershipSettings
 from kingcuplug_membership._sources import Call, ConfigurationSource, LeaderSource
-from kingcuplug_membership._verdicts import Verdict, VerdictBoard
+from kingcuplug_membership._verdicts import CrashVerdictTable, Verdict
 
 __all__ = ["SessionServer"]
 
-_TIDY_PERIOD_S = 1.0
+_PURGE_PERIOD_S = 1.0
 
 
 class SessionServer:
@@ -47,11 +47,11 @@
     ----------
     directory : Directory
         All backend servers.
-    verdicts : VerdictBoard
+    verdicts : CrashVerdictTable
         Crash verdicts of all entry hosts.
-    barrier : Barrier
+    barrier : LeaderExchange
         The barrier exchange with the leader.
-    continuity : Continuity
+    continuity : CompletenessTracker
         Completeness of the directory; the mesh updates it too.
     """
 
@@ -70,9 +70,9 @@
         self._configuration = configuration
         self._sessions = SessionTable(clock)
         self.directory = Directory(clock, self._settings.tombstone_ms)
-        self.verdicts = VerdictBoard(clock, self._settings)
-        self.continuity = Continuity(clock, peers, self._settings)
-        self.barrier = Barrier(
+        self.verdicts = CrashVerdictTable(clock, self._settings)
+        self.continuity = CompletenessTracker(clock, peers, self._settings)
+        self.barrier = LeaderExchange(
             name,
             self.directory,
             self._sessions,
@@ -90,7 +90,7 @@
         """Exchange with the leader and purge tombstones until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.barrier.run())
-            tasks.create_task(self._tidy())
+            tasks.create_task(self._purge_periodically())
 
     def wake(self) -> None:
         """Complete all pending polls; call it when a revision has been applied."""
@@ -101,13 +101,13 @@
         return self.barrier.hosts()
 
     async def wait_in_force(self, revision: int) -> None:
-        """Wait until no host can serve an older revision; see `Barrier`."""
+        """Wait until no host can serve an older revision; see `LeaderExchange`."""
         await self.barrier.wait_in_force(revision)
 
-    async def _tidy(self) -> None:
+    async def _purge_periodically(self) -> None:
         while True:
-            await asyncio.sleep(_TIDY_PERIOD_S)
-            self.directory.purge()
+            await asyncio.sleep(_PURGE_PERIOD_S)
+            self.directory.purge_tombstones()
 
     async def handle(self, message: dict[str, Any]) -> dict[str, Any]:
         """Answer a session request, after a wait if there are no changes for it.
@@ -119,25 +119,27 @@
         """
         request = decode(SessionRequest, message)
         received = self._clock()
-        session = self._find(request)
+        session = self._find_or_open(request)
         if isinstance(session, SessionReply):
             return encode(session)
-        may_start = request.epoch == "" and not self._refusal(request)
-        if may_start and not await self._is_current_view(received):
+        may_start = request.epoch == "" and not self._refusal_reason(request)
+        if may_start and not await self._wait_leader_confirms(received):
             return encode(SessionReply(reason="the leader does not answer in time"))
-        full = request.epoch == "" or self._route(session, request)
-        self._sessions.confirm(session, request.confirmed)
-        refused = self._merge(request)
+        full = request.epoch == "" or self._update_services(session, request)
+        self._sessions.record_revision(session, request.confirmed)
+        refused = self._merge_updates(request)
         if request.updates:
-            session.awaited = self.directory.version
-        if not (full or refused or session.behind or self._is_urgent(request)):
-            await self._hold(session, request)
+            session.undelivered_version = self.directory.version
+        if not (
+            full or refused or session.truncated or self._needs_prompt_reply(request)
+        ):
+            await self._wait_for_changes(session, request)
         if not self._is_current(session, request):
-            return encode(_overtaken())
-        session.answered_at = self._clock()
-        return encode(self._reply(session, request, received, full, refused))
+            return encode(_overtaken_reply())
+        session.replied_at = self._clock()
+        return encode(self._build_reply(session, request, received, full, refused))
 
-    async def _is_current_view(self, received: float) -> bool:
+    async def _wait_leader_confirms(self, received: float) -> bool:
         """Return whether the leader confirmed this host after a request arrived.
 
         A host that begins a session may have served a newer revision before its
@@ -145,26 +147,26 @@
         """
         try:
             async with asyncio.timeout(self._settings.barrier_ms / 1_000):
-                await self.barrier.confirm(received)
+                await self.barrier.wait_confirmed(received)
         except TimeoutError:
             return False
         return True
 
-    def _find(self, request: SessionRequest) -> Session | SessionReply:
+    def _find_or_open(self, request: SessionRequest) -> Session | SessionReply:
         known = self._sessions.get(request.host)
         order = (request.incarnation, request.number)
         if known is not None and order <= (known.incarnation, known.number):
-            return _overtaken()
+            return _overtaken_reply()
         if request.epoch == "":
             return self._sessions.open(request)
         same_run = known is not None and known.incarnation == request.incarnation
         if known is None or not same_run or request.epoch != self.directory.epoch:
             return SessionReply(restart=True, reason="the session is not known here")
         known.number = request.number
-        known.wake.set()
+        known.wakeup.set()
         return known
 
-    def _route(self, session: Session, request: SessionRequest) -> bool:
+    def _update_services(self, session: Session, request: SessionRequest) -> bool:
         """Update the routed services; return whether they changed."""
         if request.services is None:
             return False
@@ -173,13 +175,13 @@
         session.services = services
         return changed
 
-    def _merge(self, request: SessionRequest) -> tuple[ServerEntry, ...]:
+    def _merge_updates(self, request: SessionRequest) -> tuple[ServerEntry, ...]:
         """Merge the host's updates; return the entries that overrule rejected ones."""
         is_start = request.epoch == ""
         refused = []
         for update in request.updates:
             if is_start:
-                self.directory.adopt(update)
+                self.directory.merge_and_replicate(update)
             else:
                 self.directory.merge(update, local=True)
             known = self.directory.get(*update.key)
@@ -189,8 +191,8 @@
             self.verdicts.add(verdict, local=True)
         return tuple(refused)
 
-    def _is_urgent(self, request: SessionRequest) -> bool:
-        answerable = request.asked and self.barrier.live() is not None
+    def _needs_prompt_reply(self, request: SessionRequest) -> bool:
+        answerable = request.asked and self.barrier.live_incarnations() is not None
         return bool(
             request.updates or request.verdicts or answerable or request.whole_text
         )
@@ -199,45 +201,47 @@
         known = self._sessions.get(session.host)
         return known is session and session.number == request.number
 
-    async def _hold(self, session: Session, request: SessionRequest) -> None:
+    async def _wait_for_changes(
+        self, session: Session, request: SessionRequest
+    ) -> None:
         """Wait for changes, for at most the poll period."""
         end = self._clock() + self._settings.poll_ms / 1_000
         while self._is_current(session, request):
-            session.wake.clear()
-            if self._has_news(session, request):
-                await self._space(session)
+            session.wakeup.clear()
+            if self._has_changes(session, request):
+                await self._space_replies(session)
                 return
             try:
                 async with asyncio.timeout(end - self._clock()):
-                    await session.wake.wait()
+                    await session.wakeup.wait()
             except TimeoutError:
                 return
 
-    async def _space(self, session: Session) -> None:
+    async def _space_replies(self, session: Session) -> None:
         """Delay a reply under constant change, so that it carries more changes."""
-        elapsed = self._clock() - session.answered_at
+        elapsed = self._clock() - session.replied_at
         await asyncio.sleep(max(0.0, self._settings.spacing_ms / 1_000 - elapsed))
 
-    def _has_news(self, session: Session, request: SessionRequest) -> bool:
+    def _has_changes(self, session: Session, request: SessionRequest) -> bool:
         return (
-            self._refusal(request) != ""
+            self._refusal_reason(request) != ""
             or request.confirmed != self._configuration.revision()
             or self.verdicts.version > request.verdict_version
-            or 0 < session.awaited <= self.barrier.uploaded()
-            or self.directory.has_news(request.directory, session.services)
+            or 0 < session.undelivered_version <= self.barrier.uploaded_version()
+            or self.directory.has_changes(request.directory, session.services)
         )
 
-    def _refusal(self, request: SessionRequest) -> str:
+    def _refusal_reason(self, request: SessionRequest) -> str:
         """Return why this host grants no lease now; empty if it grants one."""
-        if self.barrier.failing():
+        if self.barrier.is_failing():
             return "the leader does not confirm this control host"
-        if not self.continuity.settled():
+        if not self.continuity.is_complete():
             return "the directory is not complete yet"
         if request.confirmed > self._configuration.revision():
             return "this control host is behind"
         return ""
 
-    def _reply(
+    def _build_reply(
         self,
         session: Session,
         request: SessionRequest,
@@ -245,21 +249,21 @@
         full: bool,
         refused: tuple[ServerEntry, ...],
     ) -> SessionReply:
-        reason = self._refusal(request)
+        reason = self._refusal_reason(request)
         if reason:
             return SessionReply(reason=reason, refused=refused)
         until = min(received + self._settings.lease, self.barrier.grant_until())
-        self._sessions.grant(session, until)
-        revision, digest, deltas, text = self._configuration_news(request)
+        self._sessions.record_grant(session, until)
+        revision, digest, deltas, text = self._configuration_changes(request)
         changes = self.directory.changes_since(
             0 if full else request.directory,
             session.services,
             limit=self._settings.session_batch_limit,
         )
-        session.behind = changes.more
-        delivered = session.awaited <= self.barrier.uploaded()
+        session.truncated = changes.more
+        delivered = session.undelivered_version <= self.barrier.uploaded_version()
         if delivered:
-            session.awaited = 0
+            session.undelivered_version = 0
         return SessionReply(
             epoch=self.directory.epoch,
             lease_ms=max(0, int((until - received) * 1_000)),
@@ -272,14 +276,14 @@
             directory=changes.version,
             more=changes.more,
             refused=refused,
-            verdicts=self._verdict_news(request),
+            verdicts=self._new_verdicts(request),
             verdict_version=self.verdicts.version,
-            live_entry_hosts=self.barrier.count_hosts(),
-            live=self._live_news(request),
+            live_entry_hosts=self.barrier.entry_host_count(),
+            live=self._liveness_answers(request),
             delivered=delivered,
         )
 
-    def _configuration_news(
+    def _configuration_changes(
         self, request: SessionRequest
     ) -> tuple[int, str, tuple[Any, ...] | None, str | None]:
         source = self._configuration
@@ -293,24 +297,26 @@
             return revision, source.digest(), None, source.text()
         return revision, source.digest(), tuple(deltas), None
 
-    def _verdict_news(self, request: SessionRequest) -> tuple[Verdict, ...]:
+    def _new_verdicts(self, request: SessionRequest) -> tuple[Verdict, ...]:
         sent = {verdict.key for verdict in request.verdicts}
         added = self.verdicts.since(request.verdict_version)
         return tuple(verdict for verdict in added if verdict.key not in sent)
 
-    def _live_news(self, request: SessionRequest) -> dict[str, int | None] | None:
-        live = self.barrier.live()
+    def _liveness_answers(
+        self, request: SessionRequest
+    ) -> dict[str, int | None] | None:
+        live = self.barrier.live_incarnations()
         if not request.asked or live is None:
             return None
         return {host: live.get(host) for host in request.asked}
 
 
 def _overrules(known: ServerEntry, update: ServerEntry) -> bool:
-    if known.announcement.order != update.announcement.order:
+    if known.announcement.rank != update.announcement.rank:
         return True
     withdrawn = known.announcement.state == "withdrawn"
     return withdrawn or set(update.held) <= set(known.ended)
 
 
-def _overtaken() -> SessionReply:
+def _overtaken_reply() -> SessionReply:
     return SessionReply(reason="a later request of this host has overtaken this one")
--- a/packages/membership/src/kingcuplug_membership/_sessions.py
+++ b/packages/membership/src/kingcuplug_membership/_sessions.py
@@ -10,7 +10,7 @@
 __all__ = ["Session", "SessionTable"]
 
 # A poll lasts at most 1 s, so a host that got its last reply longer ago has gone.
-_IDLE_S = 3.0
+_IDLE_TIMEOUT_S = 3.0
 
 
 @dataclass(slots=True)
@@ -23,13 +23,13 @@
         Greatest request number seen.
     granted_until : float
         End of the longest lease granted.
-    answered_at : float
+    replied_at : float
         Time of the last reply.
-    listed : bool
+    reported : bool
         Whether the leader is told that the host holds a lease.
-    behind : bool
+    truncated : bool
         Whether the last reply left out entries beyond the batch limit.
-    awaited : int
+    undelivered_version : int
         Directory version that the leader must have before the host's updates count
         as delivered; 0 once a reply has reported the delivery.
     """
@@ -41,13 +41,13 @@
     services: frozenset[str]
     confirmed: int = -1
     granted_until: float = 0.0
-    answered_at: float = 0.0
-    listed: bool = False
-    behind: bool = False
-    awaited: int = 0
-    wake: asyncio.Event = field(default_factory=asyncio.Event)
+    replied_at: float = 0.0
+    reported: bool = False
+    truncated: bool = False
+    undelivered_version: int = 0
+    wakeup: asyncio.Event = field(default_factory=asyncio.Event)
 
-    def row(self) -> HostRow:
+    def to_row(self) -> HostRow:
         """Return the row that is sent to the leader."""
         return HostRow(
             self.host, self.incarnation, self.availability_zone, self.confirmed
@@ -73,7 +73,7 @@
         """Return the session of `host`."""
         return self._sessions.get(host)
 
-    def all(self) -> list[Session]:
+    def sessions(self) -> list[Session]:
         """Return all sessions."""
         return list(self._sessions.values())
 
@@ -87,59 +87,59 @@
             request.number,
             frozenset(request.services or ()),
             # A session that waits for its first reply is not idle.
-            answered_at=self._clock(),
+            replied_at=self._clock(),
         )
         if known is not None:
-            known.wake.set()
-            session.listed = known.listed
+            known.wakeup.set()
+            session.reported = known.reported
             if known.incarnation == request.incarnation:
                 session.granted_until = known.granted_until
                 session.confirmed = known.confirmed
         self._sessions[request.host] = session
         return session
 
-    def confirm(self, session: Session, revision: int) -> None:
+    def record_revision(self, session: Session, revision: int) -> None:
         """Record the revision in force at the host of `session`."""
         if revision > session.confirmed:
             session.confirmed = revision
-            if session.listed:
-                self._changes.touch(session.host)
+            if session.reported:
+                self._changes.record_change(session.host)
 
-    def grant(self, session: Session, until: float) -> None:
+    def record_grant(self, session: Session, until: float) -> None:
         """Record a lease that ends at `until`."""
-        if not session.listed:
-            session.listed = True
-            self._changes.touch(session.host)
+        if not session.reported:
+            session.reported = True
+            self._changes.record_change(session.host)
         session.granted_until = max(session.granted_until, until)
 
     def expire(self) -> None:
         """Report expired leases to the leader, and drop sessions without polls."""
         now = self._clock()
-        for session in self.all():
+        for session in self.sessions():
             if session.granted_until > now:
                 continue
-            if session.listed:
-                session.listed = False
-                self._changes.touch(session.host)
-            if session.answered_at < now - _IDLE_S:
+            if session.reported:
+                session.reported = False
+                self._changes.record_change(session.host)
+            if session.replied_at < now - _IDLE_TIMEOUT_S:
                 del self._sessions[session.host]
-                session.wake.set()
+                session.wakeup.set()
 
     def wake(self, service: str | None = None) -> None:
         """Complete all pending polls, or those of hosts that route `service`."""
         for session in self._sessions.values():
             if service is None or service in session.services:
-                session.wake.set()
+                session.wakeup.set()
 
     def changes_since(
         self, version: int
     ) -> tuple[tuple[HostRow, ...], tuple[str, ...]]:
         """Return the granted sessions changed after `version`, and hosts that left."""
         rows, left = [], []
-        for host in self._changes.since(version):
+        for host in self._changes.keys_since(version):
             session = self._sessions.get(host)
-            if session is not None and session.listed:
-                rows.append(session.row())
+            if session is not None and session.reported:
+                rows.append(session.to_row())
             else:
                 left.append(host)
         return tuple(rows), tuple(left)
--- a/packages/membership/src/kingcuplug_membership/_verdicts.py
+++ b/packages/membership/src/kingcuplug_membership/_verdicts.py
@@ -7,7 +7,7 @@
 from kingcuplug_membership._change_log import ChangeLog
 from kingcuplug_membership._settings import MembershipSettings
 
-__all__ = ["Verdict", "VerdictBoard"]
+__all__ = ["CrashVerdictTable", "Verdict"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
         return (self.fingerprint, self.server, self.incarnation)
 
 
-class VerdictBoard:
+class CrashVerdictTable:
     """Unexpired verdicts, bounded in number; the oldest are evicted first."""
 
     def __init__(
@@ -55,13 +55,13 @@
     ) -> None:
         self._clock = clock
         self._settings = settings or MembershipSettings()
-        self._expires: dict[tuple[str, str, int], float] = {}
+        self._expires_at: dict[tuple[str, str, int], float] = {}
         self._verdicts: dict[tuple[str, str, int], Verdict] = {}
         self._changes: ChangeLog[tuple[str, str, int]] = ChangeLog(clock)
-        self._watchers: list[Callable[[Verdict], None]] = []
+        self._subscribers: list[Callable[[Verdict], None]] = []
 
     def __len__(self) -> int:
-        return len(self._expires)
+        return len(self._expires_at)
 
     @property
     def version(self) -> int:
@@ -75,20 +75,20 @@
 
     def watch(self, callback: Callable[[Verdict], None]) -> None:
         """Call `callback` with every new verdict."""
-        self._watchers.append(callback)
+        self._subscribers.append(callback)
 
     def add(self, verdict: Verdict, local: bool = False) -> bool:
         """Store a verdict; return whether it is new."""
         self._purge()
-        if verdict.key in self._expires:
+        if verdict.key in self._expires_at:
             return False
         remaining_ms = min(verdict.remaining_ms, self._settings.verdict_ms)
-        self._expires[verdict.key] = self._clock() + remaining_ms / 1_000
+        self._expires_at[verdict.key] = self._clock() + remaining_ms / 1_000
         self._verdicts[verdict.key] = verdict
-        self._changes.touch(verdict.key, local)
-        if len(self._expires) > self._settings.verdict_limit:
-            self._remove(next(iter(self._expires)))
-        for callback in self._watchers:
+        self._changes.record_change(verdict.key, local)
+        if len(self._expires_at) > self._settings.verdict_limit:
+            self._remove(next(iter(self._expires_at)))
+        for callback in self._subscribers:
             callback(verdict)
         return True
 
@@ -96,8 +96,8 @@
         """Return the verdicts added after `version` that have not expired."""
         now = self._clock()
         unexpired = []
-        for key in self._changes.since(version, local):
-            remaining_ms = int((self._expires[key] - now) * 1_000)
+        for key in self._changes.keys_since(version, local):
+            remaining_ms = int((self._expires_at[key] - now) * 1_000)
             if remaining_ms > 0:
                 verdict = self._verdicts[key]
                 unexpired.append(
@@ -107,13 +107,13 @@
 
     def _purge(self) -> None:
         now = self._clock()
-        while self._expires:
-            key = next(iter(self._expires))
-            if self._expires[key] > now:
+        while self._expires_at:
+            key = next(iter(self._expires_at))
+            if self._expires_at[key] > now:
                 return
             self._remove(key)
 
     def _remove(self, key: tuple[str, str, int]) -> None:
-        del self._expires[key]
+        del self._expires_at[key]
         del self._verdicts[key]
         self._changes.remove(key)
--- a/tests/membership/conftest.py
+++ b/tests/membership/conftest.py
@@ -54,48 +54,50 @@
         self.random = random.Random(seed)
         self.handlers: dict[tuple[str, str], Callable[[Any], Awaitable[Any]]] = {}
         self.isolated: set[str] = set()
-        self.cuts: set[frozenset[str]] = set()
-        self.delay = (0.001, 0.002)
+        self.severed_links: set[frozenset[str]] = set()
+        self.delay_range_s = (0.001, 0.002)
         self.drop_share = 0.0
         self.duplicate_share = 0.0
-        self.filters: list[Callable[[str, str, str, str], bool]] = []
-        self.duplicates: set[asyncio.Task[Any]] = set()
+        self.drop_rules: list[Callable[[str, str, str, str], bool]] = []
+        self.duplicate_tasks: set[asyncio.Task[Any]] = set()
 
-    def reachable(self, one: str, other: str) -> bool:
+    def reachable(self, first: str, second: str) -> bool:
         """Return whether messages pass between two addresses."""
-        if one == other:
+        if first == second:
             return True
-        if {one, other} & self.isolated:
+        if {first, second} & self.isolated:
             return False
-        return frozenset((one, other)) not in self.cuts
+        return frozenset((first, second)) not in self.severed_links
 
-    def caller(self, kind: str, source: str) -> Callable[[str, Any], Awaitable[Any]]:
+    def make_call(self, kind: str, source: str) -> Callable[[str, Any], Awaitable[Any]]:
         """Return the function by which `source` sends messages of `kind`."""
 
         async def call(peer: str, message: Any) -> Any:
-            await self._travel(kind, source, peer, "request")
+            await self._transmit(kind, source, peer, "request")
             handler = self.handlers.get((kind, peer))
             if handler is None:
                 raise ConnectionRefusedError(peer)
             text = json.dumps(message)
             if self.random.random() < self.duplicate_share:
-                copy = asyncio.ensure_future(self._late(handler, text))
-                self.duplicates.add(copy)
+                copy = asyncio.ensure_future(self._deliver_duplicate(handler, text))
+                self.duplicate_tasks.add(copy)
             reply = json.dumps(await handler(json.loads(text)))
-            await self._travel(kind, source, peer, "reply")
+            await self._transmit(kind, source, peer, "reply")
             return json.loads(reply)
 
         return call
 
-    async def _late(self, handler: Callable[[Any], Awaitable[Any]], text: str) -> None:
+    async def _deliver_duplicate(
+        self, handler: Callable[[Any], Awaitable[Any]], text: str
+    ) -> None:
         await asyncio.sleep(self.random.uniform(0, 2))
         await handler(json.loads(text))
 
-    async def _travel(self, kind: str, source: str, peer: str, step: str) -> None:
-        await asyncio.sleep(self.random.uniform(*self.delay))
+    async def _transmit(self, kind: str, source: str, peer: str, step: str) -> None:
+        await asyncio.sleep(self.random.uniform(*self.delay_range_s))
         lost = self.random.random() < self.drop_share
         lost = lost or not self.reachable(source, peer)
-        lost = lost or any(loses(kind, source, peer, step) for loses in self.filters)
+        lost = lost or any(loses(kind, source, peer, step) for loses in self.drop_rules)
         if lost:
             await asyncio.get_running_loop().create_future()
 
@@ -109,16 +111,16 @@
 
     def __init__(self, network: FakeNetwork) -> None:
         self.network = network
-        self.names: list[str] = []
-        self.controls: dict[str, Control] = {}
+        self.control_names: list[str] = []
+        self.control_hosts: dict[str, Control] = {}
         self.texts = ['{"n":0}']
         self.accepted_at = [0.0]
         self.leader: str | None = "c0"
         self.term = 1
-        self.enabled = True
+        self.elections_enabled = True
         self._lease_end = 0.0
 
-    def accept(self) -> int:
+    def accept_revision(self) -> int:
         """Accept a new revision, if there is a leader; return the newest number."""
         if self.leader and self._has_majority(self.leader):
             self.texts.append(json.dumps({"n": len(self.texts)}))
@@ -131,23 +133,27 @@
         self.term += 1
         if name is not None:
             # A leader has all committed entries and applies them before it leads.
-            self.controls[name].applied = len(self.texts) - 1
+            self.control_hosts[name].applied = len(self.texts) - 1
 
     def leading_until(self, name: str) -> float:
         """Return the end of a control host's lease as leader."""
         return self._lease_end if self.leader == name else 0.0
 
     def _has_majority(self, name: str) -> bool:
-        reached = [peer for peer in self.names if self.network.reachable(name, peer)]
-        return len(reached) > len(self.names) // 2
+        reached = [
+            peer for peer in self.control_names if self.network.reachable(name, peer)
+        ]
+        return len(reached) > len(self.control_names) // 2
 
     async def run(self) -> None:
         """Extend the leader's lease, or elect another one after its end."""
         while True:
             if self.leader and self._has_majority(self.leader):
                 self._lease_end = now() + LEADER_LEASE_S
-            elif self.enabled and now() > self._lease_end:
-                eligible = [name for name in self.names if self._has_majority(name)]
+            elif self.elections_enabled and now() > self._lease_end:
+                eligible = [
+                    name for name in self.control_names if self._has_majority(name)
+                ]
                 self.elect(self.network.random.choice(eligible) if eligible else None)
                 self._lease_end = now() + LEADER_LEASE_S
             await asyncio.sleep(0.05)
@@ -168,7 +174,7 @@
         network, log, clock = self.system.network, self.system.log, now
         self.server = SessionServer(
             self.name,
-            lambda: [name for name in self.system.controls if name != self.name],
+            lambda: [name for name in self.system.control_hosts if name != self.name],
             ConfigurationSource(
                 lambda: self.applied,
                 lambda revision: (
@@ -185,7 +191,7 @@
                 lambda: len(log.texts) - 1,
                 lambda: self.applied,
             ),
-            network.caller("barrier", self.name),
+            network.make_call("barrier", self.name),
             clock,
         )
         self.mesh = Mesh(
@@ -193,8 +199,8 @@
             self.server.directory,
             self.server.verdicts,
             self.server.continuity,
-            lambda: list(self.system.controls),
-            network.caller("mesh", self.name),
+            lambda: list(self.system.control_hosts),
+            network.make_call("mesh", self.name),
             clock,
         )
         network.handlers["session", self.name] = self.server.handle
@@ -241,7 +247,7 @@
         self.name = name
         self.incarnation = 0
         self.failures_to_apply = 0
-        self.served: list[tuple[float, int]] = []
+        self.served_revisions: list[tuple[float, int]] = []
         self.start()
 
     def start(self) -> None:
@@ -254,9 +260,9 @@
             self.incarnation,
             "z1",
             self.name,
-            lambda: list(self.system.controls),
+            lambda: list(self.system.control_hosts),
             ConfigurationSink(lambda: self.revision, self._apply, lambda: SERVICES),
-            self.system.network.caller("session", self.name),
+            self.system.network.make_call("session", self.name),
             now,
         )
         self.leases = self.client.leases
@@ -283,12 +289,12 @@
         self.stop()
         self.start()
 
-    def live(self, service: str = "counter") -> list[str]:
+    def live_servers(self, service: str = "counter") -> list[str]:
         """Return the live servers that this host's router would use."""
         entries = self.client.directory.servers(service)
         return sorted(entry.announcement.server for entry in entries)
 
-    def state(self, server: str, service: str = "counter") -> str | None:
+    def server_state(self, server: str, service: str = "counter") -> str | None:
         """Return the state of a live server in this host's directory."""
         entry = self.client.directory.get(service, server)
         return entry.announcement.state if entry and entry.live else None
@@ -297,34 +303,37 @@
 class Server:
     """Backend server that renews its lease, and announces again if that fails."""
 
-    def __init__(self, system: "System", name: str, via: int = 0, **fields: Any):
+    def __init__(
+        self, system: "System", name: str, entry_index: int = 0, **fields: Any
+    ):
         self.system = system
-        self.via = via
+        self.entry_index = entry_index
         self.announcement = make_announcement(name, **fields)
         self.task = asyncio.ensure_future(self._run())
 
     async def _run(self) -> None:
-        self.home: Entry | None = None
+        self.entry_host: Entry | None = None
         while True:
-            if self.home is None or not self._renew(self.home):
+            if self.entry_host is None or not self._renew(self.entry_host):
                 self.announce()
             await asyncio.sleep(0.5)
 
-    def _renew(self, home: Entry) -> bool:
-        return self._try(
-            home, lambda: home.leases.renew(self.announcement.server, *self.order)
+    def _renew(self, entry_host: Entry) -> bool:
+        return self._succeeds(
+            entry_host,
+            lambda: entry_host.leases.renew(self.announcement.server, *self.rank),
         )
 
     @property
-    def order(self) -> tuple[int, int]:
+    def rank(self) -> tuple[int, int]:
         """Return incarnation and sequence of the current announcement."""
-        return self.announcement.order
+        return self.announcement.rank
 
     def announce(self, **fields: Any) -> None:
         """Announce through the first entry host that accepts the announcement."""
-        entries = list(self.system.entries.values())
+        entries = list(self.system.entry_hosts.values())
         for offset in range(len(entries)):
-            entry = entries[(self.via + offset) % len(entries)]
+            entry = entries[(self.entry_index + offset) % len(entries)]
             self.announcement = make_announcement(
                 **(
                     {name: getattr(self.announcement, name) for name in _FIELDS}
@@ -332,12 +341,17 @@
                     | fields
                 )
             )
-            if self._try(entry, lambda e=entry: e.leases.announce(self.announcement)):
-                self.home, self.via = entry, (self.via + offset) % len(entries)
+            if self._succeeds(
+                entry, lambda e=entry: e.leases.announce(self.announcement)
+            ):
+                self.entry_host, self.entry_index = (
+                    entry,
+                    (self.entry_index + offset) % len(entries),
+                )
                 return
-        self.home = None
+        self.entry_host = None
 
-    def _try(self, entry: Entry, action: Callable[[], object]) -> bool:
+    def _succeeds(self, entry: Entry, action: Callable[[], object]) -> bool:
         network = self.system.network
         if not network.reachable(self.announcement.server, entry.name):
             return False
@@ -358,45 +372,47 @@
 class System:
     """Control hosts c0.. and entry hosts e0.. on one simulated network."""
 
-    def __init__(self, controls: int, entries: int, seed: int = 1) -> None:
+    def __init__(self, control_count: int, entry_count: int, seed: int = 1) -> None:
         self.network = FakeNetwork(seed)
         self.log = FakeLog(self.network)
-        self.log.names = [f"c{number}" for number in range(controls)]
+        self.log.control_names = [f"c{number}" for number in range(control_count)]
         self.election = asyncio.ensure_future(self.log.run())
-        self.controls: dict[str, Control] = dict.fromkeys(self.log.names)
-        self.log.controls = self.controls
-        for name in self.controls:
-            self.controls[name] = Control(self, name)
-        self.entries = {
-            f"e{number}": Entry(self, f"e{number}") for number in range(entries)
+        self.control_hosts: dict[str, Control] = dict.fromkeys(self.log.control_names)
+        self.log.control_hosts = self.control_hosts
+        for name in self.control_hosts:
+            self.control_hosts[name] = Control(self, name)
+        self.entry_hosts = {
+            f"e{number}": Entry(self, f"e{number}") for number in range(entry_count)
         }
         self.servers: list[Server] = []
 
     @property
     def leader(self) -> SessionServer:
         """Return the leader's session server."""
-        return self.controls[self.log.leader or "c0"].server
+        return self.control_hosts[self.log.leader or "c0"].server
 
-    def home(self, entry: str) -> str:
+    def home_of(self, entry: str) -> str:
         """Return the control host that serves an entry host now."""
-        for name, control in self.controls.items():
+        for name, control in self.control_hosts.items():
             rows, _ = control.server._sessions.changes_since(0)
             if any(row.host == entry for row in rows):
                 return name
         raise LookupError(entry)
 
-    async def ready(self) -> None:
+    async def wait_ready(self) -> None:
         """Wait until every entry host serves."""
         await until(
-            lambda: all(entry.client.is_confirmed() for entry in self.entries.values())
+            lambda: all(
+                entry.client.is_confirmed() for entry in self.entry_hosts.values()
+            )
         )
 
 
-async def until(condition: Callable[[], bool], limit: float = 20.0) -> float:
+async def until(condition: Callable[[], bool], timeout_s: float = 20.0) -> float:
     """Wait until `condition` holds and return the time taken in seconds."""
     started = now()
     while not condition():
-        if now() - started > limit:
+        if now() - started > timeout_s:
             raise AssertionError("the condition did not become true")
         await asyncio.sleep(0.01)
     return now() - started
@@ -414,7 +430,7 @@
     ) -> None:
         async def main() -> None:
             system = System(controls, entries, seed)
-            await system.ready()
+            await system.wait_ready()
             await scenario(system)
 
         run_virtual(main())
--- a/tests/membership/test_directory.py
+++ b/tests/membership/test_directory.py
@@ -54,7 +54,7 @@
     directory.merge(replace(LIVE, held=("e1/1",)))
     directory.merge(replace(LIVE, held=("e1/1",), ended=("e1/1",)))
     assert directory.servers("counter")
-    assert directory.end_holder("e0/1") == 1
+    assert directory.end_leases("e0/1") == 1
     assert not directory.servers("counter")
 
 
@@ -73,10 +73,10 @@
     # tombstones that are never removed.
     directory.merge(replace(LIVE, ended=("e0/1",)))
     clock[0] = 59
-    assert directory.purge() == 0
+    assert directory.purge_tombstones() == 0
     assert not directory.merge(LIVE)
     clock[0] = 61
-    assert directory.purge() == 1
+    assert directory.purge_tombstones() == 1
     assert len(directory) == 0
     assert directory.changes_since(0).entries == ()
 
@@ -112,7 +112,7 @@
     # received it first was lost.
     directory.merge(LIVE)
     assert directory.changes_since(0, local=True).entries == ()
-    assert not directory.adopt(LIVE)
+    assert not directory.merge_and_replicate(LIVE)
     assert directory.changes_since(0, local=True).entries == (LIVE,)
 
 
@@ -139,7 +139,7 @@
         self.directories = [Directory(lambda: 0.0) for _ in range(3)]
 
     @rule(update=_UPDATES, number=st.integers(0, 2))
-    def learn(self, update: ServerEntry, number: int) -> None:
+    def merge_update(self, update: ServerEntry, number: int) -> None:
         """Merge a new update into one directory."""
         self.updates.append(update)
         self.directories[number].merge(update)
@@ -173,8 +173,8 @@
         assert final[0].rank == self._greatest_rank()
 
     def _greatest_rank(self) -> tuple[int, int, int]:
-        order = max(update.announcement.order for update in self.updates)
-        last = [entry for entry in self.updates if entry.announcement.order == order]
+        order = max(update.announcement.rank for update in self.updates)
+        last = [entry for entry in self.updates if entry.announcement.rank == order]
         withdrawn = any(entry.announcement.state == "withdrawn" for entry in last)
         running = {entry.held for entry in last} - {
             entry.held for entry in last if entry.ended
--- a/tests/membership/test_leases.py
+++ b/tests/membership/test_leases.py
@@ -21,17 +21,17 @@
 
     def __init__(self) -> None:
         self.now = 100.0
-        self.running = True
+        self.session_runs = True
         self.entry: ServerEntry | None = None
         super().__init__(
             "e0/1",
             "127.0.0.1:1",
             lambda: self.now,
-            lambda: self.running,
+            lambda: self.session_runs,
             lambda service, server: self.entry,
         )
 
-    def news(self) -> list[tuple[int, bool]]:
+    def entry_states(self) -> list[tuple[int, bool]]:
         """Return sequence and liveness of the entries that a new session sends."""
         return [
             (entry.announcement.sequence, entry.live)
@@ -56,7 +56,7 @@
     assert table.expire() == 0
     table.now += 0.02
     assert table.expire() == 1
-    assert table.news() == [(1, False)]
+    assert table.entry_states() == [(1, False)]
 
 
 def test_renewal_keeps_lease(table: Table, announcement: Announcement) -> None:
@@ -66,7 +66,7 @@
         table.now += granted.renew_ms / 1_000
         table.renew("s1", 1, 1)
         assert table.expire() == 0
-    assert table.news() == [(1, True)]
+    assert table.entry_states() == [(1, True)]
 
 
 @pytest.mark.parametrize("order", [("s2", 1, 1), ("s1", 2, 1), ("s1", 1, 2)])
@@ -91,7 +91,7 @@
     with pytest.raises(LeaseUnknown):
         table.renew("s1", 1, 1)
     table.announce(replace(announcement, sequence=2))
-    assert table.news() == [(2, True)]
+    assert table.entry_states() == [(2, True)]
 
 
 def test_end_known_to_directory_needs_greater_sequence(
@@ -126,7 +126,7 @@
     table.announce(announcement)
     table.announce(replace(announcement, state="withdrawn"))
     table.announce(replace(announcement, state="withdrawn"))
-    assert table.news() == [(1, False)]
+    assert table.entry_states() == [(1, False)]
     with pytest.raises(AnnouncementStale):
         table.announce(announcement)
 
@@ -136,7 +136,7 @@
 ) -> None:
     # Guards against servers that stay with an entry host that is cut off.
     table.announce(announcement)
-    table.running = False
+    table.session_runs = False
     with pytest.raises(HostUnconfirmed):
         table.renew("s1", 1, 1)
     with pytest.raises(HostUnconfirmed):
@@ -148,10 +148,10 @@
 ) -> None:
     # Guards against an entry host that is cut off and ends the leases of its servers.
     table.announce(announcement)
-    table.running = False
+    table.session_runs = False
     table.now += 60
     assert table.expire() == 0
-    table.running = True
+    table.session_runs = True
     assert table.expire() == 0
     table.now += 2.1
     assert table.expire() == 1
@@ -177,4 +177,4 @@
     table.expire()
     table.now += 61
     table.expire()
-    assert table.news() == []
+    assert table.entry_states() == []
--- a/tests/membership/test_servers.py
+++ b/tests/membership/test_servers.py
@@ -12,12 +12,12 @@
 
 
 def everywhere(system: System, servers: list[str]) -> bool:
-    return all(entry.live() == servers for entry in system.entries.values())
+    return all(entry.live_servers() == servers for entry in system.entry_hosts.values())
 
 
-async def watch(condition: Callable[[], bool], duration: float) -> None:
-    """Fail if `condition` is ever false within `duration` seconds."""
-    end = now() + duration
+async def watch(condition: Callable[[], bool], duration_s: float) -> None:
+    """Fail if `condition` is ever false within `duration_s` seconds."""
+    end = now() + duration_s
     while now() < end:
         assert condition()
         await asyncio.sleep(0.02)
@@ -51,7 +51,9 @@
     # succession through different entry hosts.
     async def scenario(system: System) -> None:
         for incarnation in range(1, 15):
-            server = Server(system, "s1", via=incarnation, incarnation=incarnation)
+            server = Server(
+                system, "s1", entry_index=incarnation, incarnation=incarnation
+            )
             await asyncio.sleep(system.network.random.uniform(0.05, 1.5))
             server.stop()
             if incarnation % 3 == 0:
@@ -61,7 +63,7 @@
         await watch(lambda: everywhere(system, ["s1"]), 5)
         known_entries = {
             entry.client.directory.get("counter", "s1")
-            for entry in system.entries.values()
+            for entry in system.entry_hosts.values()
         }
         assert len(known_entries) == 1
 
@@ -72,9 +74,9 @@
     # Guards against a server that ends with the lease granted for a duplicate of its
     # announcement.
     async def scenario(system: System) -> None:
-        server = Server(system, "s1", via=1)
+        server = Server(system, "s1", entry_index=1)
         await asyncio.sleep(0)
-        system.entries["e0"].leases.announce(server.announcement)
+        system.entry_hosts["e0"].leases.announce(server.announcement)
         await until(lambda: everywhere(system, ["s1"]))
         await watch(lambda: everywhere(system, ["s1"]), 6)
 
@@ -84,10 +86,10 @@
 def test_return_with_another_incarnation(play: Play) -> None:
     # Guards against the end of a server's old run that also ends its new run.
     async def scenario(system: System) -> None:
-        first = Server(system, "s1", via=0)
+        first = Server(system, "s1", entry_index=0)
         await until(lambda: everywhere(system, ["s1"]))
         first.stop()
-        Server(system, "s1", via=1, incarnation=2)
+        Server(system, "s1", entry_index=1, incarnation=2)
         await asyncio.sleep(0.5)
         await watch(lambda: everywhere(system, ["s1"]), 6)
         known = system.leader.directory.get("counter", "s1")
@@ -108,7 +110,7 @@
         server.announce(state="withdrawn")
         await until(lambda: everywhere(system, []))
         with pytest.raises(AnnouncementStale):
-            system.entries["e2"].leases.announce(stale)
+            system.entry_hosts["e2"].leases.announce(stale)
         system.leader.directory.merge(ServerEntry(stale, ("e2/1",)), local=True)
         await watch(lambda: everywhere(system, []), 2)
 
@@ -120,12 +122,12 @@
     # Guards against new work for a draining server at an entry host that does not
     # receive the change: such a host must have stopped taking work by then.
     async def scenario(system: System) -> None:
-        server = Server(system, "s1", via=0)
+        server = Server(system, "s1", entry_index=0)
         await until(lambda: everywhere(system, ["s1"]))
         await asyncio.sleep(0.7)
         if cut == "mesh":
             pairs = [("c0", "c1"), ("c0", "c2"), ("c1", "c2")]
-            system.network.filters.append(
+            system.network.drop_rules.append(
                 lambda kind, source, peer, step: (
                     kind == "mesh"
                     and ((source, peer) in pairs or (peer, source) in pairs)
@@ -137,8 +139,9 @@
         await asyncio.sleep(3.0)
         await watch(
             lambda: all(
-                entry.state("s1") == "draining" or not entry.client.is_confirmed()
-                for entry in system.entries.values()
+                entry.server_state("s1") == "draining"
+                or not entry.client.is_confirmed()
+                for entry in system.entry_hosts.values()
                 # An entry host that is cut off as it accepts the announcement cannot
                 # replicate it; its `delivered` does not return.
                 if cut != "e0" or entry.name == "e0"
@@ -152,7 +155,7 @@
 def test_delivered_tells_whether_an_announcement_went_out(play: Play) -> None:
     # Guards against a positive reply to a drain that no other host ever receives.
     async def scenario(system: System) -> None:
-        entry = system.entries["e0"]
+        entry = system.entry_hosts["e0"]
         entry.leases.announce(make_announcement())
         await asyncio.wait_for(entry.client.delivered(entry.leases.version), 1)
         assert system.leader.directory.servers("counter")
@@ -168,21 +171,25 @@
     # Guards against servers of a lost zone that stay listed because their entry
     # host and the control host of its session are lost too.
     async def scenario(system: System) -> None:
-        kept = Server(system, "s0", via=0)
-        lost = [Server(system, f"s{number}", via=1) for number in range(1, 9)]
+        kept = Server(system, "s0", entry_index=0)
+        lost = [Server(system, f"s{number}", entry_index=1) for number in range(1, 9)]
         names = [f"s{number}" for number in range(9)]
         await until(lambda: everywhere(system, names))
         # A session not yet reported to the leader counts as lost at once.
-        await until(lambda: len(system.leader.hosts()) == len(system.entries))
-        zone = {system.home("e1"), "e1", *names[1:]} - {"c0"}
+        await until(lambda: len(system.leader.hosts()) == len(system.entry_hosts))
+        zone = {system.home_of("e1"), "e1", *names[1:]} - {"c0"}
         system.network.isolated |= zone
-        others = [system.entries["e0"], system.entries["e2"]]
-        took = await until(lambda: all(entry.live() == ["s0"] for entry in others), 7)
+        others = [system.entry_hosts["e0"], system.entry_hosts["e2"]]
+        took = await until(
+            lambda: all(entry.live_servers() == ["s0"] for entry in others), 7
+        )
         # The session lease of 3 s, less the age of the last barrier (at most 0.5 s),
         # and the server lease of 2 s have to pass first.
         assert took > 4.0
-        assert kept.order == (1, 2)
-        assert lost[0].home is None or not lost[0].home.client.is_confirmed()
+        assert kept.rank == (1, 2)
+        assert (
+            lost[0].entry_host is None or not lost[0].entry_host.client.is_confirmed()
+        )
 
     play(scenario)
 
@@ -192,17 +199,17 @@
     # leases of all others.
     async def scenario(system: System) -> None:
         for number in range(3):
-            Server(system, f"s{number}", via=number)
+            Server(system, f"s{number}", entry_index=number)
         names = ["s0", "s1", "s2"]
         await until(lambda: everywhere(system, names))
         system.network.isolated |= {"c2", "e2"}
         await asyncio.sleep(20)
-        isolated = system.controls["c2"].server
+        isolated = system.control_hosts["c2"].server
         assert len(isolated.directory.servers("counter")) == 3
-        assert system.entries["e2"].live() == names
-        assert not system.entries["e2"].client.is_confirmed()
+        assert system.entry_hosts["e2"].live_servers() == names
+        assert not system.entry_hosts["e2"].client.is_confirmed()
         system.network.isolated.clear()
-        await system.ready()
+        await system.wait_ready()
         await until(lambda: everywhere(system, names), 3)
 
     play(scenario)
@@ -212,12 +219,12 @@
     # Guards against servers that renew at an entry host that is cut off until the
     # leader counts them as lost.
     async def scenario(system: System) -> None:
-        server = Server(system, "s1", via=1)
+        server = Server(system, "s1", entry_index=1)
         await until(lambda: everywhere(system, ["s1"]))
         system.network.isolated |= {"e1"}
-        others = [system.entries["e0"], system.entries["e2"]]
-        await watch(lambda: all(entry.live() == ["s1"] for entry in others), 10)
-        assert server.home in others
+        others = [system.entry_hosts["e0"], system.entry_hosts["e2"]]
+        await watch(lambda: all(entry.live_servers() == ["s1"] for entry in others), 10)
+        assert server.entry_host in others
 
     play(scenario)
 
@@ -225,11 +232,11 @@
 def test_restarted_entry_host_keeps_its_servers_listed(play: Play) -> None:
     # Guards against an outage of all servers that announced at a restarted entry host.
     async def scenario(system: System) -> None:
-        Server(system, "s1", via=1)
+        Server(system, "s1", entry_index=1)
         await until(lambda: everywhere(system, ["s1"]))
-        system.entries["e1"].restart()
-        others = [system.entries["e0"], system.entries["e2"]]
-        await watch(lambda: all(entry.live() == ["s1"] for entry in others), 8)
+        system.entry_hosts["e1"].restart()
+        others = [system.entry_hosts["e0"], system.entry_hosts["e2"]]
+        await watch(lambda: all(entry.live_servers() == ["s1"] for entry in others), 8)
         await until(lambda: everywhere(system, ["s1"]), 1)
 
     play(scenario)
@@ -246,12 +253,14 @@
         server.stop()
         server.announce(state="withdrawn")
         await asyncio.sleep(100)
-        assert system.entries["e2"].live() == ["s1", "s2"]
+        assert system.entry_hosts["e2"].live_servers() == ["s1", "s2"]
         system.network.isolated.clear()
-        await system.ready()
+        await system.wait_ready()
         await asyncio.sleep(3)
         assert everywhere(system, ["s2"])
-        directories = [control.server.directory for control in system.controls.values()]
+        directories = [
+            control.server.directory for control in system.control_hosts.values()
+        ]
         assert [len(directory) for directory in directories] == [1, 1, 1]
 
     play(scenario)
@@ -263,7 +272,7 @@
     async def scenario(system: System) -> None:
         Server(system, "s1")
         await until(lambda: everywhere(system, ["s1"]))
-        system.network.filters.append(
+        system.network.drop_rules.append(
             lambda kind, source, peer, step: kind == "barrier"
         )
         Server(system, "s2")
@@ -276,9 +285,9 @@
     # Guards against a server that keeps renewing at an entry host whose leases the
     # leader has ended.
     async def scenario(system: System) -> None:
-        Server(system, "s1", via=1)
+        Server(system, "s1", entry_index=1)
         await until(lambda: everywhere(system, ["s1"]))
-        system.leader.directory.end_holder("e1/1")
+        system.leader.directory.end_leases("e1/1")
         await until(lambda: everywhere(system, []), 1)
         await until(lambda: everywhere(system, ["s1"]), 1.5)
 
@@ -290,10 +299,14 @@
     # that is cut off from the leader.
     async def scenario(system: System) -> None:
         entry = next(
-            entry for name, entry in system.entries.items() if system.home(name) != "c0"
+            entry
+            for name, entry in system.entry_hosts.items()
+            if system.home_of(name) != "c0"
         )
-        home = system.home(entry.name)
-        system.network.cuts |= {frozenset((home, other)) for other in system.controls}
+        home = system.home_of(entry.name)
+        system.network.severed_links |= {
+            frozenset((home, other)) for other in system.control_hosts
+        }
         entry.leases.announce(make_announcement())
         await asyncio.wait_for(entry.client.delivered(entry.leases.version), 3)
         assert system.leader.directory.servers("counter")
--- a/tests/membership/test_sessions.py
+++ b/tests/membership/test_sessions.py
@@ -7,7 +7,8 @@
 
 import pytest
 from kingcuplug_membership import (
-    Continuity,
+    CompletenessTracker,
+    CrashVerdictTable,
     Directory,
     MembershipSettings,
     MessageInvalid,
@@ -15,10 +16,9 @@
     ServerEntry,
     SessionClient,
     Verdict,
-    VerdictBoard,
-    preference,
+    rendezvous_order,
 )
-from kingcuplug_membership._directory_sync import DirectoryIntake
+from kingcuplug_membership._directory_sync import DirectorySync
 from kingcuplug_membership._messages import SessionReply
 
 from .conftest import Entry, Server, System, make_announcement, now, until
@@ -27,25 +27,25 @@
 
 
 def confirmed(system: System) -> bool:
-    return all(entry.client.is_confirmed() for entry in system.entries.values())
+    return all(entry.client.is_confirmed() for entry in system.entry_hosts.values())
 
 
 def complete(system: System, servers: list[str]) -> bool:
-    return all(entry.live() == servers for entry in system.entries.values())
+    return all(entry.live_servers() == servers for entry in system.entry_hosts.values())
 
 
-async def watch(condition: Callable[[], bool], duration: float) -> None:
-    """Fail if `condition` is ever false within `duration` seconds."""
-    end = now() + duration
+async def watch(condition: Callable[[], bool], duration_s: float) -> None:
+    """Fail if `condition` is ever false within `duration_s` seconds."""
+    end = now() + duration_s
     while now() < end:
         assert condition()
         await asyncio.sleep(0.02)
 
 
 async def prepare(system: System) -> list[str]:
-    names = [f"s{number}" for number in range(len(system.entries))]
+    names = [f"s{number}" for number in range(len(system.entry_hosts))]
     system.servers = [
-        Server(system, name, via=number) for number, name in enumerate(names)
+        Server(system, name, entry_index=number) for number, name in enumerate(names)
     ]
     await until(lambda: complete(system, names))
     return names
@@ -57,7 +57,7 @@
     # directory, and against entry hosts that adopt its first, incomplete reply.
     async def scenario(system: System) -> None:
         names = await prepare(system)
-        for control in system.controls.values():
+        for control in system.control_hosts.values():
             control.restart()
             await watch(lambda: confirmed(system) and complete(system, names), 5)
 
@@ -69,14 +69,14 @@
     # Guards against refusals while an entry host moves to another control host.
     async def scenario(system: System) -> None:
         names = await prepare(system)
-        home = system.home("e1")
+        home = system.home_of("e1")
         assert home != system.log.leader
         if silent:
             system.network.isolated.add(home)
         else:
-            system.controls[home].stop()
+            system.control_hosts[home].stop()
         await watch(lambda: confirmed(system) and complete(system, names), 10)
-        assert system.home("e1") != home
+        assert system.home_of("e1") != home
 
     play(scenario)
 
@@ -86,10 +86,10 @@
     # expires, although the other control hosts are confirmed by the leader.
     async def scenario(system: System) -> None:
         names = await prepare(system)
-        home = system.home("e1")
+        home = system.home_of("e1")
         assert home != system.log.leader
-        others = set(system.controls) - {home}
-        system.network.cuts |= {frozenset((home, other)) for other in others}
+        others = set(system.control_hosts) - {home}
+        system.network.severed_links |= {frozenset((home, other)) for other in others}
         await watch(lambda: confirmed(system) and complete(system, names), 10)
 
     play(scenario)
@@ -98,14 +98,14 @@
 def test_return_to_first_choice(play: Play) -> None:
     # Guards against sessions that accumulate at the control hosts that never restart.
     async def scenario(system: System) -> None:
-        first = preference("e0", system.controls)[0]
-        system.controls[first].stop()
+        first = rendezvous_order("e0", system.control_hosts)[0]
+        system.control_hosts[first].stop()
         await asyncio.sleep(4)
-        system.controls[first].start()
+        system.control_hosts[first].start()
         await asyncio.sleep(4)
-        assert system.home("e0") != first
+        assert system.home_of("e0") != first
         await asyncio.sleep(300)
-        assert system.home("e0") == first
+        assert system.home_of("e0") == first
         assert confirmed(system)
 
     play(scenario, controls=2, entries=1)
@@ -115,14 +115,14 @@
     # Guards against an entry host that serves although no leader can confirm its text.
     async def scenario(system: System) -> None:
         names = await prepare(system)
-        system.log.enabled = False
+        system.log.elections_enabled = False
         system.log.elect(None)
         await asyncio.sleep(3.0)
         await watch(
             lambda: (
                 complete(system, names)
                 and not any(
-                    entry.client.is_confirmed() for entry in system.entries.values()
+                    entry.client.is_confirmed() for entry in system.entry_hosts.values()
                 )
             ),
             20,
@@ -138,14 +138,16 @@
     # Guards against "in force everywhere" while a host whose session only the former
     # leader knew still serves the old text.
     async def scenario(system: System) -> None:
-        victim = next(name for name in system.entries if system.home(name) == "c0")
+        victim = next(
+            name for name in system.entry_hosts if system.home_of(name) == "c0"
+        )
         system.network.isolated |= {victim, "c0"}
         await until(lambda: system.log.leader in ("c1", "c2"))
         elected = now()
-        revision = system.log.accept()
+        revision = system.log.accept_revision()
         await system.leader.wait_in_force(revision)
         assert now() - elected >= 3.0
-        assert not system.entries[victim].client.is_confirmed()
+        assert not system.entry_hosts[victim].client.is_confirmed()
 
     play(scenario)
 
@@ -155,10 +157,10 @@
     async def scenario(system: System) -> None:
         await asyncio.sleep(4)
         system.network.isolated.add("e2")
-        revision = system.log.accept()
+        revision = system.log.accept_revision()
         await asyncio.wait_for(system.leader.wait_in_force(revision), 4)
-        assert not system.entries["e2"].client.is_confirmed()
-        assert system.entries["e0"].revision == revision
+        assert not system.entry_hosts["e2"].client.is_confirmed()
+        assert system.entry_hosts["e0"].revision == revision
         assert [status.host for status in system.leader.hosts()] != []
 
     play(scenario)
@@ -169,9 +171,9 @@
     async def scenario(system: System) -> None:
         await asyncio.sleep(4)
         started = now()
-        await system.leader.wait_in_force(system.log.accept())
+        await system.leader.wait_in_force(system.log.accept_revision())
         assert now() - started < 1.5
-        assert {entry.revision for entry in system.entries.values()} == {1}
+        assert {entry.revision for entry in system.entry_hosts.values()} == {1}
 
     play(scenario)
 
@@ -180,23 +182,26 @@
     # Guards against "in force everywhere" while a host serves the old text that it got
     # from a control host after that control host's last barrier exchange.
     async def scenario(system: System) -> None:
-        firsts = {name: preference(name, system.controls)[0] for name in system.entries}
+        firsts = {
+            name: rendezvous_order(name, system.control_hosts)[0]
+            for name in system.entry_hosts
+        }
         name, home = next(item for item in firsts.items() if item[1] != "c0")
-        entry = system.entries[name]
-        for other in system.entries:
-            if home in (firsts[other], system.home(other)):
-                system.entries[other].stop()
+        entry = system.entry_hosts[name]
+        for other in system.entry_hosts:
+            if home in (firsts[other], system.home_of(other)):
+                system.entry_hosts[other].stop()
         entry.stop()
         await asyncio.sleep(5)
         entry.start()
         await until(entry.client.is_confirmed, 1)
         assert name not in {status.host for status in system.leader.hosts()}
-        system.network.filters.append(
+        system.network.drop_rules.append(
             lambda kind, source, peer, step: kind == "barrier" and source == home
         )
-        assert system.home(name) == home
-        system.controls[home].replicates = False
-        revision = system.log.accept()
+        assert system.home_of(name) == home
+        system.control_hosts[home].replicates = False
+        revision = system.log.accept_revision()
         await system.leader.wait_in_force(revision)
         assert entry.revision == revision or not entry.client.is_confirmed()
 
@@ -207,19 +212,22 @@
     # Guards against a restarted entry host that serves an older text than before
     # its restart, because its home has not received the newer one yet.
     async def scenario(system: System) -> None:
-        firsts = {name: preference(name, system.controls)[0] for name in system.entries}
+        firsts = {
+            name: rendezvous_order(name, system.control_hosts)[0]
+            for name in system.entry_hosts
+        }
         name, home = next(item for item in firsts.items() if item[1] != "c0")
-        entry = system.entries[name]
+        entry = system.entry_hosts[name]
         entry.stop()
-        system.network.filters.append(
+        system.network.drop_rules.append(
             lambda kind, source, peer, step: kind == "barrier" and source == home
         )
-        system.controls[home].replicates = False
-        revision = system.log.accept()
+        system.control_hosts[home].replicates = False
+        revision = system.log.accept_revision()
         entry.start()
         await until(entry.client.is_confirmed, 4)
         assert entry.revision == revision
-        assert system.home(name) != home
+        assert system.home_of(name) != home
 
     play(scenario)
 
@@ -228,15 +236,18 @@
     # Guards against "in force everywhere" while a lease still runs that a control host
     # granted before its restart.
     async def scenario(system: System) -> None:
-        firsts = {name: preference(name, system.controls)[0] for name in system.entries}
+        firsts = {
+            name: rendezvous_order(name, system.control_hosts)[0]
+            for name in system.entry_hosts
+        }
         name, home = next(item for item in firsts.items() if item[1] != "c0")
-        entry = system.entries[name]
-        await until(lambda: system.home(name) == home, 400)
-        await until(lambda: len(system.leader.hosts()) == len(system.entries))
-        system.controls[home].stop()
+        entry = system.entry_hosts[name]
+        await until(lambda: system.home_of(name) == home, 400)
+        await until(lambda: len(system.leader.hosts()) == len(system.entry_hosts))
+        system.control_hosts[home].stop()
         system.network.isolated.add(name)
-        revision = system.log.accept()
-        system.controls[home].start()
+        revision = system.log.accept_revision()
+        system.control_hosts[home].start()
         await system.leader.wait_in_force(revision)
         assert entry.revision == revision or not entry.client.is_confirmed()
 
@@ -247,12 +258,12 @@
     # Guards against grants for an old text by a control host that reaches the
     # leader but whose replica of the log is behind.
     async def scenario(system: System) -> None:
-        home = system.home("e1")
-        system.controls[home].replicates = False
-        revision = system.log.accept()
-        await until(lambda: system.entries["e1"].revision == revision, 4)
+        home = system.home_of("e1")
+        system.control_hosts[home].replicates = False
+        revision = system.log.accept_revision()
+        await until(lambda: system.entry_hosts["e1"].revision == revision, 4)
         await asyncio.sleep(3)
-        assert system.controls[home].server.barrier.failing()
+        assert system.control_hosts[home].server.barrier.is_failing()
         assert confirmed(system)
 
     play(scenario)
@@ -262,7 +273,7 @@
     # Guards against a reply from a control host that does not know all sessions.
     async def scenario(system: System) -> None:
         with pytest.raises(NotLeading, match="c0"):
-            await system.controls["c1"].server.wait_in_force(0)
+            await system.control_hosts["c1"].server.wait_in_force(0)
 
     play(scenario)
 
@@ -270,9 +281,9 @@
 def test_diverged_digest_stops_service_until_whole_text(play: Play) -> None:
     # Guards against an entry host that serves a text other than the accepted one.
     async def scenario(system: System) -> None:
-        entry = system.entries["e1"]
+        entry = system.entry_hosts["e1"]
         entry.failures_to_apply = 3
-        revision = system.log.accept()
+        revision = system.log.accept_revision()
         await until(lambda: entry.failures_to_apply < 3)
         assert not entry.client.is_confirmed()
         await until(lambda: entry.failures_to_apply == 0)
@@ -292,7 +303,7 @@
 
     async def _run(self) -> None:
         while True:
-            for entry in self.system.entries.values():
+            for entry in self.system.entry_hosts.values():
                 if entry.client.is_confirmed():
                     self._check_text(entry)
                     self._check_drains(entry)
@@ -307,19 +318,23 @@
     def _check_drains(self, entry: Entry) -> None:
         for name, order, time in self.drains:
             known = entry.client.directory.get("counter", name)
-            stale = known and known.live and known.announcement.order < order
+            stale = known and known.live and known.announcement.rank < order
             if stale and now() - time > 3.0:
                 raise AssertionError(f"{entry.name} uses {name} at {now()}")
 
     def drain(self, server: Server) -> None:
         """Drain a server, and record it once the leader has the change."""
         server.announce(state="draining")
-        if server.home is not None:
-            note = self._note(server, server.home.client, server.home.leases.version)
+        if server.entry_host is not None:
+            note = self._record_drain(
+                server, server.entry_host.client, server.entry_host.leases.version
+            )
             self.tasks.append(asyncio.ensure_future(note))
 
-    async def _note(self, server: Server, client: SessionClient, version: int) -> None:
-        name, order = server.announcement.server, server.order
+    async def _record_drain(
+        self, server: Server, client: SessionClient, version: int
+    ) -> None:
+        name, order = server.announcement.server, server.rank
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(client.delivered(version), 3)
             self.drains.append((name, order, now()))
@@ -335,25 +350,27 @@
 async def disturb(system: System, checker: Checker) -> None:
     """Inject one random fault, repair or change."""
     random = system.network.random
-    name = random.choice([*system.entries, *system.controls])
+    name = random.choice([*system.entry_hosts, *system.control_hosts])
     choice = random.randrange(9)
     if choice == 0:
         system.network.isolated.add(name)
     elif choice == 1:
         system.network.isolated.clear()
-        system.network.cuts.clear()
+        system.network.severed_links.clear()
     elif choice == 2:
-        system.network.cuts.add(frozenset((name, random.choice(["c0", "c1", "c2"]))))
-    elif choice == 3 and name in system.entries:
-        system.entries[name].restart()
-    elif choice == 4 and name in system.controls and name != system.log.leader:
-        system.controls[name].restart()
+        system.network.severed_links.add(
+            frozenset((name, random.choice(["c0", "c1", "c2"])))
+        )
+    elif choice == 3 and name in system.entry_hosts:
+        system.entry_hosts[name].restart()
+    elif choice == 4 and name in system.control_hosts and name != system.log.leader:
+        system.control_hosts[name].restart()
     elif choice == 5:
         system.log.elect(None)
     elif choice in (6, 7):
         checker.drain(random.choice(system.servers))
     else:
-        system.log.accept()
+        system.log.accept_revision()
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -364,23 +381,23 @@
     async def scenario(system: System) -> None:
         names = await prepare(system)
         network = system.network
-        network.delay = (0.001, 0.15)
+        network.delay_range_s = (0.001, 0.15)
         network.drop_share = network.duplicate_share = 0.03
         checker = Checker(system)
         for _ in range(50):
             await disturb(system, checker)
             await asyncio.sleep(network.random.uniform(0, 1.5))
         network.isolated.clear()
-        network.cuts.clear()
+        network.severed_links.clear()
         network.drop_share = network.duplicate_share = 0
-        network.delay = (0.001, 0.002)
+        network.delay_range_s = (0.001, 0.002)
         await asyncio.sleep(1)
-        revision = system.log.accept()
+        revision = system.log.accept_revision()
         await asyncio.sleep(10)
         await system.leader.wait_in_force(revision)
         assert confirmed(system)
         assert complete(system, names)
-        assert {entry.revision for entry in system.entries.values()} == {revision}
+        assert {entry.revision for entry in system.entry_hosts.values()} == {revision}
         checker.stop()
 
     play(scenario, seed=seed)
@@ -390,9 +407,9 @@
     # Guards against a request that crashes servers through one entry host after
     # another.
     async def scenario(system: System) -> None:
-        system.entries["e0"].client.report(Verdict("f1", "s1", 1))
-        system.entries["e1"].client.report(Verdict("f1"))
-        clients = [entry.client for entry in system.entries.values()]
+        system.entry_hosts["e0"].client.report(Verdict("f1", "s1", 1))
+        system.entry_hosts["e1"].client.report(Verdict("f1"))
+        clients = [entry.client for entry in system.entry_hosts.values()]
         await until(lambda: all(len(client.verdicts) == 2 for client in clients), 1)
 
     play(scenario)
@@ -402,7 +419,7 @@
     # Guards against a table that grows without bound, and against a request that is
     # refused for good.
     time = [0.0]
-    board = VerdictBoard(lambda: time[0], MembershipSettings(verdict_limit=3))
+    board = CrashVerdictTable(lambda: time[0], MembershipSettings(verdict_limit=3))
     for number in range(5):
         assert board.add(Verdict(f"f{number}"))
     assert not board.add(Verdict("f4"))
@@ -418,14 +435,14 @@
     # against an order that stays with a lost host.
     async def scenario(system: System) -> None:
         await asyncio.sleep(5)
-        client = system.entries["e0"].client
+        client = system.entry_hosts["e0"].client
         assert client.live_entry_hosts == 3
         assert await client.is_live("e1", 1)
-        system.entries["e1"].restart()
+        system.entry_hosts["e1"].restart()
         await asyncio.sleep(2)
         assert not await client.is_live("e1", 1)
         assert await client.is_live("e1", 2)
-        system.entries["e2"].stop()
+        system.entry_hosts["e2"].stop()
         await asyncio.sleep(5)
         assert not await client.is_live("e2", 1)
         assert client.live_entry_hosts == 2
@@ -437,7 +454,7 @@
 def test_nonsense_message_is_refused(play: Play, kind: str) -> None:
     # Guards against an invalid message that stops a control host.
     async def scenario(system: System) -> None:
-        call = system.network.caller(kind, "e0")
+        call = system.network.make_call(kind, "e0")
         for message in ({}, [], {"host": 3}, {"sender": None}):
             with pytest.raises(MessageInvalid, match="same version"):
                 await call("c0", message)
@@ -455,7 +472,7 @@
 def test_overtaken_request_changes_nothing(play: Play) -> None:
     # Guards against a delayed request that resets a session which is already ahead.
     async def scenario(system: System) -> None:
-        call = system.network.caller("session", "e9")
+        call = system.network.make_call("session", "e9")
         first = await call("c0", make_request(5))
         late = await call("c0", make_request(4, services=["cutting"]))
         assert first["lease_ms"] > 0
@@ -473,7 +490,7 @@
 def test_control_host_behind_an_entry_host_grants_nothing(play: Play) -> None:
     # Guards against an entry host that goes back to an older text.
     async def scenario(system: System) -> None:
-        call = system.network.caller("session", "e9")
+        call = system.network.make_call("session", "e9")
         reply = await call("c0", make_request(1, confirmed=3))
         assert "lease_ms" not in reply
         assert "behind" in reply["reason"]
@@ -485,9 +502,9 @@
     # Guards against grants with an empty directory before the sessions of a lost
     # control host have moved here.
     async def scenario(system: System) -> None:
-        system.controls["c0"].restart()
+        system.control_hosts["c0"].restart()
         await asyncio.sleep(0.3)
-        reply = await system.network.caller("session", "e9")("c0", make_request(1))
+        reply = await system.network.make_call("session", "e9")("c0", make_request(1))
         assert "lease_ms" not in reply
         assert "not complete" in reply["reason"]
 
@@ -498,12 +515,12 @@
     # Guards against grants between an election that ends a time without a leader
     # and the new leader's first exchanges.
     async def scenario(system: System) -> None:
-        system.log.enabled = False
+        system.log.elections_enabled = False
         system.log.elect(None)
         await asyncio.sleep(5)
         system.log.elect("c1")
         await until(lambda: system.log.leading_until("c1") > now())
-        reply = await system.network.caller("session", "e9")("c1", make_request(1))
+        reply = await system.network.make_call("session", "e9")("c1", make_request(1))
         assert "lease_ms" not in reply
         assert "not complete" in reply["reason"]
 
@@ -514,36 +531,36 @@
     # Guards against grants from a directory that lacks changes that other control
     # hosts received while there was no leader.
     time = [0.0]
-    continuity = Continuity(lambda: time[0], lambda: ["c1", "c2"])
-    continuity.note_leader()
-    assert not continuity.settled()
+    continuity = CompletenessTracker(lambda: time[0], lambda: ["c1", "c2"])
+    continuity.record_leader_contact()
+    assert not continuity.is_complete()
     time[0] = 1.1
-    continuity.note_leader()
-    continuity.note_upload("c1")
-    assert not continuity.settled()
-    continuity.note_upload("c2")
-    assert continuity.settled()
+    continuity.record_leader_contact()
+    continuity.record_upload("c1")
+    assert not continuity.is_complete()
+    continuity.record_upload("c2")
+    assert continuity.is_complete()
     time[0] = 3.0
-    continuity.note_leader()
-    assert continuity.settled()
+    continuity.record_leader_contact()
+    assert continuity.is_complete()
     time[0] = 7.0
-    continuity.note_leader()
-    assert not continuity.settled()
-    continuity.note_relay()
-    assert continuity.settled()
+    continuity.record_leader_contact()
+    assert not continuity.is_complete()
+    continuity.record_relay()
+    assert continuity.is_complete()
 
 
 def test_continuity_does_not_wait_for_ever() -> None:
     # Guards against a system that refuses all work because one control host is
     # lost, and against a start before the sessions had time to arrive.
     time = [0.0]
-    continuity = Continuity(lambda: time[0], lambda: ["c1"])
-    continuity.note_relay()
-    continuity.note_leader()
+    continuity = CompletenessTracker(lambda: time[0], lambda: ["c1"])
+    continuity.record_relay()
+    continuity.record_leader_contact()
     time[0] = 0.9
-    assert not continuity.settled()
+    assert not continuity.is_complete()
     time[0] = 3.0
-    assert continuity.settled()
+    assert continuity.is_complete()
 
 
 def test_long_directory_arrives_in_parts(play: Play) -> None:
@@ -553,13 +570,13 @@
         for number in range(2_100):
             entry = ServerEntry(make_announcement(f"s{number}"), ("e0/1",))
             system.leader.directory.merge(entry, local=True)
-        system.controls["c1"].restart()
-        system.entries["e1"].restart()
+        system.control_hosts["c1"].restart()
+        system.entry_hosts["e1"].restart()
         await asyncio.sleep(4)
-        for control in system.controls.values():
+        for control in system.control_hosts.values():
             assert len(control.server.directory) == 2_100
-        for entry_host in system.entries.values():
-            assert len(entry_host.live()) == 2_100
+        for entry_host in system.entry_hosts.values():
+            assert len(entry_host.live_servers()) == 2_100
 
     play(scenario)
 
@@ -568,18 +585,18 @@
     # Guards against an outage when a new home's directory is not complete yet.
     time = [0.0]
     directory = Directory(lambda: time[0])
-    intake = DirectoryIntake(directory, lambda: time[0], 2.0)
+    intake = DirectorySync(directory, lambda: time[0], 2.0)
     entries = tuple(
         ServerEntry(make_announcement(name), ("e0/1",)) for name in ("s1", "s2", "s3")
     )
-    intake.take(SessionReply(full=True, entries=entries))
-    intake.start()
-    intake.take(SessionReply(full=True, entries=entries[:1]))
+    intake.apply_reply(SessionReply(full=True, entries=entries))
+    intake.restart()
+    intake.apply_reply(SessionReply(full=True, entries=entries[:1]))
     time[0] = 1.9
-    intake.take(SessionReply(entries=entries[1:2]))
+    intake.apply_reply(SessionReply(entries=entries[1:2]))
     assert len(directory) == 3
     time[0] = 2.1
-    intake.take(SessionReply())
+    intake.apply_reply(SessionReply())
     assert sorted(key[1] for key in directory.keys()) == ["s1", "s2"]  # noqa: SIM118
 
 
@@ -593,14 +610,14 @@
     # Guards against an exchange that loses a change when one of its messages is lost,
     # duplicated or late: every step must end as without the fault.
     async def scenario(system: System) -> None:
-        server = Server(system, "s0", via=0)
+        server = Server(system, "s0", entry_index=0)
         await until(lambda: complete(system, ["s0"]))
-        entry = system.entries["e0"]
+        entry = system.entry_hosts["e0"]
         undo = inject(system, fault)
         await take_step(system, entry, server, step)
         await asyncio.sleep(1.3)
         undo()
-        await system.ready()
+        await system.wait_ready()
         await asyncio.sleep(2.5)
         check_step(system, step)
 
@@ -611,12 +628,12 @@
     network = system.network
     if fault in ("request lost", "reply lost"):
         lost = fault.split()[0]
-        network.filters.append(
+        network.drop_rules.append(
             lambda kind, source, peer, step: (
                 (kind, source, step) == ("session", "e0", lost)
             )
         )
-        return network.filters.clear
+        return network.drop_rules.clear
     if fault == "refused":
         handlers = dict(network.handlers)
         for key in [key for key in handlers if key[0] == "session"]:
@@ -625,22 +642,22 @@
     if fault == "twice":
         network.duplicate_share = 1.0
         return lambda: setattr(network, "duplicate_share", 0.0)
-    network.delay = (0.1, 0.19)
-    return lambda: setattr(network, "delay", (0.001, 0.002))
+    network.delay_range_s = (0.1, 0.19)
+    return lambda: setattr(network, "delay_range_s", (0.001, 0.002))
 
 
 async def take_step(system: System, entry: Entry, server: Server, step: str) -> None:
     if step == "start":
         entry.restart()
     elif step == "announce":
-        Server(system, "s9", via=0)
+        Server(system, "s9", entry_index=0)
     elif step == "drain":
         server.announce(state="draining")
     elif step == "withdraw":
         server.stop()
         server.announce(state="withdrawn")
     elif step == "revision":
-        system.log.accept()
+        system.log.accept_revision()
     elif step == "verdict":
         entry.client.report(Verdict("f1"))
     await asyncio.sleep(0)
@@ -649,8 +666,8 @@
 def check_step(system: System, step: str) -> None:
     names = {"announce": ["s0", "s9"], "withdraw": []}.get(step, ["s0"])
     state = {"drain": "draining", "withdraw": None}.get(step, "serving")
-    for entry in system.entries.values():
-        assert entry.live() == names
-        assert entry.state("s0") == state
+    for entry in system.entry_hosts.values():
+        assert entry.live_servers() == names
+        assert entry.server_state("s0") == state
         assert entry.revision == (1 if step == "revision" else 0)
         assert len(entry.client.verdicts) == (1 if step == "verdict" else 0)
