--- a/packages/membership/src/kingcuplug_membership/_change_log.py
+++ b/packages/membership/src/kingcuplug_membership/_change_log.py
@@ -3,12 +3,12 @@
 from collections.abc import Callable, Hashable, Iterator
 from typing import Generic, NamedTuple, TypeVar
 
-__all__ = ["ChangeLog", "Mark"]
+__all__ = ["ChangeLog", "ChangeRecord"]
 
 _Key = TypeVar("_Key", bound=Hashable)
 
 
-class Mark(NamedTuple):
+class ChangeRecord(NamedTuple):
     """Version and time of a key's last change.
 
     `local` tells whether this host received the change first and so replicates it.
@@ -33,9 +33,9 @@
         self.version = 0
         self.local_version = 0
         self._clock = clock
-        self._records: dict[_Key, Mark] = {}
+        self._records: dict[_Key, ChangeRecord] = {}
 
-    def __getitem__(self, key: _Key) -> Mark:
+    def __getitem__(self, key: _Key) -> ChangeRecord:
         return self._records[key]
 
     def record_change(self, key: _Key, local: bool = False) -> None:
@@ -44,30 +44,32 @@
         if local:
             self.local_version = self.version
         self._records.pop(key, None)
-        self._records[key] = Mark(self.version, self._clock(), local)
+        self._records[key] = ChangeRecord(self.version, self._clock(), local)
 
     def remove(self, key: _Key) -> None:
         """Remove the record of `key`."""
         self._records.pop(key, None)
 
-    def newest_since(self, version: int) -> Iterator[tuple[_Key, Mark]]:
+    def newest_since(self, version: int) -> Iterator[tuple[_Key, ChangeRecord]]:
         """Yield keys changed after `version`, the newest first."""
-        for key, mark in reversed(self._records.items()):
-            if mark.version <= version:
+        for key, record in reversed(self._records.items()):
+            if record.version <= version:
                 return
-            yield key, mark
+            yield key, record
 
     def keys_since(self, version: int, local: bool = False) -> list[_Key]:
         """Return keys changed after `version`, the oldest first."""
         keys = [
-            key for key, mark in self.newest_since(version) if mark.local or not local
+            key
+            for key, record in self.newest_since(version)
+            if record.local or not local
         ]
         keys.reverse()
         return keys
 
     def version_before(self, time: float) -> int:
         """Return the newest version that contains no change from `time` on."""
-        for mark in reversed(self._records.values()):
-            if mark.time < time:
-                return mark.version
+        for record in reversed(self._records.values()):
+            if record.time < time:
+                return record.version
         return 0
--- a/packages/membership/src/kingcuplug_membership/_directory.py
+++ b/packages/membership/src/kingcuplug_membership/_directory.py
@@ -99,13 +99,13 @@
             Whether this host received the update first and so replicates it to the
             other control hosts.
         """
-        known = self._entries.get(entry.key)
-        if entry == known:
+        current = self._entries.get(entry.key)
+        if entry == current:
             return False
-        merged = entry if known is None else join_entries(known, entry)
-        if merged == known:
+        merged = entry if current is None else join_entries(current, entry)
+        if merged == current:
             return False
-        self._store_entry(merged, known)
+        self._store_entry(merged, current)
         self._changes.record_change(entry.key, local)
         self._notify_subscribers(merged)
         return True
@@ -200,8 +200,8 @@
         """End every lease that `holder` holds; return their number."""
         keys = list(self._holders.get(holder, ()))
         for key in keys:
-            known = self._entries[key]
-            self.merge(ServerEntry(known.announcement, (holder,), (holder,)), True)
+            entry = self._entries[key]
+            self.merge(ServerEntry(entry.announcement, (holder,), (holder,)), True)
         return len(keys)
 
     def purge_tombstones(self) -> int:
--- a/packages/membership/src/kingcuplug_membership/_hosts.py
+++ b/packages/membership/src/kingcuplug_membership/_hosts.py
@@ -84,26 +84,26 @@
 
     def record(self, request: BarrierRequest) -> bool:
         """Merge a control host's sessions; return False if a full report is needed."""
-        known = self._control_hosts.get(request.sender)
-        if known is not None and known.epoch != request.epoch:
-            self._former_runs.append((request.sender, known))
+        control = self._control_hosts.get(request.sender)
+        if control is not None and control.epoch != request.epoch:
+            self._former_runs.append((request.sender, control))
             del self._control_hosts[request.sender]
-            known = None
-        if known is not None and request.version < known.version:
+            control = None
+        if control is not None and request.version < control.version:
             return False  # Delivered out of order; its rows are older.
         if request.since == 0:
-            known = _ControlHostRecord(request.epoch, 0, request.revision, 0)
-            self._control_hosts[request.sender] = known
-        if known is None or request.table not in ("", self.epoch):
+            control = _ControlHostRecord(request.epoch, 0, request.revision, 0)
+            self._control_hosts[request.sender] = control
+        if control is None or request.table not in ("", self.epoch):
             return False
-        if request.since > known.version:
+        if request.since > control.version:
             return False
-        known.version = request.version
-        known.revision = request.revision
-        known.received_at = self._clock()
-        known.rows.update((row.host, row) for row in request.rows)
+        control.version = request.version
+        control.revision = request.revision
+        control.received_at = self._clock()
+        control.rows.update((row.host, row) for row in request.rows)
         for host in request.left:
-            known.rows.pop(host, None)
+            control.rows.pop(host, None)
         return True
 
     def statuses(self) -> dict[str, HostStatus]:
--- a/packages/membership/src/kingcuplug_membership/_leases.py
+++ b/packages/membership/src/kingcuplug_membership/_leases.py
@@ -139,8 +139,8 @@
         """
         self._require_confirmed()
         lease = self._leases.get(server)
-        order = (incarnation, sequence)
-        if lease is None or lease.ended or lease.announcement.rank != order:
+        rank = (incarnation, sequence)
+        if lease is None or lease.ended or lease.announcement.rank != rank:
             raise LeaseUnknown(
                 f"no lease of server {server} with incarnation {incarnation} and "
                 f"sequence {sequence} runs at this entry host",
@@ -211,13 +211,13 @@
         return self._make_grant()
 
     def _check_directory(self, announcement: Announcement) -> None:
-        known = self._lookup(announcement.service, announcement.server)
-        if known is None or known.announcement.rank < announcement.rank:
+        entry = self._lookup(announcement.service, announcement.server)
+        if entry is None or entry.announcement.rank < announcement.rank:
             return
-        if known.announcement.rank > announcement.rank:
-            raise _stale_error(known.announcement, "it has announced since")
-        if not known.live and announcement.state != "withdrawn":
-            raise _stale_error(known.announcement, "its lease has ended")
+        if entry.announcement.rank > announcement.rank:
+            raise _stale_error(entry.announcement, "it has announced since")
+        if not entry.live and announcement.state != "withdrawn":
+            raise _stale_error(entry.announcement, "its lease has ended")
 
     def _end_former_service(self, lease: _Lease) -> None:
         self._former_service_leases[
@@ -262,24 +262,25 @@
 
 
 def _check_successor(lease: _Lease, announcement: Announcement) -> None:
-    known = lease.announcement
-    if announcement.rank < known.rank:
-        raise _stale_error(known, "it has announced since")
-    if announcement.rank > known.rank:
+    current = lease.announcement
+    if announcement.rank < current.rank:
+        raise _stale_error(current, "it has announced since")
+    if announcement.rank > current.rank:
         return
-    if known.state == "withdrawn" or lease.ended:
-        raise _stale_error(known, "its lease has ended")
+    if current.state == "withdrawn" or lease.ended:
+        raise _stale_error(current, "its lease has ended")
     if announcement.state != "withdrawn":
         raise AnnouncementInvalid(
-            f"server {known.server} announces other content under the same "
-            f"incarnation {known.incarnation} and sequence {known.sequence}",
+            f"server {current.server} announces other content under the same "
+            f"incarnation {current.incarnation} and sequence {current.sequence}",
             "announce changed content with a greater sequence",
         )
 
 
-def _stale_error(known: Announcement, reason: str) -> AnnouncementStale:
+def _stale_error(latest: Announcement, reason: str) -> AnnouncementStale:
     return AnnouncementStale(
-        f"server {known.server} of service {known.service} is known with "
-        f"incarnation {known.incarnation} and sequence {known.sequence}, and {reason}",
+        f"server {latest.server} of service {latest.service} is known with "
+        f"incarnation {latest.incarnation} and sequence {latest.sequence}, "
+        f"and {reason}",
         "announce with a greater sequence, or a greater incarnation after a restart",
     )
--- a/packages/membership/src/kingcuplug_membership/_mesh.py
+++ b/packages/membership/src/kingcuplug_membership/_mesh.py
@@ -71,22 +71,22 @@
         verdicts.watch(lambda verdict: self._wake_polls())
 
     def _wake_polls(self) -> None:
-        told = (self._directory.local_version, self._verdicts.local_version)
-        if told != self._notified_versions:
-            self._notified_versions = told
-            news, self._changed = self._changed, asyncio.Event()
-            news.set()
+        versions = (self._directory.local_version, self._verdicts.local_version)
+        if versions != self._notified_versions:
+            self._notified_versions = versions
+            changed, self._changed = self._changed, asyncio.Event()
+            changed.set()
 
     async def run(self) -> None:
         """Poll every peer until cancelled."""
-        following: dict[str, asyncio.Task[None]] = {}
+        poll_tasks: dict[str, asyncio.Task[None]] = {}
         async with asyncio.TaskGroup() as tasks:
             while True:
-                wanted = set(self._peers()) - {self._name}
-                for peer in sorted(wanted - following.keys()):
-                    following[peer] = tasks.create_task(self._poll_peer(peer))
-                for peer in sorted(following.keys() - wanted):
-                    following.pop(peer).cancel()
+                peers = set(self._peers()) - {self._name}
+                for peer in sorted(peers - poll_tasks.keys()):
+                    poll_tasks[peer] = tasks.create_task(self._poll_peer(peer))
+                for peer in sorted(poll_tasks.keys() - peers):
+                    poll_tasks.pop(peer).cancel()
                 await asyncio.sleep(_PEER_REFRESH_PERIOD_S)
 
     async def _poll_peer(self, peer: str) -> None:
--- a/packages/membership/src/kingcuplug_membership/_session_client.py
+++ b/packages/membership/src/kingcuplug_membership/_session_client.py
@@ -92,8 +92,8 @@
         self.verdicts = CrashVerdictTable(clock, self._settings)
         self._lease_until = float("-inf")
         self._text_diverged = False
-        server_lease = self._settings.server_lease_ms / 1_000
-        self._directory_sync = DirectorySync(self.directory, clock, server_lease)
+        server_lease_s = self._settings.server_lease_ms / 1_000
+        self._directory_sync = DirectorySync(self.directory, clock, server_lease_s)
         self._local_change = asyncio.Event()
         self._replied = asyncio.Event()
         self._liveness_queries: dict[str, asyncio.Future[int | None]] = {}
@@ -319,8 +319,8 @@
         self._text_diverged = diverged
 
     def _extend_lease(self, sent: _SentRequest, reply: SessionReply) -> bool:
-        lease = reply.lease_ms / 1_000 * (1 - self._settings.drift_bound)
-        self._lease_until = max(self._lease_until, sent.sent_at + lease)
+        lease_s = reply.lease_ms / 1_000 * (1 - self._settings.drift_bound)
+        self._lease_until = max(self._lease_until, sent.sent_at + lease_s)
         return True
 
 
--- a/packages/membership/src/kingcuplug_membership/_session_server.py
+++ b/packages/membership/src/kingcuplug_membership/_session_server.py
@@ -153,18 +153,18 @@
         return True
 
     def _find_or_open(self, request: SessionRequest) -> Session | SessionReply:
-        known = self._sessions.get(request.host)
-        order = (request.incarnation, request.number)
-        if known is not None and order <= (known.incarnation, known.number):
+        session = self._sessions.get(request.host)
+        position = (request.incarnation, request.number)
+        if session is not None and position <= (session.incarnation, session.number):
             return _overtaken_reply()
         if request.epoch == "":
             return self._sessions.open(request)
-        same_run = known is not None and known.incarnation == request.incarnation
-        if known is None or not same_run or request.epoch != self.directory.epoch:
+        same_run = session is not None and session.incarnation == request.incarnation
+        if session is None or not same_run or request.epoch != self.directory.epoch:
             return SessionReply(restart=True, reason="the session is not known here")
-        known.number = request.number
-        known.wakeup.set()
-        return known
+        session.number = request.number
+        session.wakeup.set()
+        return session
 
     def _update_services(self, session: Session, request: SessionRequest) -> bool:
         """Update the routed services; return whether they changed."""
@@ -184,9 +184,9 @@
                 self.directory.merge_and_replicate(update)
             else:
                 self.directory.merge(update, local=True)
-            known = self.directory.get(*update.key)
-            if known is not None and update.live and _overrules(known, update):
-                refused.append(known)
+            entry = self.directory.get(*update.key)
+            if entry is not None and update.live and _overrules(entry, update):
+                refused.append(entry)
         for verdict in request.verdicts:
             self.verdicts.add(verdict, local=True)
         return tuple(refused)
@@ -198,8 +198,8 @@
         )
 
     def _is_current(self, session: Session, request: SessionRequest) -> bool:
-        known = self._sessions.get(session.host)
-        return known is session and session.number == request.number
+        current = self._sessions.get(session.host)
+        return current is session and session.number == request.number
 
     async def _wait_for_changes(
         self, session: Session, request: SessionRequest
@@ -311,11 +311,11 @@
         return {host: live.get(host) for host in request.asked}
 
 
-def _overrules(known: ServerEntry, update: ServerEntry) -> bool:
-    if known.announcement.rank != update.announcement.rank:
+def _overrules(entry: ServerEntry, update: ServerEntry) -> bool:
+    if entry.announcement.rank != update.announcement.rank:
         return True
-    withdrawn = known.announcement.state == "withdrawn"
-    return withdrawn or set(update.held) <= set(known.ended)
+    withdrawn = entry.announcement.state == "withdrawn"
+    return withdrawn or set(update.held) <= set(entry.ended)
 
 
 def _overtaken_reply() -> SessionReply:
--- a/packages/membership/src/kingcuplug_membership/_sessions.py
+++ b/packages/membership/src/kingcuplug_membership/_sessions.py
@@ -79,7 +79,7 @@
 
     def open(self, request: SessionRequest) -> Session:
         """Open a session, in place of an earlier one of the same host."""
-        known = self._sessions.get(request.host)
+        previous = self._sessions.get(request.host)
         session = Session(
             request.host,
             request.incarnation,
@@ -89,12 +89,12 @@
             # A session that waits for its first reply is not idle.
             replied_at=self._clock(),
         )
-        if known is not None:
-            known.wakeup.set()
-            session.reported = known.reported
-            if known.incarnation == request.incarnation:
-                session.granted_until = known.granted_until
-                session.confirmed = known.confirmed
+        if previous is not None:
+            previous.wakeup.set()
+            session.reported = previous.reported
+            if previous.incarnation == request.incarnation:
+                session.granted_until = previous.granted_until
+                session.confirmed = previous.confirmed
         self._sessions[request.host] = session
         return session
 
--- a/tests/membership/conftest.py
+++ b/tests/membership/conftest.py
@@ -97,7 +97,7 @@
         await asyncio.sleep(self.random.uniform(*self.delay_range_s))
         lost = self.random.random() < self.drop_share
         lost = lost or not self.reachable(source, peer)
-        lost = lost or any(loses(kind, source, peer, step) for loses in self.drop_rules)
+        lost = lost or any(drops(kind, source, peer, step) for drops in self.drop_rules)
         if lost:
             await asyncio.get_running_loop().create_future()
 
@@ -112,7 +112,7 @@
     def __init__(self, network: FakeNetwork) -> None:
         self.network = network
         self.control_names: list[str] = []
-        self.control_hosts: dict[str, Control] = {}
+        self.control_hosts: dict[str, ControlHost] = {}
         self.texts = ['{"n":0}']
         self.accepted_at = [0.0]
         self.leader: str | None = "c0"
@@ -159,7 +159,7 @@
             await asyncio.sleep(0.05)
 
 
-class Control:
+class ControlHost:
     """Process of a control host."""
 
     def __init__(self, system: "System", name: str) -> None:
@@ -227,19 +227,19 @@
                 self.server.wake()
 
     def stop(self) -> None:
-        """End the process without a farewell."""
+        """Stop the process abruptly, as a crash does."""
         for kind in ("session", "mesh", "barrier"):
             self.system.network.handlers.pop((kind, self.name), None)
         for task in self.tasks:
             task.cancel()
 
     def restart(self) -> None:
-        """Replace the process by a new one without its memory."""
+        """Replace the process by a new one that has lost its state."""
         self.stop()
         self.start()
 
 
-class Entry:
+class EntryHost:
     """Process of an entry host, with the configuration in force there."""
 
     def __init__(self, system: "System", name: str) -> None:
@@ -280,12 +280,12 @@
         self.revision, self.text = revision, result
 
     def stop(self) -> None:
-        """End the process without a farewell."""
+        """Stop the process abruptly, as a crash does."""
         for task in self.tasks:
             task.cancel()
 
     def restart(self) -> None:
-        """Replace the process by a new one without its memory."""
+        """Replace the process by a new one that has lost its state."""
         self.stop()
         self.start()
 
@@ -300,7 +300,7 @@
         return entry.announcement.state if entry and entry.live else None
 
 
-class Server:
+class BackendServer:
     """Backend server that renews its lease, and announces again if that fails."""
 
     def __init__(
@@ -312,13 +312,13 @@
         self.task = asyncio.ensure_future(self._run())
 
     async def _run(self) -> None:
-        self.entry_host: Entry | None = None
+        self.entry_host: EntryHost | None = None
         while True:
             if self.entry_host is None or not self._renew(self.entry_host):
                 self.announce()
             await asyncio.sleep(0.5)
 
-    def _renew(self, entry_host: Entry) -> bool:
+    def _renew(self, entry_host: EntryHost) -> bool:
         return self._succeeds(
             entry_host,
             lambda: entry_host.leases.renew(self.announcement.server, *self.rank),
@@ -336,7 +336,10 @@
             entry = entries[(self.entry_index + offset) % len(entries)]
             self.announcement = make_announcement(
                 **(
-                    {name: getattr(self.announcement, name) for name in _FIELDS}
+                    {
+                        name: getattr(self.announcement, name)
+                        for name in _ANNOUNCEMENT_FIELDS
+                    }
                     | {"sequence": self.announcement.sequence + 1}
                     | fields
                 )
@@ -351,7 +354,7 @@
                 return
         self.entry_host = None
 
-    def _succeeds(self, entry: Entry, action: Callable[[], object]) -> bool:
+    def _succeeds(self, entry: EntryHost, action: Callable[[], object]) -> bool:
         network = self.system.network
         if not network.reachable(self.announcement.server, entry.name):
             return False
@@ -362,11 +365,11 @@
         return True
 
     def stop(self) -> None:
-        """End the process without a farewell."""
+        """Stop the process abruptly, as a crash does."""
         self.task.cancel()
 
 
-_FIELDS = tuple(Announcement.__dataclass_fields__)
+_ANNOUNCEMENT_FIELDS = tuple(Announcement.__dataclass_fields__)
 
 
 class System:
@@ -377,14 +380,16 @@
         self.log = FakeLog(self.network)
         self.log.control_names = [f"c{number}" for number in range(control_count)]
         self.election = asyncio.ensure_future(self.log.run())
-        self.control_hosts: dict[str, Control] = dict.fromkeys(self.log.control_names)
+        self.control_hosts: dict[str, ControlHost] = dict.fromkeys(
+            self.log.control_names
+        )
         self.log.control_hosts = self.control_hosts
         for name in self.control_hosts:
-            self.control_hosts[name] = Control(self, name)
+            self.control_hosts[name] = ControlHost(self, name)
         self.entry_hosts = {
-            f"e{number}": Entry(self, f"e{number}") for number in range(entry_count)
+            f"e{number}": EntryHost(self, f"e{number}") for number in range(entry_count)
         }
-        self.servers: list[Server] = []
+        self.servers: list[BackendServer] = []
 
     @property
     def leader(self) -> SessionServer:
@@ -401,14 +406,14 @@
 
     async def wait_ready(self) -> None:
         """Wait until every entry host serves."""
-        await until(
+        await wait_until(
             lambda: all(
                 entry.client.is_confirmed() for entry in self.entry_hosts.values()
             )
         )
 
 
-async def until(condition: Callable[[], bool], timeout_s: float = 20.0) -> float:
+async def wait_until(condition: Callable[[], bool], timeout_s: float = 20.0) -> float:
     """Wait until `condition` holds and return the time taken in seconds."""
     started = now()
     while not condition():
@@ -422,7 +427,7 @@
 
 
 @pytest.fixture
-def play() -> Callable[..., None]:
+def run_scenario() -> Callable[..., None]:
     """Return a function that runs a scenario once every entry host serves."""
 
     def run(
--- a/tests/membership/test_announcement.py
+++ b/tests/membership/test_announcement.py
@@ -11,7 +11,7 @@
 VALID: dict[str, Any] = asdict(make_announcement())
 
 
-def test_valid_announcement_is_read() -> None:
+def test_valid_announcement_is_parsed() -> None:
     # Guards against a parser that loses fields.
     assert parse_announcement(VALID) == make_announcement()
 
@@ -34,7 +34,9 @@
         ({"holdings": [{"snapshot": 1, "shard_count": 2, "shards": []}] * 2}, "twice"),
     ],
 )
-def test_nonsense_is_refused_with_remedy(fault: dict[str, Any], place: str) -> None:
+def test_invalid_announcement_is_rejected_with_remedy(
+    fault: dict[str, Any], place: str
+) -> None:
     # Guards against invalid values that reach the directory, and against an error
     # that does not say what to correct.
     with pytest.raises(AnnouncementInvalid) as caught:
@@ -44,7 +46,7 @@
 
 
 @pytest.mark.parametrize("value", [None, [], "text", 3, {}])
-def test_other_json_is_refused(value: Any) -> None:
+def test_json_other_than_an_announcement_is_rejected(value: Any) -> None:
     # Guards against an untyped error for a body that is not a JSON object.
     with pytest.raises(AnnouncementInvalid):
         parse_announcement(value)
--- a/tests/membership/test_directory.py
+++ b/tests/membership/test_directory.py
@@ -23,28 +23,28 @@
     return Directory(lambda: clock[0])
 
 
-def with_order(incarnation: int, sequence: int) -> ServerEntry:
+def make_entry(incarnation: int, sequence: int) -> ServerEntry:
     announcement = make_announcement(incarnation=incarnation, sequence=sequence)
     return ServerEntry(announcement, ("e0/1",))
 
 
-def test_greater_pair_wins(directory: Directory) -> None:
+def test_greater_rank_wins(directory: Directory) -> None:
     # Guards against a stale update that replaces a newer one.
-    assert directory.merge(with_order(2, 1))
-    assert not directory.merge(with_order(1, 9))
-    assert not directory.merge(with_order(2, 1))
-    assert directory.merge(with_order(2, 2))
-    assert directory.servers("counter") == [with_order(2, 2)]
+    assert directory.merge(make_entry(2, 1))
+    assert not directory.merge(make_entry(1, 9))
+    assert not directory.merge(make_entry(2, 1))
+    assert directory.merge(make_entry(2, 2))
+    assert directory.servers("counter") == [make_entry(2, 2)]
 
 
-def test_end_wins_over_its_announcement_only(directory: Directory) -> None:
+def test_lease_end_applies_to_its_announcement_only(directory: Directory) -> None:
     # Guards against a delayed end of a lease that ends the next announcement's lease.
-    directory.merge(with_order(1, 2))
-    directory.merge(replace(with_order(1, 1), ended=("e0/1",)))
+    directory.merge(make_entry(1, 2))
+    directory.merge(replace(make_entry(1, 1), ended=("e0/1",)))
     assert directory.servers("counter")
-    directory.merge(replace(with_order(1, 2), ended=("e0/1",)))
+    directory.merge(replace(make_entry(1, 2), ended=("e0/1",)))
     assert not directory.servers("counter")
-    assert not directory.merge(with_order(1, 2))
+    assert not directory.merge(make_entry(1, 2))
 
 
 def test_lease_at_other_host_keeps_server(directory: Directory) -> None:
@@ -66,7 +66,7 @@
     assert not directory.servers("counter")
 
 
-def test_tombstone_outlives_stale_updates(
+def test_tombstone_rejects_stale_updates(
     directory: Directory, clock: list[float]
 ) -> None:
     # Guards against a stale update that restores an ended server, and against
@@ -81,7 +81,7 @@
     assert directory.changes_since(0).entries == ()
 
 
-def test_changes_are_limited_and_resumed(directory: Directory) -> None:
+def test_changes_are_read_in_batches(directory: Directory) -> None:
     # Guards against entries that are lost between two parts of a long reply.
     entries = [ServerEntry(make_announcement(f"s{n}"), ("e0/1",)) for n in range(7)]
     for entry in entries:
@@ -107,7 +107,7 @@
     assert directory.changes_since(1, ("counter",)).entries == ()
 
 
-def test_adopted_entry_is_told_again(directory: Directory) -> None:
+def test_known_entry_is_replicated_again(directory: Directory) -> None:
     # Guards against a server that is never replicated because the control host that
     # received it first was lost.
     directory.merge(LIVE)
--- a/tests/membership/test_leases.py
+++ b/tests/membership/test_leases.py
@@ -16,7 +16,7 @@
 from .conftest import make_announcement
 
 
-class Table(LeaseTable):
+class ControlledLeaseTable(LeaseTable):
     """Lease table whose clock, session state and directory entry the test sets."""
 
     def __init__(self) -> None:
@@ -40,8 +40,8 @@
 
 
 @pytest.fixture
-def table() -> Table:
-    return Table()
+def table() -> ControlledLeaseTable:
+    return ControlledLeaseTable()
 
 
 @pytest.fixture
@@ -49,7 +49,9 @@
     return make_announcement()
 
 
-def test_lease_ends_without_renewal(table: Table, announcement: Announcement) -> None:
+def test_lease_ends_without_renewal(
+    table: ControlledLeaseTable, announcement: Announcement
+) -> None:
     # Guards against a lost server that stays in the directory.
     granted = table.announce(announcement)
     table.now += granted.lease_ms / 1_000 - 0.01
@@ -59,7 +61,9 @@
     assert table.entry_states() == [(1, False)]
 
 
-def test_renewal_keeps_lease(table: Table, announcement: Announcement) -> None:
+def test_renewal_keeps_lease(
+    table: ControlledLeaseTable, announcement: Announcement
+) -> None:
     # Guards against a live server that is dropped.
     granted = table.announce(announcement)
     for _ in range(10):
@@ -70,8 +74,8 @@
 
 
 @pytest.mark.parametrize("order", [("s2", 1, 1), ("s1", 2, 1), ("s1", 1, 2)])
-def test_unknown_renewal_is_refused(
-    table: Table, announcement: Announcement, order: tuple[str, int, int]
+def test_renewal_without_lease_is_rejected(
+    table: ControlledLeaseTable, announcement: Announcement, order: tuple[str, int, int]
 ) -> None:
     # Guards against a server that goes on renewing a lease that does not exist.
     table.announce(announcement)
@@ -80,7 +84,7 @@
 
 
 def test_ended_lease_needs_greater_sequence(
-    table: Table, announcement: Announcement
+    table: ControlledLeaseTable, announcement: Announcement
 ) -> None:
     # Guards against a delayed copy of an announcement that restores a lost server.
     table.announce(announcement)
@@ -95,7 +99,7 @@
 
 
 def test_end_known_to_directory_needs_greater_sequence(
-    table: Table, announcement: Announcement
+    table: ControlledLeaseTable, announcement: Announcement
 ) -> None:
     # Guards against a delayed copy that arrives at another entry host.
     table.entry = ServerEntry(announcement, ("e1/1",), ("e1/1",))
@@ -103,8 +107,8 @@
         table.announce(announcement)
 
 
-def test_older_announcement_is_refused(
-    table: Table, announcement: Announcement
+def test_older_announcement_is_rejected(
+    table: ControlledLeaseTable, announcement: Announcement
 ) -> None:
     # Guards against a stale announcement that replaces a newer one.
     table.announce(replace(announcement, incarnation=2))
@@ -113,7 +117,7 @@
 
 
 def test_changed_content_needs_greater_sequence(
-    table: Table, announcement: Announcement
+    table: ControlledLeaseTable, announcement: Announcement
 ) -> None:
     # Guards against hosts that hold different content for one incarnation and sequence.
     table.announce(announcement)
@@ -121,7 +125,9 @@
         table.announce(replace(announcement, slots=4))
 
 
-def test_withdrawal_is_final(table: Table, announcement: Announcement) -> None:
+def test_withdrawal_is_final(
+    table: ControlledLeaseTable, announcement: Announcement
+) -> None:
     # Guards against a withdrawn server that is listed again.
     table.announce(announcement)
     table.announce(replace(announcement, state="withdrawn"))
@@ -131,8 +137,8 @@
         table.announce(announcement)
 
 
-def test_unconfirmed_host_sends_servers_elsewhere(
-    table: Table, announcement: Announcement
+def test_unconfirmed_host_rejects_servers(
+    table: ControlledLeaseTable, announcement: Announcement
 ) -> None:
     # Guards against servers that stay with an entry host that is cut off.
     table.announce(announcement)
@@ -143,8 +149,8 @@
         table.announce(replace(announcement, sequence=2))
 
 
-def test_unconfirmed_host_ends_nothing(
-    table: Table, announcement: Announcement
+def test_unconfirmed_host_expires_no_lease(
+    table: ControlledLeaseTable, announcement: Announcement
 ) -> None:
     # Guards against an entry host that is cut off and ends the leases of its servers.
     table.announce(announcement)
@@ -158,7 +164,7 @@
 
 
 def test_change_of_service_ends_former_entry(
-    table: Table, announcement: Announcement
+    table: ControlledLeaseTable, announcement: Announcement
 ) -> None:
     # Guards against a server that stays in the service that it left.
     table.announce(announcement)
@@ -170,7 +176,9 @@
     assert live == {"counter": True, "cutting": False}
 
 
-def test_ended_leases_are_forgotten(table: Table, announcement: Announcement) -> None:
+def test_ended_leases_are_purged(
+    table: ControlledLeaseTable, announcement: Announcement
+) -> None:
     # Guards against a table that keeps every server that ever announced.
     table.announce(announcement)
     table.now += 3
--- a/tests/membership/test_servers.py
+++ b/tests/membership/test_servers.py
@@ -6,16 +6,16 @@
 import pytest
 from kingcuplug_membership import AnnouncementStale, ServerEntry
 
-from .conftest import Server, System, make_announcement, now, until
+from .conftest import BackendServer, System, make_announcement, now, wait_until
 
-Play = Callable[..., None]
+RunScenario = Callable[..., None]
 
 
-def everywhere(system: System, servers: list[str]) -> bool:
+def all_list(system: System, servers: list[str]) -> bool:
     return all(entry.live_servers() == servers for entry in system.entry_hosts.values())
 
 
-async def watch(condition: Callable[[], bool], duration_s: float) -> None:
+async def assert_holds(condition: Callable[[], bool], duration_s: float) -> None:
     """Fail if `condition` is ever false within `duration_s` seconds."""
     end = now() + duration_s
     while now() < end:
@@ -23,107 +23,107 @@
         await asyncio.sleep(0.02)
 
 
-def test_server_is_known_everywhere_and_ends(play: Play) -> None:
+def test_server_is_listed_everywhere_until_lost(run_scenario: RunScenario) -> None:
     # Guards against servers that are never listed, or stay listed when they are lost.
     async def scenario(system: System) -> None:
-        server = Server(system, "s1")
-        await until(lambda: everywhere(system, ["s1"]), 1.0)
+        server = BackendServer(system, "s1")
+        await wait_until(lambda: all_list(system, ["s1"]), 1.0)
         server.stop()
-        await until(lambda: everywhere(system, []), 3.0)
+        await wait_until(lambda: all_list(system, []), 3.0)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_withdrawal_is_known_everywhere(play: Play) -> None:
+def test_withdrawal_reaches_all_entry_hosts(run_scenario: RunScenario) -> None:
     # Guards against a server that withdrew and still gets work.
     async def scenario(system: System) -> None:
-        server = Server(system, "s1")
-        await until(lambda: everywhere(system, ["s1"]))
+        server = BackendServer(system, "s1")
+        await wait_until(lambda: all_list(system, ["s1"]))
         server.stop()
         server.announce(state="withdrawn")
-        await until(lambda: everywhere(system, []), 1.0)
+        await wait_until(lambda: all_list(system, []), 1.0)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_flapping_server_settles(play: Play) -> None:
+def test_directories_converge_after_flapping_server(run_scenario: RunScenario) -> None:
     # Guards against directories that diverge after a server restarted in quick
     # succession through different entry hosts.
     async def scenario(system: System) -> None:
         for incarnation in range(1, 15):
-            server = Server(
+            server = BackendServer(
                 system, "s1", entry_index=incarnation, incarnation=incarnation
             )
             await asyncio.sleep(system.network.random.uniform(0.05, 1.5))
             server.stop()
             if incarnation % 3 == 0:
                 server.announce(state="withdrawn")
-        Server(system, "s1", incarnation=15)
+        BackendServer(system, "s1", incarnation=15)
         await asyncio.sleep(1)
-        await watch(lambda: everywhere(system, ["s1"]), 5)
+        await assert_holds(lambda: all_list(system, ["s1"]), 5)
         known_entries = {
             entry.client.directory.get("counter", "s1")
             for entry in system.entry_hosts.values()
         }
         assert len(known_entries) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_duplicate_announcement_does_not_end_server(play: Play) -> None:
+def test_duplicate_announcement_does_not_end_server(run_scenario: RunScenario) -> None:
     # Guards against a server that ends with the lease granted for a duplicate of its
     # announcement.
     async def scenario(system: System) -> None:
-        server = Server(system, "s1", entry_index=1)
+        server = BackendServer(system, "s1", entry_index=1)
         await asyncio.sleep(0)
         system.entry_hosts["e0"].leases.announce(server.announcement)
-        await until(lambda: everywhere(system, ["s1"]))
-        await watch(lambda: everywhere(system, ["s1"]), 6)
+        await wait_until(lambda: all_list(system, ["s1"]))
+        await assert_holds(lambda: all_list(system, ["s1"]), 6)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_return_with_another_incarnation(play: Play) -> None:
+def test_return_with_another_incarnation(run_scenario: RunScenario) -> None:
     # Guards against the end of a server's old run that also ends its new run.
     async def scenario(system: System) -> None:
-        first = Server(system, "s1", entry_index=0)
-        await until(lambda: everywhere(system, ["s1"]))
+        first = BackendServer(system, "s1", entry_index=0)
+        await wait_until(lambda: all_list(system, ["s1"]))
         first.stop()
-        Server(system, "s1", entry_index=1, incarnation=2)
+        BackendServer(system, "s1", entry_index=1, incarnation=2)
         await asyncio.sleep(0.5)
-        await watch(lambda: everywhere(system, ["s1"]), 6)
+        await assert_holds(lambda: all_list(system, ["s1"]), 6)
         known = system.leader.directory.get("counter", "s1")
         assert known is not None
         assert known.announcement.incarnation == 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_stale_announcement_does_not_revive(play: Play) -> None:
+def test_stale_announcement_does_not_restore_server(run_scenario: RunScenario) -> None:
     # Guards against a delayed copy of an announcement that restores a withdrawn server
     # through another entry host.
     async def scenario(system: System) -> None:
-        server = Server(system, "s1")
-        await until(lambda: everywhere(system, ["s1"]))
+        server = BackendServer(system, "s1")
+        await wait_until(lambda: all_list(system, ["s1"]))
         stale = server.announcement
         server.stop()
         server.announce(state="withdrawn")
-        await until(lambda: everywhere(system, []))
+        await wait_until(lambda: all_list(system, []))
         with pytest.raises(AnnouncementStale):
             system.entry_hosts["e2"].leases.announce(stale)
         system.leader.directory.merge(ServerEntry(stale, ("e2/1",)), local=True)
-        await watch(lambda: everywhere(system, []), 2)
+        await assert_holds(lambda: all_list(system, []), 2)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("cut", ["e0", "e2", "c0", "c1", "c2", "mesh", "nothing"])
-def test_drain_is_in_force_within_3_s(play: Play, cut: str) -> None:
+def test_drain_is_in_force_within_3_s(run_scenario: RunScenario, cut: str) -> None:
     # Guards against new work for a draining server at an entry host that does not
     # receive the change: such a host must have stopped taking work by then.
     async def scenario(system: System) -> None:
-        server = Server(system, "s1", entry_index=0)
-        await until(lambda: everywhere(system, ["s1"]))
+        server = BackendServer(system, "s1", entry_index=0)
+        await wait_until(lambda: all_list(system, ["s1"]))
         await asyncio.sleep(0.7)
         if cut == "mesh":
             pairs = [("c0", "c1"), ("c0", "c2"), ("c1", "c2")]
@@ -137,7 +137,7 @@
             system.network.isolated.add(cut)
         server.announce(state="draining")
         await asyncio.sleep(3.0)
-        await watch(
+        await assert_holds(
             lambda: all(
                 entry.server_state("s1") == "draining"
                 or not entry.client.is_confirmed()
@@ -149,10 +149,12 @@
             3,
         )
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_delivered_tells_whether_an_announcement_went_out(play: Play) -> None:
+def test_wait_delivered_returns_only_after_replication(
+    run_scenario: RunScenario,
+) -> None:
     # Guards against a positive reply to a drain that no other host ever receives.
     async def scenario(system: System) -> None:
         entry = system.entry_hosts["e0"]
@@ -164,23 +166,25 @@
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(entry.client.delivered(entry.leases.version), 2)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_lost_zone_ends_its_servers(play: Play) -> None:
+def test_lost_zone_ends_its_servers(run_scenario: RunScenario) -> None:
     # Guards against servers of a lost zone that stay listed because their entry
     # host and the control host of its session are lost too.
     async def scenario(system: System) -> None:
-        kept = Server(system, "s0", entry_index=0)
-        lost = [Server(system, f"s{number}", entry_index=1) for number in range(1, 9)]
+        kept = BackendServer(system, "s0", entry_index=0)
+        lost = [
+            BackendServer(system, f"s{number}", entry_index=1) for number in range(1, 9)
+        ]
         names = [f"s{number}" for number in range(9)]
-        await until(lambda: everywhere(system, names))
+        await wait_until(lambda: all_list(system, names))
         # A session not yet reported to the leader counts as lost at once.
-        await until(lambda: len(system.leader.hosts()) == len(system.entry_hosts))
+        await wait_until(lambda: len(system.leader.hosts()) == len(system.entry_hosts))
         zone = {system.home_of("e1"), "e1", *names[1:]} - {"c0"}
         system.network.isolated |= zone
         others = [system.entry_hosts["e0"], system.entry_hosts["e2"]]
-        took = await until(
+        took = await wait_until(
             lambda: all(entry.live_servers() == ["s0"] for entry in others), 7
         )
         # The session lease of 3 s, less the age of the last barrier (at most 0.5 s),
@@ -191,17 +195,17 @@
             lost[0].entry_host is None or not lost[0].entry_host.client.is_confirmed()
         )
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_cut_off_observers_end_nothing(play: Play) -> None:
+def test_isolated_hosts_end_no_leases(run_scenario: RunScenario) -> None:
     # Guards against a control host or an entry host that is cut off and ends the
     # leases of all others.
     async def scenario(system: System) -> None:
         for number in range(3):
-            Server(system, f"s{number}", entry_index=number)
+            BackendServer(system, f"s{number}", entry_index=number)
         names = ["s0", "s1", "s2"]
-        await until(lambda: everywhere(system, names))
+        await wait_until(lambda: all_list(system, names))
         system.network.isolated |= {"c2", "e2"}
         await asyncio.sleep(20)
         isolated = system.control_hosts["c2"].server
@@ -210,45 +214,53 @@
         assert not system.entry_hosts["e2"].client.is_confirmed()
         system.network.isolated.clear()
         await system.wait_ready()
-        await until(lambda: everywhere(system, names), 3)
+        await wait_until(lambda: all_list(system, names), 3)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_servers_of_cut_off_entry_host_move(play: Play) -> None:
+def test_servers_of_isolated_entry_host_move(run_scenario: RunScenario) -> None:
     # Guards against servers that renew at an entry host that is cut off until the
     # leader counts them as lost.
     async def scenario(system: System) -> None:
-        server = Server(system, "s1", entry_index=1)
-        await until(lambda: everywhere(system, ["s1"]))
+        server = BackendServer(system, "s1", entry_index=1)
+        await wait_until(lambda: all_list(system, ["s1"]))
         system.network.isolated |= {"e1"}
         others = [system.entry_hosts["e0"], system.entry_hosts["e2"]]
-        await watch(lambda: all(entry.live_servers() == ["s1"] for entry in others), 10)
+        await assert_holds(
+            lambda: all(entry.live_servers() == ["s1"] for entry in others), 10
+        )
         assert server.entry_host in others
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_restarted_entry_host_keeps_its_servers_listed(play: Play) -> None:
+def test_restarted_entry_host_keeps_its_servers_listed(
+    run_scenario: RunScenario,
+) -> None:
     # Guards against an outage of all servers that announced at a restarted entry host.
     async def scenario(system: System) -> None:
-        Server(system, "s1", entry_index=1)
-        await until(lambda: everywhere(system, ["s1"]))
+        BackendServer(system, "s1", entry_index=1)
+        await wait_until(lambda: all_list(system, ["s1"]))
         system.entry_hosts["e1"].restart()
         others = [system.entry_hosts["e0"], system.entry_hosts["e2"]]
-        await watch(lambda: all(entry.live_servers() == ["s1"] for entry in others), 8)
-        await until(lambda: everywhere(system, ["s1"]), 1)
+        await assert_holds(
+            lambda: all(entry.live_servers() == ["s1"] for entry in others), 8
+        )
+        await wait_until(lambda: all_list(system, ["s1"]), 1)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_withdrawn_server_stays_away_after_a_long_cut(play: Play) -> None:
+def test_withdrawn_server_is_not_restored_after_long_partition(
+    run_scenario: RunScenario,
+) -> None:
     # Guards against a control host that was cut off for longer than tombstones are
     # kept, still lists the server, and replicates it again.
     async def scenario(system: System) -> None:
-        server = Server(system, "s1")
-        Server(system, "s2")
-        await until(lambda: everywhere(system, ["s1", "s2"]))
+        server = BackendServer(system, "s1")
+        BackendServer(system, "s2")
+        await wait_until(lambda: all_list(system, ["s1", "s2"]))
         system.network.isolated |= {"c2", "e2"}
         server.stop()
         server.announce(state="withdrawn")
@@ -257,44 +269,44 @@
         system.network.isolated.clear()
         await system.wait_ready()
         await asyncio.sleep(3)
-        assert everywhere(system, ["s2"])
+        assert all_list(system, ["s2"])
         directories = [
             control.server.directory for control in system.control_hosts.values()
         ]
         assert [len(directory) for directory in directories] == [1, 1, 1]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_change_passes_mesh_without_the_leader(play: Play) -> None:
+def test_mesh_replicates_changes_without_the_leader(run_scenario: RunScenario) -> None:
     # Guards against changes that wait for the exchange with the leader, which can
     # fail for the duration of an election.
     async def scenario(system: System) -> None:
-        Server(system, "s1")
-        await until(lambda: everywhere(system, ["s1"]))
+        BackendServer(system, "s1")
+        await wait_until(lambda: all_list(system, ["s1"]))
         system.network.drop_rules.append(
             lambda kind, source, peer, step: kind == "barrier"
         )
-        Server(system, "s2")
-        await until(lambda: everywhere(system, ["s1", "s2"]), 0.5)
+        BackendServer(system, "s2")
+        await wait_until(lambda: all_list(system, ["s1", "s2"]), 0.5)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_overruled_lease_is_announced_again(play: Play) -> None:
+def test_overruled_lease_is_announced_again(run_scenario: RunScenario) -> None:
     # Guards against a server that keeps renewing at an entry host whose leases the
     # leader has ended.
     async def scenario(system: System) -> None:
-        Server(system, "s1", entry_index=1)
-        await until(lambda: everywhere(system, ["s1"]))
+        BackendServer(system, "s1", entry_index=1)
+        await wait_until(lambda: all_list(system, ["s1"]))
         system.leader.directory.end_leases("e1/1")
-        await until(lambda: everywhere(system, []), 1)
-        await until(lambda: everywhere(system, ["s1"]), 1.5)
+        await wait_until(lambda: all_list(system, []), 1)
+        await wait_until(lambda: all_list(system, ["s1"]), 1.5)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_delivered_waits_for_the_leader(play: Play) -> None:
+def test_wait_delivered_waits_for_the_leader(run_scenario: RunScenario) -> None:
     # Guards against a positive reply to a drain that has reached only a control host
     # that is cut off from the leader.
     async def scenario(system: System) -> None:
@@ -311,4 +323,4 @@
         await asyncio.wait_for(entry.client.delivered(entry.leases.version), 3)
         assert system.leader.directory.servers("counter")
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/membership/test_sessions.py
+++ b/tests/membership/test_sessions.py
@@ -21,20 +21,27 @@
 from kingcuplug_membership._directory_sync import DirectorySync
 from kingcuplug_membership._messages import SessionReply
 
-from .conftest import Entry, Server, System, make_announcement, now, until
+from .conftest import (
+    BackendServer,
+    EntryHost,
+    System,
+    make_announcement,
+    now,
+    wait_until,
+)
 
-Play = Callable[..., None]
+RunScenario = Callable[..., None]
 
 
-def confirmed(system: System) -> bool:
+def all_confirmed(system: System) -> bool:
     return all(entry.client.is_confirmed() for entry in system.entry_hosts.values())
 
 
-def complete(system: System, servers: list[str]) -> bool:
+def all_list(system: System, servers: list[str]) -> bool:
     return all(entry.live_servers() == servers for entry in system.entry_hosts.values())
 
 
-async def watch(condition: Callable[[], bool], duration_s: float) -> None:
+async def assert_holds(condition: Callable[[], bool], duration_s: float) -> None:
     """Fail if `condition` is ever false within `duration_s` seconds."""
     end = now() + duration_s
     while now() < end:
@@ -42,60 +49,73 @@
         await asyncio.sleep(0.02)
 
 
-async def prepare(system: System) -> list[str]:
+async def start_servers(system: System) -> list[str]:
     names = [f"s{number}" for number in range(len(system.entry_hosts))]
     system.servers = [
-        Server(system, name, entry_index=number) for number, name in enumerate(names)
+        BackendServer(system, name, entry_index=number)
+        for number, name in enumerate(names)
     ]
-    await until(lambda: complete(system, names))
+    await wait_until(lambda: all_list(system, names))
     return names
 
 
 @pytest.mark.parametrize("controls", [1, 3])
-def test_restarted_control_host(play: Play, controls: int) -> None:
+def test_control_host_restart_keeps_service(
+    run_scenario: RunScenario, controls: int
+) -> None:
     # Guards against an outage while a control host with a new epoch collects the
     # directory, and against entry hosts that adopt its first, incomplete reply.
     async def scenario(system: System) -> None:
-        names = await prepare(system)
+        names = await start_servers(system)
         for control in system.control_hosts.values():
             control.restart()
-            await watch(lambda: confirmed(system) and complete(system, names), 5)
+            await assert_holds(
+                lambda: all_confirmed(system) and all_list(system, names), 5
+            )
 
-    play(scenario, controls=controls)
+    run_scenario(scenario, controls=controls)
 
 
 @pytest.mark.parametrize("silent", [True, False])
-def test_lost_home_control_host(play: Play, silent: bool) -> None:
+def test_loss_of_home_control_host_keeps_service(
+    run_scenario: RunScenario, silent: bool
+) -> None:
     # Guards against refusals while an entry host moves to another control host.
     async def scenario(system: System) -> None:
-        names = await prepare(system)
+        names = await start_servers(system)
         home = system.home_of("e1")
         assert home != system.log.leader
         if silent:
             system.network.isolated.add(home)
         else:
             system.control_hosts[home].stop()
-        await watch(lambda: confirmed(system) and complete(system, names), 10)
+        await assert_holds(
+            lambda: all_confirmed(system) and all_list(system, names), 10
+        )
         assert system.home_of("e1") != home
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_control_host_without_leader_sends_sessions_away(play: Play) -> None:
+def test_control_host_without_leader_releases_sessions(
+    run_scenario: RunScenario,
+) -> None:
     # Guards against sessions that stay with a control host until their lease
     # expires, although the other control hosts are confirmed by the leader.
     async def scenario(system: System) -> None:
-        names = await prepare(system)
+        names = await start_servers(system)
         home = system.home_of("e1")
         assert home != system.log.leader
         others = set(system.control_hosts) - {home}
         system.network.severed_links |= {frozenset((home, other)) for other in others}
-        await watch(lambda: confirmed(system) and complete(system, names), 10)
+        await assert_holds(
+            lambda: all_confirmed(system) and all_list(system, names), 10
+        )
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_return_to_first_choice(play: Play) -> None:
+def test_session_returns_to_preferred_control_host(run_scenario: RunScenario) -> None:
     # Guards against sessions that accumulate at the control hosts that never restart.
     async def scenario(system: System) -> None:
         first = rendezvous_order("e0", system.control_hosts)[0]
@@ -106,21 +126,21 @@
         assert system.home_of("e0") != first
         await asyncio.sleep(300)
         assert system.home_of("e0") == first
-        assert confirmed(system)
+        assert all_confirmed(system)
 
-    play(scenario, controls=2, entries=1)
+    run_scenario(scenario, controls=2, entries=1)
 
 
-def test_quorum_loss_stops_service_and_keeps_servers(play: Play) -> None:
+def test_quorum_loss_stops_service_and_keeps_servers(run_scenario: RunScenario) -> None:
     # Guards against an entry host that serves although no leader can confirm its text.
     async def scenario(system: System) -> None:
-        names = await prepare(system)
+        names = await start_servers(system)
         system.log.elections_enabled = False
         system.log.elect(None)
         await asyncio.sleep(3.0)
-        await watch(
+        await assert_holds(
             lambda: (
-                complete(system, names)
+                all_list(system, names)
                 and not any(
                     entry.client.is_confirmed() for entry in system.entry_hosts.values()
                 )
@@ -128,31 +148,33 @@
             20,
         )
         system.log.elect("c1")
-        await until(lambda: confirmed(system), 2)
-        await watch(lambda: complete(system, names), 5)
+        await wait_until(lambda: all_confirmed(system), 2)
+        await assert_holds(lambda: all_list(system, names), 5)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_new_leader_waits_a_lease_before_it_reports(play: Play) -> None:
+def test_new_leader_waits_one_lease_before_reporting_in_force(
+    run_scenario: RunScenario,
+) -> None:
     # Guards against "in force everywhere" while a host whose session only the former
     # leader knew still serves the old text.
     async def scenario(system: System) -> None:
-        victim = next(
+        isolated_host = next(
             name for name in system.entry_hosts if system.home_of(name) == "c0"
         )
-        system.network.isolated |= {victim, "c0"}
-        await until(lambda: system.log.leader in ("c1", "c2"))
+        system.network.isolated |= {isolated_host, "c0"}
+        await wait_until(lambda: system.log.leader in ("c1", "c2"))
         elected = now()
         revision = system.log.accept_revision()
         await system.leader.wait_in_force(revision)
         assert now() - elected >= 3.0
-        assert not system.entry_hosts[victim].client.is_confirmed()
+        assert not system.entry_hosts[isolated_host].client.is_confirmed()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_wait_in_force_with_cut_off_host(play: Play) -> None:
+def test_wait_in_force_with_isolated_host(run_scenario: RunScenario) -> None:
     # Guards against an early "in force everywhere", and against a wait that never ends.
     async def scenario(system: System) -> None:
         await asyncio.sleep(4)
@@ -163,10 +185,10 @@
         assert system.entry_hosts["e0"].revision == revision
         assert [status.host for status in system.leader.hosts()] != []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_wait_in_force_is_quick_when_all_answer(play: Play) -> None:
+def test_wait_in_force_is_quick_when_all_confirm(run_scenario: RunScenario) -> None:
     # Guards against a wait for the expiry of leases when all hosts have confirmed.
     async def scenario(system: System) -> None:
         await asyncio.sleep(4)
@@ -175,26 +197,26 @@
         assert now() - started < 1.5
         assert {entry.revision for entry in system.entry_hosts.values()} == {1}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_wait_in_force_covers_session_that_just_began(play: Play) -> None:
+def test_wait_in_force_covers_new_session(run_scenario: RunScenario) -> None:
     # Guards against "in force everywhere" while a host serves the old text that it got
     # from a control host after that control host's last barrier exchange.
     async def scenario(system: System) -> None:
-        firsts = {
+        preferred_homes = {
             name: rendezvous_order(name, system.control_hosts)[0]
             for name in system.entry_hosts
         }
-        name, home = next(item for item in firsts.items() if item[1] != "c0")
+        name, home = next(item for item in preferred_homes.items() if item[1] != "c0")
         entry = system.entry_hosts[name]
         for other in system.entry_hosts:
-            if home in (firsts[other], system.home_of(other)):
+            if home in (preferred_homes[other], system.home_of(other)):
                 system.entry_hosts[other].stop()
         entry.stop()
         await asyncio.sleep(5)
         entry.start()
-        await until(entry.client.is_confirmed, 1)
+        await wait_until(entry.client.is_confirmed, 1)
         assert name not in {status.host for status in system.leader.hosts()}
         system.network.drop_rules.append(
             lambda kind, source, peer, step: kind == "barrier" and source == home
@@ -205,18 +227,20 @@
         await system.leader.wait_in_force(revision)
         assert entry.revision == revision or not entry.client.is_confirmed()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_session_starts_only_on_a_new_word_of_the_leader(play: Play) -> None:
+def test_session_start_needs_fresh_leader_confirmation(
+    run_scenario: RunScenario,
+) -> None:
     # Guards against a restarted entry host that serves an older text than before
     # its restart, because its home has not received the newer one yet.
     async def scenario(system: System) -> None:
-        firsts = {
+        preferred_homes = {
             name: rendezvous_order(name, system.control_hosts)[0]
             for name in system.entry_hosts
         }
-        name, home = next(item for item in firsts.items() if item[1] != "c0")
+        name, home = next(item for item in preferred_homes.items() if item[1] != "c0")
         entry = system.entry_hosts[name]
         entry.stop()
         system.network.drop_rules.append(
@@ -225,25 +249,27 @@
         system.control_hosts[home].replicates = False
         revision = system.log.accept_revision()
         entry.start()
-        await until(entry.client.is_confirmed, 4)
+        await wait_until(entry.client.is_confirmed, 4)
         assert entry.revision == revision
         assert system.home_of(name) != home
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_restarted_control_host_does_not_hide_its_leases(play: Play) -> None:
+def test_wait_in_force_covers_leases_of_restarted_control_host(
+    run_scenario: RunScenario,
+) -> None:
     # Guards against "in force everywhere" while a lease still runs that a control host
     # granted before its restart.
     async def scenario(system: System) -> None:
-        firsts = {
+        preferred_homes = {
             name: rendezvous_order(name, system.control_hosts)[0]
             for name in system.entry_hosts
         }
-        name, home = next(item for item in firsts.items() if item[1] != "c0")
+        name, home = next(item for item in preferred_homes.items() if item[1] != "c0")
         entry = system.entry_hosts[name]
-        await until(lambda: system.home_of(name) == home, 400)
-        await until(lambda: len(system.leader.hosts()) == len(system.entry_hosts))
+        await wait_until(lambda: system.home_of(name) == home, 400)
+        await wait_until(lambda: len(system.leader.hosts()) == len(system.entry_hosts))
         system.control_hosts[home].stop()
         system.network.isolated.add(name)
         revision = system.log.accept_revision()
@@ -251,49 +277,53 @@
         await system.leader.wait_in_force(revision)
         assert entry.revision == revision or not entry.client.is_confirmed()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_control_host_that_does_not_apply_grants_nothing(play: Play) -> None:
+def test_control_host_with_lagging_replica_grants_nothing(
+    run_scenario: RunScenario,
+) -> None:
     # Guards against grants for an old text by a control host that reaches the
     # leader but whose replica of the log is behind.
     async def scenario(system: System) -> None:
         home = system.home_of("e1")
         system.control_hosts[home].replicates = False
         revision = system.log.accept_revision()
-        await until(lambda: system.entry_hosts["e1"].revision == revision, 4)
+        await wait_until(lambda: system.entry_hosts["e1"].revision == revision, 4)
         await asyncio.sleep(3)
         assert system.control_hosts[home].server.barrier.is_failing()
-        assert confirmed(system)
+        assert all_confirmed(system)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_wait_in_force_needs_the_leader(play: Play) -> None:
+def test_wait_in_force_needs_the_leader(run_scenario: RunScenario) -> None:
     # Guards against a reply from a control host that does not know all sessions.
     async def scenario(system: System) -> None:
         with pytest.raises(NotLeading, match="c0"):
             await system.control_hosts["c1"].server.wait_in_force(0)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_diverged_digest_stops_service_until_whole_text(play: Play) -> None:
+def test_digest_mismatch_stops_service_until_full_text(
+    run_scenario: RunScenario,
+) -> None:
     # Guards against an entry host that serves a text other than the accepted one.
     async def scenario(system: System) -> None:
         entry = system.entry_hosts["e1"]
         entry.failures_to_apply = 3
         revision = system.log.accept_revision()
-        await until(lambda: entry.failures_to_apply < 3)
+        await wait_until(lambda: entry.failures_to_apply < 3)
         assert not entry.client.is_confirmed()
-        await until(lambda: entry.failures_to_apply == 0)
-        await until(entry.client.is_confirmed)
+        await wait_until(lambda: entry.failures_to_apply == 0)
+        await wait_until(entry.client.is_confirmed)
         assert (entry.revision, entry.text) == (revision, '{"n": 1}')
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-class Checker:
+class StalenessChecker:
     """Fails if a confirmed host serves a superseded text or an outdated server."""
 
     def __init__(self, system: System) -> None:
@@ -309,35 +339,35 @@
                     self._check_drains(entry)
             await asyncio.sleep(0.02)
 
-    def _check_text(self, entry: Entry) -> None:
+    def _check_text(self, entry: EntryHost) -> None:
         accepted_at = self.system.log.accepted_at
         superseded = entry.revision + 1 < len(accepted_at)
         if superseded and now() - accepted_at[entry.revision + 1] > 4.0:
             raise AssertionError(f"{entry.name} serves {entry.revision} at {now()}")
 
-    def _check_drains(self, entry: Entry) -> None:
-        for name, order, time in self.drains:
+    def _check_drains(self, entry: EntryHost) -> None:
+        for name, rank, drained_at in self.drains:
             known = entry.client.directory.get("counter", name)
-            stale = known and known.live and known.announcement.rank < order
-            if stale and now() - time > 3.0:
+            stale = known and known.live and known.announcement.rank < rank
+            if stale and now() - drained_at > 3.0:
                 raise AssertionError(f"{entry.name} uses {name} at {now()}")
 
-    def drain(self, server: Server) -> None:
+    def drain(self, server: BackendServer) -> None:
         """Drain a server, and record it once the leader has the change."""
         server.announce(state="draining")
         if server.entry_host is not None:
-            note = self._record_drain(
+            recording = self._record_drain(
                 server, server.entry_host.client, server.entry_host.leases.version
             )
-            self.tasks.append(asyncio.ensure_future(note))
+            self.tasks.append(asyncio.ensure_future(recording))
 
     async def _record_drain(
-        self, server: Server, client: SessionClient, version: int
+        self, server: BackendServer, client: SessionClient, version: int
     ) -> None:
-        name, order = server.announcement.server, server.rank
+        name, rank = server.announcement.server, server.rank
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(client.delivered(version), 3)
-            self.drains.append((name, order, now()))
+            self.drains.append((name, rank, now()))
 
     def stop(self) -> None:
         """End the checks and raise their failures."""
@@ -347,7 +377,7 @@
             task.cancel()
 
 
-async def disturb(system: System, checker: Checker) -> None:
+async def inject_random_fault(system: System, checker: StalenessChecker) -> None:
     """Inject one random fault, repair or change."""
     random = system.network.random
     name = random.choice([*system.entry_hosts, *system.control_hosts])
@@ -374,18 +404,18 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_nothing_superseded_is_served(play: Play, seed: int) -> None:
+def test_nothing_superseded_is_served(run_scenario: RunScenario, seed: int) -> None:
     # Guards against a host that serves a text 4 s after its successor was accepted,
     # or a server 3 s after the leader received that it drains, whatever is lost, cut
     # off, duplicated, reordered or restarted meanwhile.
     async def scenario(system: System) -> None:
-        names = await prepare(system)
+        names = await start_servers(system)
         network = system.network
         network.delay_range_s = (0.001, 0.15)
         network.drop_share = network.duplicate_share = 0.03
-        checker = Checker(system)
+        checker = StalenessChecker(system)
         for _ in range(50):
-            await disturb(system, checker)
+            await inject_random_fault(system, checker)
             await asyncio.sleep(network.random.uniform(0, 1.5))
         network.isolated.clear()
         network.severed_links.clear()
@@ -395,27 +425,29 @@
         revision = system.log.accept_revision()
         await asyncio.sleep(10)
         await system.leader.wait_in_force(revision)
-        assert confirmed(system)
-        assert complete(system, names)
+        assert all_confirmed(system)
+        assert all_list(system, names)
         assert {entry.revision for entry in system.entry_hosts.values()} == {revision}
         checker.stop()
 
-    play(scenario, seed=seed)
+    run_scenario(scenario, seed=seed)
 
 
-def test_verdicts_reach_all_entry_hosts(play: Play) -> None:
+def test_verdicts_reach_all_entry_hosts(run_scenario: RunScenario) -> None:
     # Guards against a request that crashes servers through one entry host after
     # another.
     async def scenario(system: System) -> None:
         system.entry_hosts["e0"].client.report(Verdict("f1", "s1", 1))
         system.entry_hosts["e1"].client.report(Verdict("f1"))
         clients = [entry.client for entry in system.entry_hosts.values()]
-        await until(lambda: all(len(client.verdicts) == 2 for client in clients), 1)
+        await wait_until(
+            lambda: all(len(client.verdicts) == 2 for client in clients), 1
+        )
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_verdicts_are_bounded_and_end() -> None:
+def test_verdicts_are_bounded_and_expire() -> None:
     # Guards against a table that grows without bound, and against a request that is
     # refused for good.
     time = [0.0]
@@ -430,7 +462,7 @@
     assert len(board) == 1
 
 
-def test_liveness_of_a_claim_holder(play: Play) -> None:
+def test_liveness_of_a_run_of_an_entry_host(run_scenario: RunScenario) -> None:
     # Guards against the takeover of an order from a host that still runs, and
     # against an order that stays with a lost host.
     async def scenario(system: System) -> None:
@@ -447,11 +479,11 @@
         assert not await client.is_live("e2", 1)
         assert client.live_entry_hosts == 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("kind", ["session", "mesh", "barrier"])
-def test_nonsense_message_is_refused(play: Play, kind: str) -> None:
+def test_invalid_message_is_rejected(run_scenario: RunScenario, kind: str) -> None:
     # Guards against an invalid message that stops a control host.
     async def scenario(system: System) -> None:
         call = system.network.make_call(kind, "e0")
@@ -459,9 +491,9 @@
             with pytest.raises(MessageInvalid, match="same version"):
                 await call("c0", message)
         await asyncio.sleep(4)
-        assert confirmed(system)
+        assert all_confirmed(system)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def make_request(number: int, **fields: Any) -> dict[str, Any]:
@@ -469,25 +501,27 @@
     return values | {"number": number, "services": ["counter"]} | fields
 
 
-def test_overtaken_request_changes_nothing(play: Play) -> None:
+def test_overtaken_request_changes_nothing(run_scenario: RunScenario) -> None:
     # Guards against a delayed request that resets a session which is already ahead.
     async def scenario(system: System) -> None:
         call = system.network.make_call("session", "e9")
         first = await call("c0", make_request(5))
-        late = await call("c0", make_request(4, services=["cutting"]))
+        delayed = await call("c0", make_request(4, services=["cutting"]))
         assert first["lease_ms"] > 0
-        assert "lease_ms" not in late
-        assert "overtaken" in late["reason"]
-        Server(system, "s1")
-        again = make_request(6, epoch=first["epoch"], confirmed=0)
-        del again["services"]
-        reply = await call("c0", again)
-        assert [one["announcement"]["server"] for one in reply["entries"]] == ["s1"]
+        assert "lease_ms" not in delayed
+        assert "overtaken" in delayed["reason"]
+        BackendServer(system, "s1")
+        third = make_request(6, epoch=first["epoch"], confirmed=0)
+        del third["services"]
+        reply = await call("c0", third)
+        assert [entry["announcement"]["server"] for entry in reply["entries"]] == ["s1"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_control_host_behind_an_entry_host_grants_nothing(play: Play) -> None:
+def test_control_host_behind_an_entry_host_grants_nothing(
+    run_scenario: RunScenario,
+) -> None:
     # Guards against an entry host that goes back to an older text.
     async def scenario(system: System) -> None:
         call = system.network.make_call("session", "e9")
@@ -495,10 +529,12 @@
         assert "lease_ms" not in reply
         assert "behind" in reply["reason"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_started_control_host_grants_nothing_at_first(play: Play) -> None:
+def test_restarted_control_host_grants_nothing_at_first(
+    run_scenario: RunScenario,
+) -> None:
     # Guards against grants with an empty directory before the sessions of a lost
     # control host have moved here.
     async def scenario(system: System) -> None:
@@ -508,10 +544,12 @@
         assert "lease_ms" not in reply
         assert "not complete" in reply["reason"]
 
-    play(scenario, controls=1)
+    run_scenario(scenario, controls=1)
 
 
-def test_new_leader_grants_nothing_before_others_upload(play: Play) -> None:
+def test_new_leader_grants_nothing_before_others_upload(
+    run_scenario: RunScenario,
+) -> None:
     # Guards against grants between an election that ends a time without a leader
     # and the new leader's first exchanges.
     async def scenario(system: System) -> None:
@@ -519,15 +557,15 @@
         system.log.elect(None)
         await asyncio.sleep(5)
         system.log.elect("c1")
-        await until(lambda: system.log.leading_until("c1") > now())
+        await wait_until(lambda: system.log.leading_until("c1") > now())
         reply = await system.network.make_call("session", "e9")("c1", make_request(1))
         assert "lease_ms" not in reply
         assert "not complete" in reply["reason"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_continuity_after_a_time_without_leader() -> None:
+def test_directory_is_incomplete_after_time_without_leader() -> None:
     # Guards against grants from a directory that lacks changes that other control
     # hosts received while there was no leader.
     time = [0.0]
@@ -550,7 +588,7 @@
     assert continuity.is_complete()
 
 
-def test_continuity_does_not_wait_for_ever() -> None:
+def test_completeness_does_not_wait_for_lost_peers() -> None:
     # Guards against a system that refuses all work because one control host is
     # lost, and against a start before the sessions had time to arrive.
     time = [0.0]
@@ -563,7 +601,7 @@
     assert continuity.is_complete()
 
 
-def test_long_directory_arrives_in_parts(play: Play) -> None:
+def test_long_directory_arrives_in_parts(run_scenario: RunScenario) -> None:
     # Guards against entries that are lost between the parts of a long reply, in a
     # session, between control hosts and from the leader.
     async def scenario(system: System) -> None:
@@ -578,10 +616,10 @@
         for entry_host in system.entry_hosts.values():
             assert len(entry_host.live_servers()) == 2_100
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_unknown_servers_are_doubted_before_they_are_dropped() -> None:
+def test_unlisted_servers_are_dropped_after_delay() -> None:
     # Guards against an outage when a new home's directory is not complete yet.
     time = [0.0]
     directory = Directory(lambda: time[0])
@@ -606,31 +644,33 @@
 
 @pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize("step", STEPS)
-def test_fault_at_step_of_session(play: Play, fault: str, step: str) -> None:
+def test_fault_at_step_of_session(
+    run_scenario: RunScenario, fault: str, step: str
+) -> None:
     # Guards against an exchange that loses a change when one of its messages is lost,
     # duplicated or late: every step must end as without the fault.
     async def scenario(system: System) -> None:
-        server = Server(system, "s0", entry_index=0)
-        await until(lambda: complete(system, ["s0"]))
+        server = BackendServer(system, "s0", entry_index=0)
+        await wait_until(lambda: all_list(system, ["s0"]))
         entry = system.entry_hosts["e0"]
-        undo = inject(system, fault)
-        await take_step(system, entry, server, step)
+        undo = inject_fault(system, fault)
+        await run_step(system, entry, server, step)
         await asyncio.sleep(1.3)
         undo()
         await system.wait_ready()
         await asyncio.sleep(2.5)
         check_step(system, step)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def inject(system: System, fault: str) -> Callable[[], None]:
+def inject_fault(system: System, fault: str) -> Callable[[], None]:
     network = system.network
     if fault in ("request lost", "reply lost"):
-        lost = fault.split()[0]
+        lost_step = fault.split()[0]
         network.drop_rules.append(
             lambda kind, source, peer, step: (
-                (kind, source, step) == ("session", "e0", lost)
+                (kind, source, step) == ("session", "e0", lost_step)
             )
         )
         return network.drop_rules.clear
@@ -646,11 +686,13 @@
     return lambda: setattr(network, "delay_range_s", (0.001, 0.002))
 
 
-async def take_step(system: System, entry: Entry, server: Server, step: str) -> None:
+async def run_step(
+    system: System, entry: EntryHost, server: BackendServer, step: str
+) -> None:
     if step == "start":
         entry.restart()
     elif step == "announce":
-        Server(system, "s9", entry_index=0)
+        BackendServer(system, "s9", entry_index=0)
     elif step == "drain":
         server.announce(state="draining")
     elif step == "withdraw":
