--- a/packages/membership/src/kingcuplug_membership/_completeness.py
+++ b/packages/membership/src/kingcuplug_membership/_completeness.py
@@ -23,7 +23,7 @@
     clock : callable
         Monotonic time in seconds.
     peers : callable
-        Returns the addresses of the other control hosts.
+        Addresses of the other control hosts.
     """
 
     def __init__(
@@ -38,8 +38,8 @@
         self.restart()
 
     def restart(self) -> None:
-        """Start to collect the directory from scratch."""
-        self._started_at = self._clock()
+        """Begin to collect the directory anew."""
+        self._started = self._clock()
         self._leader_contact_at: float | None = None
         self._peer_synced_at: dict[str, float] = {}
         self._reset_completeness()
@@ -59,7 +59,7 @@
         now = self._clock()
         if (
             self._leader_contact_at is None
-            or now - self._leader_contact_at > self._settings.lease
+            or now - self._leader_contact_at > self._settings.lease_s
         ):
             self._reset_completeness()
         self._leader_contact_at = now
@@ -75,11 +75,11 @@
     def may_miss_tombstones(self) -> bool:
         """Return whether tombstones may have been missed."""
         synced = [
-            self._peer_synced_at.get(peer, self._started_at) for peer in self._peers()
+            self._peer_synced_at.get(peer, self._started) for peer in self._peers()
         ]
         mesh_at = min(synced, default=self._clock())
         leader_at = (
-            self._started_at
+            self._started
             if self._leader_contact_at is None
             else self._leader_contact_at
         )
@@ -94,7 +94,7 @@
 
     def _evaluate(self) -> bool:
         now = self._clock()
-        if (now - self._started_at) * 1_000 < self._settings.settle_ms:
+        if (now - self._started) * 1_000 < self._settings.settle_ms:
             return False
         uploaded = all(peer in self._uploaded_peers for peer in self._peers())
         waited_ms = (now - self._leader_resumed_at) * 1_000
--- a/packages/membership/src/kingcuplug_membership/_hosts.py
+++ b/packages/membership/src/kingcuplug_membership/_hosts.py
@@ -80,7 +80,7 @@
     @property
     def complete(self) -> bool:
         """Return whether all leases granted under earlier leaders have expired."""
-        return self._clock() >= self._started_at + self._settings.lease
+        return self._clock() >= self._started_at + self._settings.lease_s
 
     def record(self, request: BarrierRequest) -> bool:
         """Merge a control host's sessions; return False if a full report is needed."""
@@ -141,7 +141,7 @@
         self._live_incarnations = live
         return live
 
-    def live_since(self, version: int) -> tuple[dict[str, int | None], int]:
+    def live_changes_since(self, version: int) -> tuple[dict[str, int | None], int]:
         """Return live incarnations (None: not live) changed after `version`."""
         hosts = self._live_changes.keys_since(version)
         return {host: self._live_incarnations.get(host) for host in hosts}, (
@@ -150,7 +150,7 @@
 
     def _unexpired(self) -> list[tuple[str, _ControlHostRecord]]:
         """Return the control hosts whose leases may still run."""
-        cutoff = self._clock() - self._settings.lease
+        cutoff = self._clock() - self._settings.lease_s
         self._former_runs = [
             item for item in self._former_runs if item[1].received_at > cutoff
         ]
--- a/packages/membership/src/kingcuplug_membership/_leader_exchange.py
+++ b/packages/membership/src/kingcuplug_membership/_leader_exchange.py
@@ -104,7 +104,7 @@
         """Return the time up to which this host may grant session leases."""
         if self._leader_role.is_active():
             self._record_leading()
-            self._grant_limit = self._clock() + self._settings.safe_lease
+            self._grant_limit = self._clock() + self._settings.safe_lease_s
         while self._unapplied and self._unapplied[0][0] <= self._leader.applied_index():
             self._grant_limit = max(self._grant_limit, self._unapplied.popleft()[1])
         return self._grant_limit
@@ -113,7 +113,7 @@
         """Wait until an exchange that began at `since` or later is applied here."""
         self._wakeup.set()
         # The log does not notify membership of applied entries, so poll for them.
-        while self.grant_until() - self._settings.safe_lease < since:  # noqa: ASYNC110
+        while self.grant_until() - self._settings.safe_lease_s < since:  # noqa: ASYNC110
             await asyncio.sleep(_CONFIRM_POLL_S)
 
     def uploaded_version(self) -> int:
@@ -126,7 +126,7 @@
 
     def is_failing(self) -> bool:
         """Return whether sessions should move elsewhere before their leases expire."""
-        return self.grant_until() - self._clock() < self._settings.safe_lease / 2
+        return self.grant_until() - self._clock() < self._settings.safe_lease_s / 2
 
     def live_incarnations(self) -> dict[str, int] | None:
         """Return incarnations of live entry hosts; None if not yet known."""
@@ -265,7 +265,7 @@
         if reply.more or upload.more:
             return False
         self._unapplied.append(
-            (reply.commit_index, sent_at + self._settings.safe_lease)
+            (reply.commit_index, sent_at + self._settings.safe_lease_s)
         )
         return True
 
--- a/packages/membership/src/kingcuplug_membership/_leader_role.py
+++ b/packages/membership/src/kingcuplug_membership/_leader_role.py
@@ -135,7 +135,7 @@
         if not table.complete:
             return None, 0, False
         full = request.table != table.epoch or request.live_version == 0
-        changes, version = table.live_since(0 if full else request.live_version)
+        changes, version = table.live_changes_since(0 if full else request.live_version)
         return (changes if changes or full else None), version, full
 
     def _relay_changes(
--- a/packages/membership/src/kingcuplug_membership/_mesh.py
+++ b/packages/membership/src/kingcuplug_membership/_mesh.py
@@ -140,7 +140,7 @@
             local=True,
             limit=self._settings.batch_limit,
         )
-        verdicts = self._verdicts.since(
+        verdicts = self._verdicts.added_since(
             0 if full else request.verdict_version, local=True
         )
         return MeshReply(
--- a/packages/membership/src/kingcuplug_membership/_session_client.py
+++ b/packages/membership/src/kingcuplug_membership/_session_client.py
@@ -99,7 +99,7 @@
         self._liveness_queries: dict[str, asyncio.Future[int | None]] = {}
         self._request_number = 0
         self._home_index = 0
-        self._refusals = 0
+        self._consecutive_refusals = 0
         self._return_home_at = 0.0
         self._replied_at = float("-inf")
         self._delivered_version = 0
@@ -163,7 +163,7 @@
             except (OSError, TimeoutError, KingcuplugError):
                 granted = False
             if granted:
-                self._refusals = 0
+                self._consecutive_refusals = 0
             else:
                 await self._switch_home()
 
@@ -178,8 +178,8 @@
 
     async def _switch_home(self) -> None:
         """Switch to the next control host; pause once all of them have refused."""
-        rounds = self._refusals // max(1, len(self._ordered_seeds()))
-        self._refusals += 1
+        rounds = self._consecutive_refusals // max(1, len(self._ordered_seeds()))
+        self._consecutive_refusals += 1
         self._home_index += 1
         self._return_home_at = self._clock() + self._settings.return_ms / 1_000
         self._reset_session()
@@ -201,7 +201,7 @@
     async def _exchange(self) -> bool:
         """Run one exchange; return False if the control host grants nothing."""
         home = self._select_home()
-        if self._clock() - self._replied_at > self._settings.lease:
+        if self._clock() - self._replied_at > self._settings.lease_s:
             self._reset_session()
         self._local_change.clear()
         sent = _SentRequest(
@@ -232,7 +232,7 @@
             verdict_version=self._verdict_version,
             services=None if services == self._sent_services else services,
             updates=tuple(updates),
-            verdicts=self.verdicts.since(self._sent_verdicts_version, local=True),
+            verdicts=self.verdicts.added_since(self._sent_verdicts_version, local=True),
             asked=tuple(self._liveness_queries),
         )
 
--- a/packages/membership/src/kingcuplug_membership/_session_server.py
+++ b/packages/membership/src/kingcuplug_membership/_session_server.py
@@ -252,7 +252,7 @@
         reason = self._refusal_reason(request)
         if reason:
             return SessionReply(reason=reason, refused=refused)
-        until = min(received + self._settings.lease, self.barrier.grant_until())
+        until = min(received + self._settings.lease_s, self.barrier.grant_until())
         self._sessions.record_grant(session, until)
         revision, digest, deltas, text = self._configuration_changes(request)
         changes = self.directory.changes_since(
@@ -299,7 +299,7 @@
 
     def _new_verdicts(self, request: SessionRequest) -> tuple[Verdict, ...]:
         sent = {verdict.key for verdict in request.verdicts}
-        added = self.verdicts.since(request.verdict_version)
+        added = self.verdicts.added_since(request.verdict_version)
         return tuple(verdict for verdict in added if verdict.key not in sent)
 
     def _liveness_answers(
--- a/packages/membership/src/kingcuplug_membership/_settings.py
+++ b/packages/membership/src/kingcuplug_membership/_settings.py
@@ -67,11 +67,11 @@
     return_ms: int = 300_000
 
     @property
-    def lease(self) -> float:
+    def lease_s(self) -> float:
         """Return the session lease in seconds as the granting side counts it."""
         return self.lease_ms / 1_000
 
     @property
-    def safe_lease(self) -> float:
+    def safe_lease_s(self) -> float:
         """Return the session lease in seconds, shortened by the drift bound."""
-        return self.lease * (1 - self.drift_bound)
+        return self.lease_s * (1 - self.drift_bound)
--- a/packages/membership/src/kingcuplug_membership/_verdicts.py
+++ b/packages/membership/src/kingcuplug_membership/_verdicts.py
@@ -92,7 +92,7 @@
             callback(verdict)
         return True
 
-    def since(self, version: int, local: bool = False) -> tuple[Verdict, ...]:
+    def added_since(self, version: int, local: bool = False) -> tuple[Verdict, ...]:
         """Return the verdicts added after `version` that have not expired."""
         now = self._clock()
         unexpired = []
--- a/tests/membership/conftest.py
+++ b/tests/membership/conftest.py
@@ -133,7 +133,7 @@
         self.term += 1
         if name is not None:
             # A leader has all committed entries and applies them before it leads.
-            self.control_hosts[name].applied = len(self.texts) - 1
+            self.control_hosts[name].applied_revision = len(self.texts) - 1
 
     def leading_until(self, name: str) -> float:
         """Return the end of a control host's lease as leader."""
@@ -165,7 +165,7 @@
     def __init__(self, system: "System", name: str) -> None:
         self.system = system
         self.name = name
-        self.applied = 0
+        self.applied_revision = 0
         self.replicates = True
         self.start()
 
@@ -176,20 +176,20 @@
             self.name,
             lambda: [name for name in self.system.control_hosts if name != self.name],
             ConfigurationSource(
-                lambda: self.applied,
+                lambda: self.applied_revision,
                 lambda revision: (
-                    [{"n": n} for n in range(revision + 1, self.applied)]
-                    + [{"n": self.applied}]
+                    [{"n": n} for n in range(revision + 1, self.applied_revision)]
+                    + [{"n": self.applied_revision}]
                 ),
-                lambda: log.texts[self.applied],
-                lambda: digest(log.texts[self.applied]),
+                lambda: log.texts[self.applied_revision],
+                lambda: digest(log.texts[self.applied_revision]),
             ),
             LeaderSource(
                 lambda: log.leading_until(self.name),
                 lambda: log.leader,
                 lambda: log.term,
                 lambda: len(log.texts) - 1,
-                lambda: self.applied,
+                lambda: self.applied_revision,
             ),
             network.make_call("barrier", self.name),
             clock,
@@ -222,8 +222,12 @@
             reachable = log.leader and self.system.network.reachable(
                 self.name, log.leader
             )
-            if self.replicates and reachable and self.applied < len(log.texts) - 1:
-                self.applied = len(log.texts) - 1
+            if (
+                self.replicates
+                and reachable
+                and self.applied_revision < len(log.texts) - 1
+            ):
+                self.applied_revision = len(log.texts) - 1
                 self.server.wake()
 
     def stop(self) -> None:
--- a/tests/membership/test_sessions.py
+++ b/tests/membership/test_sessions.py
@@ -455,9 +455,13 @@
     for number in range(5):
         assert board.add(Verdict(f"f{number}"))
     assert not board.add(Verdict("f4"))
-    assert [verdict.fingerprint for verdict in board.since(0)] == ["f2", "f3", "f4"]
+    assert [verdict.fingerprint for verdict in board.added_since(0)] == [
+        "f2",
+        "f3",
+        "f4",
+    ]
     time[0] = 601.0
-    assert board.since(0) == ()
+    assert board.added_since(0) == ()
     assert board.add(Verdict("f4"))
     assert len(board) == 1
 
