--- a/packages/membership/src/kingcuplug_membership/_hosts.py
+++ b/packages/membership/src/kingcuplug_membership/_hosts.py
@@ -23,7 +23,7 @@
 
     Attributes
     ----------
-    confirmed : int
+    confirmed_revision : int
         Revision of the configuration that is in force there.
     control_host : str
         Control host that serves its session.
--- a/packages/membership/src/kingcuplug_membership/_session_server.py
+++ b/packages/membership/src/kingcuplug_membership/_session_server.py
@@ -49,9 +49,9 @@
         All backend servers.
     verdicts : CrashVerdictTable
         Crash verdicts of all entry hosts.
-    barrier : LeaderExchange
+    leader_exchange : LeaderExchange
         The barrier exchange with the leader.
-    continuity : CompletenessTracker
+    completeness : CompletenessTracker
         Completeness of the directory; the mesh updates it too.
     """
 
--- a/tests/membership/test_servers.py
+++ b/tests/membership/test_servers.py
@@ -143,7 +143,7 @@
                 or not entry.client.is_confirmed()
                 for entry in system.entry_hosts.values()
                 # An entry host that is cut off as it accepts the announcement cannot
-                # replicate it; its `delivered` does not return.
+                # replicate it; its `wait_delivered` does not return.
                 if cut != "e0" or entry.name == "e0"
             ),
             3,
