--- a/packages/membership/src/kingcuplug_membership/_change_log.py
+++ b/packages/membership/src/kingcuplug_membership/_change_log.py
@@ -68,7 +68,7 @@
         return keys
 
     def version_before(self, time: float) -> int:
-        """Return the newest version that contains no change from `time` on."""
+        """Return a version that contains no change made from `time` on."""
         for record in reversed(self._records.values()):
             if record.time < time:
                 return record.version
--- a/packages/membership/src/kingcuplug_membership/_completeness.py
+++ b/packages/membership/src/kingcuplug_membership/_completeness.py
@@ -77,22 +77,22 @@
         synced = [
             self._peer_synced_at.get(peer, self._started) for peer in self._peers()
         ]
-        mesh_at = min(synced, default=self._clock())
+        peers_at = min(synced, default=self._clock())
         leader_at = (
             self._started
             if self._leader_contact_at is None
             else self._leader_contact_at
         )
-        gap = self._clock() - max(leader_at, mesh_at)
+        gap = self._clock() - max(leader_at, peers_at)
         return gap > self._settings.tombstone_ms / 2_000
 
     def is_complete(self) -> bool:
         """Return whether the directory is complete enough to serve entry hosts."""
         if not self._complete and self._leader_contact_at is not None:
-            self._complete = self._evaluate()
+            self._complete = self._check_complete()
         return self._complete
 
-    def _evaluate(self) -> bool:
+    def _check_complete(self) -> bool:
         now = self._clock()
         if (now - self._started) * 1_000 < self._settings.settle_ms:
             return False
--- a/packages/membership/src/kingcuplug_membership/_directory.py
+++ b/packages/membership/src/kingcuplug_membership/_directory.py
@@ -85,7 +85,7 @@
         return [entry for entry in entries if entry.live]
 
     def services(self) -> list[str]:
-        """Return the names of all services that have a known server."""
+        """Return the names of all services that have an entry."""
         return list(self._services)
 
     def merge(self, entry: ServerEntry, local: bool = False) -> bool:
@@ -179,17 +179,17 @@
             for service in wanted
             for server in self._services.get(service, ())
         ]
-        marks = self._changes
-        keys = [key for key in keys if marks[key].version > version]
-        keys = [key for key in keys if marks[key].local or not local]
-        return sorted(keys, key=lambda key: marks[key].version)
+        changes = self._changes
+        keys = [key for key in keys if changes[key].version > version]
+        keys = [key for key in keys if changes[key].local or not local]
+        return sorted(keys, key=lambda key: changes[key].version)
 
     def has_changes(self, version: int, services: frozenset[str]) -> bool:
         """Return whether a server of `services` changed after `version`."""
         return any(key[0] in services for key, _ in self._changes.newest_since(version))
 
     def version_before(self, time: float) -> int:
-        """Return the newest version that contains no change from `time` on."""
+        """Return a version that contains no change made from `time` on."""
         return self._changes.version_before(time)
 
     def lease_holders(self) -> list[str]:
@@ -233,7 +233,7 @@
             callback(entry)
 
     def keys(self) -> list[Key]:
-        """Return (service, server) of all known servers."""
+        """Return (service, server) of all entries."""
         return list(self._entries)
 
     def reset(self) -> None:
--- a/packages/membership/src/kingcuplug_membership/_entry.py
+++ b/packages/membership/src/kingcuplug_membership/_entry.py
@@ -1,7 +1,8 @@
 """State of one backend server as the directory stores and sends it.
 
-Entries form a join semilattice: merging is commutative, associative and idempotent,
-so updates may arrive in any order and more than once.
+An entry is the join of all updates to the server's greatest announcement. The join is
+commutative, associative and idempotent, so updates may arrive in any order and more
+than once.
 """
 
 from dataclasses import dataclass
@@ -70,7 +71,7 @@
 
 
 def _tie_break_key(announcement: Announcement) -> tuple[bool, str]:
-    # Announcements of equal order have equal content unless the server is faulty or
+    # Announcements of equal rank have equal content unless the server is faulty or
     # withdraws. Comparing the text breaks the tie, so that all hosts converge.
     return (announcement.state == "withdrawn", repr(announcement))
 
--- a/packages/membership/src/kingcuplug_membership/_mesh.py
+++ b/packages/membership/src/kingcuplug_membership/_mesh.py
@@ -154,10 +154,10 @@
 
     async def _wait_for_changes(self, request: MeshRequest) -> None:
         """Wait for changes, for at most the poll period."""
-        end = self._clock() + self._settings.mesh_poll_ms / 1_000
+        deadline = self._clock() + self._settings.mesh_poll_ms / 1_000
         while not self._has_changes(request):
             try:
-                async with asyncio.timeout(end - self._clock()):
+                async with asyncio.timeout(deadline - self._clock()):
                     await self._changed.wait()
             except TimeoutError:
                 return
--- a/packages/membership/src/kingcuplug_membership/_session_server.py
+++ b/packages/membership/src/kingcuplug_membership/_session_server.py
@@ -118,12 +118,12 @@
             If the request cannot be read.
         """
         request = decode(SessionRequest, message)
-        received = self._clock()
+        received_at = self._clock()
         session = self._find_or_open(request)
         if isinstance(session, SessionReply):
             return encode(session)
         may_start = request.epoch == "" and not self._refusal_reason(request)
-        if may_start and not await self._wait_leader_confirms(received):
+        if may_start and not await self._wait_leader_confirms(received_at):
             return encode(SessionReply(reason="the leader does not answer in time"))
         full = request.epoch == "" or self._update_services(session, request)
         self._sessions.record_revision(session, request.confirmed)
@@ -137,9 +137,9 @@
         if not self._is_current(session, request):
             return encode(_overtaken_reply())
         session.replied_at = self._clock()
-        return encode(self._build_reply(session, request, received, full, refused))
+        return encode(self._build_reply(session, request, received_at, full, refused))
 
-    async def _wait_leader_confirms(self, received: float) -> bool:
+    async def _wait_leader_confirms(self, received_at: float) -> bool:
         """Return whether the leader confirmed this host after a request arrived.
 
         A host that begins a session may have served a newer revision before its
@@ -147,7 +147,7 @@
         """
         try:
             async with asyncio.timeout(self._settings.barrier_ms / 1_000):
-                await self.barrier.wait_confirmed(received)
+                await self.barrier.wait_confirmed(received_at)
         except TimeoutError:
             return False
         return True
@@ -205,14 +205,14 @@
         self, session: Session, request: SessionRequest
     ) -> None:
         """Wait for changes, for at most the poll period."""
-        end = self._clock() + self._settings.poll_ms / 1_000
+        deadline = self._clock() + self._settings.poll_ms / 1_000
         while self._is_current(session, request):
             session.wakeup.clear()
             if self._has_changes(session, request):
                 await self._space_replies(session)
                 return
             try:
-                async with asyncio.timeout(end - self._clock()):
+                async with asyncio.timeout(deadline - self._clock()):
                     await session.wakeup.wait()
             except TimeoutError:
                 return
@@ -245,14 +245,14 @@
         self,
         session: Session,
         request: SessionRequest,
-        received: float,
+        received_at: float,
         full: bool,
         refused: tuple[ServerEntry, ...],
     ) -> SessionReply:
         reason = self._refusal_reason(request)
         if reason:
             return SessionReply(reason=reason, refused=refused)
-        until = min(received + self._settings.lease_s, self.barrier.grant_until())
+        until = min(received_at + self._settings.lease_s, self.barrier.grant_until())
         self._sessions.record_grant(session, until)
         revision, digest, deltas, text = self._configuration_changes(request)
         changes = self.directory.changes_since(
@@ -266,7 +266,7 @@
             session.undelivered_version = 0
         return SessionReply(
             epoch=self.directory.epoch,
-            lease_ms=max(0, int((until - received) * 1_000)),
+            lease_ms=max(0, int((until - received_at) * 1_000)),
             revision=revision,
             digest=digest,
             deltas=deltas,
--- a/tests/membership/conftest.py
+++ b/tests/membership/conftest.py
@@ -205,14 +205,14 @@
         )
         network.handlers["session", self.name] = self.server.handle
         network.handlers["mesh", self.name] = self.mesh.handle
-        network.handlers["barrier", self.name] = self._barrier
+        network.handlers["barrier", self.name] = self._handle_barrier
         self.tasks = [
             asyncio.ensure_future(self.server.run()),
             asyncio.ensure_future(self.mesh.run()),
             asyncio.ensure_future(self._replicate()),
         ]
 
-    async def _barrier(self, message: Any) -> Any:
+    async def _handle_barrier(self, message: Any) -> Any:
         return self.server.barrier.handle(message)
 
     async def _replicate(self) -> None:
@@ -273,13 +273,17 @@
         self.tasks = [asyncio.ensure_future(self.client.run())]
 
     def _apply(
-        self, revision: int, deltas: list[Any] | None, text: str | None, wanted: str
+        self,
+        revision: int,
+        deltas: list[Any] | None,
+        text: str | None,
+        expected_digest: str,
     ) -> None:
         result = text if deltas is None else json.dumps(deltas[-1])
         if self.failures_to_apply:
             self.failures_to_apply -= 1
             result = "other"
-        if result is None or digest(result) != wanted:
+        if result is None or digest(result) != expected_digest:
             raise ValueError(f"digest of revision {revision} differs")
         self.revision, self.text = revision, result
 
@@ -335,9 +339,9 @@
 
     def announce(self, **fields: Any) -> None:
         """Announce through the first entry host that accepts the announcement."""
-        entries = list(self.system.entry_hosts.values())
-        for offset in range(len(entries)):
-            entry = entries[(self.entry_index + offset) % len(entries)]
+        entry_hosts = list(self.system.entry_hosts.values())
+        for offset in range(len(entry_hosts)):
+            entry_host = entry_hosts[(self.entry_index + offset) % len(entry_hosts)]
             self.announcement = make_announcement(
                 **(
                     {
@@ -349,18 +353,19 @@
                 )
             )
             if self._succeeds(
-                entry, lambda e=entry: e.leases.announce(self.announcement)
+                entry_host,
+                lambda host=entry_host: host.leases.announce(self.announcement),
             ):
                 self.entry_host, self.entry_index = (
-                    entry,
-                    (self.entry_index + offset) % len(entries),
+                    entry_host,
+                    (self.entry_index + offset) % len(entry_hosts),
                 )
                 return
         self.entry_host = None
 
-    def _succeeds(self, entry: EntryHost, action: Callable[[], object]) -> bool:
+    def _succeeds(self, entry_host: EntryHost, action: Callable[[], object]) -> bool:
         network = self.system.network
-        if not network.reachable(self.announcement.server, entry.name):
+        if not network.reachable(self.announcement.server, entry_host.name):
             return False
         try:
             action()
@@ -383,7 +388,7 @@
         self.network = FakeNetwork(seed)
         self.log = FakeLog(self.network)
         self.log.control_names = [f"c{number}" for number in range(control_count)]
-        self.election = asyncio.ensure_future(self.log.run())
+        self.election_task = asyncio.ensure_future(self.log.run())
         self.control_hosts: dict[str, ControlHost] = dict.fromkeys(
             self.log.control_names
         )
@@ -400,19 +405,20 @@
         """Return the leader's session server."""
         return self.control_hosts[self.log.leader or "c0"].server
 
-    def home_of(self, entry: str) -> str:
+    def home_of(self, entry_host: str) -> str:
         """Return the control host that serves an entry host now."""
         for name, control in self.control_hosts.items():
             rows, _ = control.server._sessions.changes_since(0)
-            if any(row.host == entry for row in rows):
+            if any(row.host == entry_host for row in rows):
                 return name
-        raise LookupError(entry)
+        raise LookupError(entry_host)
 
     async def wait_ready(self) -> None:
         """Wait until every entry host serves."""
         await wait_until(
             lambda: all(
-                entry.client.is_confirmed() for entry in self.entry_hosts.values()
+                entry_host.client.is_confirmed()
+                for entry_host in self.entry_hosts.values()
             )
         )
 
@@ -435,10 +441,10 @@
     """Return a function that runs a scenario once every entry host serves."""
 
     def run(
-        scenario: Scenario, controls: int = 3, entries: int = 3, seed: int = 1
+        scenario: Scenario, control_count: int = 3, entry_count: int = 3, seed: int = 1
     ) -> None:
         async def main() -> None:
-            system = System(controls, entries, seed)
+            system = System(control_count, entry_count, seed)
             await system.wait_ready()
             await scenario(system)
 
--- a/tests/membership/test_sessions.py
+++ b/tests/membership/test_sessions.py
@@ -34,11 +34,16 @@
 
 
 def all_confirmed(system: System) -> bool:
-    return all(entry.client.is_confirmed() for entry in system.entry_hosts.values())
+    return all(
+        entry_host.client.is_confirmed() for entry_host in system.entry_hosts.values()
+    )
 
 
-def all_list(system: System, servers: list[str]) -> bool:
-    return all(entry.live_servers() == servers for entry in system.entry_hosts.values())
+def listed_everywhere(system: System, servers: list[str]) -> bool:
+    return all(
+        entry_host.live_servers() == servers
+        for entry_host in system.entry_hosts.values()
+    )
 
 
 async def assert_holds(condition: Callable[[], bool], duration_s: float) -> None:
@@ -55,13 +60,13 @@
         BackendServer(system, name, entry_index=number)
         for number, name in enumerate(names)
     ]
-    await wait_until(lambda: all_list(system, names))
+    await wait_until(lambda: listed_everywhere(system, names))
     return names
 
 
-@pytest.mark.parametrize("controls", [1, 3])
+@pytest.mark.parametrize("control_count", [1, 3])
 def test_control_host_restart_keeps_service(
-    run_scenario: RunScenario, controls: int
+    run_scenario: RunScenario, control_count: int
 ) -> None:
     # Guards against an outage while a control host with a new epoch collects the
     # directory, and against entry hosts that adopt its first, incomplete reply.
@@ -70,10 +75,10 @@
         for control in system.control_hosts.values():
             control.restart()
             await assert_holds(
-                lambda: all_confirmed(system) and all_list(system, names), 5
+                lambda: all_confirmed(system) and listed_everywhere(system, names), 5
             )
 
-    run_scenario(scenario, controls=controls)
+    run_scenario(scenario, control_count=control_count)
 
 
 @pytest.mark.parametrize("silent", [True, False])
@@ -90,7 +95,7 @@
         else:
             system.control_hosts[home].stop()
         await assert_holds(
-            lambda: all_confirmed(system) and all_list(system, names), 10
+            lambda: all_confirmed(system) and listed_everywhere(system, names), 10
         )
         assert system.home_of("e1") != home
 
@@ -109,7 +114,7 @@
         others = set(system.control_hosts) - {home}
         system.network.severed_links |= {frozenset((home, other)) for other in others}
         await assert_holds(
-            lambda: all_confirmed(system) and all_list(system, names), 10
+            lambda: all_confirmed(system) and listed_everywhere(system, names), 10
         )
 
     run_scenario(scenario)
@@ -118,17 +123,17 @@
 def test_session_returns_to_preferred_control_host(run_scenario: RunScenario) -> None:
     # Guards against sessions that accumulate at the control hosts that never restart.
     async def scenario(system: System) -> None:
-        first = rendezvous_order("e0", system.control_hosts)[0]
-        system.control_hosts[first].stop()
+        preferred = rendezvous_order("e0", system.control_hosts)[0]
+        system.control_hosts[preferred].stop()
         await asyncio.sleep(4)
-        system.control_hosts[first].start()
+        system.control_hosts[preferred].start()
         await asyncio.sleep(4)
-        assert system.home_of("e0") != first
+        assert system.home_of("e0") != preferred
         await asyncio.sleep(300)
-        assert system.home_of("e0") == first
+        assert system.home_of("e0") == preferred
         assert all_confirmed(system)
 
-    run_scenario(scenario, controls=2, entries=1)
+    run_scenario(scenario, control_count=2, entry_count=1)
 
 
 def test_quorum_loss_stops_service_and_keeps_servers(run_scenario: RunScenario) -> None:
@@ -140,16 +145,17 @@
         await asyncio.sleep(3.0)
         await assert_holds(
             lambda: (
-                all_list(system, names)
+                listed_everywhere(system, names)
                 and not any(
-                    entry.client.is_confirmed() for entry in system.entry_hosts.values()
+                    entry_host.client.is_confirmed()
+                    for entry_host in system.entry_hosts.values()
                 )
             ),
             20,
         )
         system.log.elect("c1")
         await wait_until(lambda: all_confirmed(system), 2)
-        await assert_holds(lambda: all_list(system, names), 5)
+        await assert_holds(lambda: listed_everywhere(system, names), 5)
 
     run_scenario(scenario)
 
@@ -165,10 +171,10 @@
         )
         system.network.isolated |= {isolated_host, "c0"}
         await wait_until(lambda: system.log.leader in ("c1", "c2"))
-        elected = now()
+        elected_at = now()
         revision = system.log.accept_revision()
         await system.leader.wait_in_force(revision)
-        assert now() - elected >= 3.0
+        assert now() - elected_at >= 3.0
         assert not system.entry_hosts[isolated_host].client.is_confirmed()
 
     run_scenario(scenario)
@@ -195,7 +201,9 @@
         started = now()
         await system.leader.wait_in_force(system.log.accept_revision())
         assert now() - started < 1.5
-        assert {entry.revision for entry in system.entry_hosts.values()} == {1}
+        assert {entry_host.revision for entry_host in system.entry_hosts.values()} == {
+            1
+        }
 
     run_scenario(scenario)
 
@@ -209,14 +217,14 @@
             for name in system.entry_hosts
         }
         name, home = next(item for item in preferred_homes.items() if item[1] != "c0")
-        entry = system.entry_hosts[name]
+        entry_host = system.entry_hosts[name]
         for other in system.entry_hosts:
             if home in (preferred_homes[other], system.home_of(other)):
                 system.entry_hosts[other].stop()
-        entry.stop()
+        entry_host.stop()
         await asyncio.sleep(5)
-        entry.start()
-        await wait_until(entry.client.is_confirmed, 1)
+        entry_host.start()
+        await wait_until(entry_host.client.is_confirmed, 1)
         assert name not in {status.host for status in system.leader.hosts()}
         system.network.drop_rules.append(
             lambda kind, source, peer, step: kind == "barrier" and source == home
@@ -225,7 +233,7 @@
         system.control_hosts[home].replicates = False
         revision = system.log.accept_revision()
         await system.leader.wait_in_force(revision)
-        assert entry.revision == revision or not entry.client.is_confirmed()
+        assert entry_host.revision == revision or not entry_host.client.is_confirmed()
 
     run_scenario(scenario)
 
@@ -241,16 +249,16 @@
             for name in system.entry_hosts
         }
         name, home = next(item for item in preferred_homes.items() if item[1] != "c0")
-        entry = system.entry_hosts[name]
-        entry.stop()
+        entry_host = system.entry_hosts[name]
+        entry_host.stop()
         system.network.drop_rules.append(
             lambda kind, source, peer, step: kind == "barrier" and source == home
         )
         system.control_hosts[home].replicates = False
         revision = system.log.accept_revision()
-        entry.start()
-        await wait_until(entry.client.is_confirmed, 4)
-        assert entry.revision == revision
+        entry_host.start()
+        await wait_until(entry_host.client.is_confirmed, 4)
+        assert entry_host.revision == revision
         assert system.home_of(name) != home
 
     run_scenario(scenario)
@@ -267,7 +275,7 @@
             for name in system.entry_hosts
         }
         name, home = next(item for item in preferred_homes.items() if item[1] != "c0")
-        entry = system.entry_hosts[name]
+        entry_host = system.entry_hosts[name]
         await wait_until(lambda: system.home_of(name) == home, 400)
         await wait_until(lambda: len(system.leader.hosts()) == len(system.entry_hosts))
         system.control_hosts[home].stop()
@@ -275,7 +283,7 @@
         revision = system.log.accept_revision()
         system.control_hosts[home].start()
         await system.leader.wait_in_force(revision)
-        assert entry.revision == revision or not entry.client.is_confirmed()
+        assert entry_host.revision == revision or not entry_host.client.is_confirmed()
 
     run_scenario(scenario)
 
@@ -311,14 +319,14 @@
 ) -> None:
     # Guards against an entry host that serves a text other than the accepted one.
     async def scenario(system: System) -> None:
-        entry = system.entry_hosts["e1"]
-        entry.failures_to_apply = 3
+        entry_host = system.entry_hosts["e1"]
+        entry_host.failures_to_apply = 3
         revision = system.log.accept_revision()
-        await wait_until(lambda: entry.failures_to_apply < 3)
-        assert not entry.client.is_confirmed()
-        await wait_until(lambda: entry.failures_to_apply == 0)
-        await wait_until(entry.client.is_confirmed)
-        assert (entry.revision, entry.text) == (revision, '{"n": 1}')
+        await wait_until(lambda: entry_host.failures_to_apply < 3)
+        assert not entry_host.client.is_confirmed()
+        await wait_until(lambda: entry_host.failures_to_apply == 0)
+        await wait_until(entry_host.client.is_confirmed)
+        assert (entry_host.revision, entry_host.text) == (revision, '{"n": 1}')
 
     run_scenario(scenario)
 
@@ -333,24 +341,26 @@
 
     async def _run(self) -> None:
         while True:
-            for entry in self.system.entry_hosts.values():
-                if entry.client.is_confirmed():
-                    self._check_text(entry)
-                    self._check_drains(entry)
+            for entry_host in self.system.entry_hosts.values():
+                if entry_host.client.is_confirmed():
+                    self._check_text(entry_host)
+                    self._check_drains(entry_host)
             await asyncio.sleep(0.02)
 
-    def _check_text(self, entry: EntryHost) -> None:
+    def _check_text(self, entry_host: EntryHost) -> None:
         accepted_at = self.system.log.accepted_at
-        superseded = entry.revision + 1 < len(accepted_at)
-        if superseded and now() - accepted_at[entry.revision + 1] > 4.0:
-            raise AssertionError(f"{entry.name} serves {entry.revision} at {now()}")
+        superseded = entry_host.revision + 1 < len(accepted_at)
+        if superseded and now() - accepted_at[entry_host.revision + 1] > 4.0:
+            raise AssertionError(
+                f"{entry_host.name} serves {entry_host.revision} at {now()}"
+            )
 
-    def _check_drains(self, entry: EntryHost) -> None:
+    def _check_drains(self, entry_host: EntryHost) -> None:
         for name, rank, drained_at in self.drains:
-            known = entry.client.directory.get("counter", name)
-            stale = known and known.live and known.announcement.rank < rank
+            current = entry_host.client.directory.get("counter", name)
+            stale = current and current.live and current.announcement.rank < rank
             if stale and now() - drained_at > 3.0:
-                raise AssertionError(f"{entry.name} uses {name} at {now()}")
+                raise AssertionError(f"{entry_host.name} uses {name} at {now()}")
 
     def drain(self, server: BackendServer) -> None:
         """Drain a server, and record it once the leader has the change."""
@@ -426,8 +436,10 @@
         await asyncio.sleep(10)
         await system.leader.wait_in_force(revision)
         assert all_confirmed(system)
-        assert all_list(system, names)
-        assert {entry.revision for entry in system.entry_hosts.values()} == {revision}
+        assert listed_everywhere(system, names)
+        assert {entry_host.revision for entry_host in system.entry_hosts.values()} == {
+            revision
+        }
         checker.stop()
 
     run_scenario(scenario, seed=seed)
@@ -439,7 +451,7 @@
     async def scenario(system: System) -> None:
         system.entry_hosts["e0"].client.report(Verdict("f1", "s1", 1))
         system.entry_hosts["e1"].client.report(Verdict("f1"))
-        clients = [entry.client for entry in system.entry_hosts.values()]
+        clients = [entry_host.client for entry_host in system.entry_hosts.values()]
         await wait_until(
             lambda: all(len(client.verdicts) == 2 for client in clients), 1
         )
@@ -451,19 +463,19 @@
     # Guards against a table that grows without bound, and against a request that is
     # refused for good.
     time = [0.0]
-    board = CrashVerdictTable(lambda: time[0], MembershipSettings(verdict_limit=3))
+    table = CrashVerdictTable(lambda: time[0], MembershipSettings(verdict_limit=3))
     for number in range(5):
-        assert board.add(Verdict(f"f{number}"))
-    assert not board.add(Verdict("f4"))
-    assert [verdict.fingerprint for verdict in board.added_since(0)] == [
+        assert table.add(Verdict(f"f{number}"))
+    assert not table.add(Verdict("f4"))
+    assert [verdict.fingerprint for verdict in table.added_since(0)] == [
         "f2",
         "f3",
         "f4",
     ]
     time[0] = 601.0
-    assert board.added_since(0) == ()
-    assert board.add(Verdict("f4"))
-    assert len(board) == 1
+    assert table.added_since(0) == ()
+    assert table.add(Verdict("f4"))
+    assert len(table) == 1
 
 
 def test_liveness_of_a_run_of_an_entry_host(run_scenario: RunScenario) -> None:
@@ -548,7 +560,7 @@
         assert "lease_ms" not in reply
         assert "not complete" in reply["reason"]
 
-    run_scenario(scenario, controls=1)
+    run_scenario(scenario, control_count=1)
 
 
 def test_new_leader_grants_nothing_before_others_upload(
@@ -573,36 +585,36 @@
     # Guards against grants from a directory that lacks changes that other control
     # hosts received while there was no leader.
     time = [0.0]
-    continuity = CompletenessTracker(lambda: time[0], lambda: ["c1", "c2"])
-    continuity.record_leader_contact()
-    assert not continuity.is_complete()
+    tracker = CompletenessTracker(lambda: time[0], lambda: ["c1", "c2"])
+    tracker.record_leader_contact()
+    assert not tracker.is_complete()
     time[0] = 1.1
-    continuity.record_leader_contact()
-    continuity.record_upload("c1")
-    assert not continuity.is_complete()
-    continuity.record_upload("c2")
-    assert continuity.is_complete()
+    tracker.record_leader_contact()
+    tracker.record_upload("c1")
+    assert not tracker.is_complete()
+    tracker.record_upload("c2")
+    assert tracker.is_complete()
     time[0] = 3.0
-    continuity.record_leader_contact()
-    assert continuity.is_complete()
+    tracker.record_leader_contact()
+    assert tracker.is_complete()
     time[0] = 7.0
-    continuity.record_leader_contact()
-    assert not continuity.is_complete()
-    continuity.record_relay()
-    assert continuity.is_complete()
+    tracker.record_leader_contact()
+    assert not tracker.is_complete()
+    tracker.record_relay()
+    assert tracker.is_complete()
 
 
 def test_completeness_does_not_wait_for_lost_peers() -> None:
     # Guards against a system that refuses all work because one control host is
     # lost, and against a start before the sessions had time to arrive.
     time = [0.0]
-    continuity = CompletenessTracker(lambda: time[0], lambda: ["c1"])
-    continuity.record_relay()
-    continuity.record_leader_contact()
+    tracker = CompletenessTracker(lambda: time[0], lambda: ["c1"])
+    tracker.record_relay()
+    tracker.record_leader_contact()
     time[0] = 0.9
-    assert not continuity.is_complete()
+    assert not tracker.is_complete()
     time[0] = 3.0
-    assert continuity.is_complete()
+    assert tracker.is_complete()
 
 
 def test_long_directory_arrives_in_parts(run_scenario: RunScenario) -> None:
@@ -627,18 +639,18 @@
     # Guards against an outage when a new home's directory is not complete yet.
     time = [0.0]
     directory = Directory(lambda: time[0])
-    intake = DirectorySync(directory, lambda: time[0], 2.0)
+    sync = DirectorySync(directory, lambda: time[0], 2.0)
     entries = tuple(
         ServerEntry(make_announcement(name), ("e0/1",)) for name in ("s1", "s2", "s3")
     )
-    intake.apply_reply(SessionReply(full=True, entries=entries))
-    intake.restart()
-    intake.apply_reply(SessionReply(full=True, entries=entries[:1]))
+    sync.apply_reply(SessionReply(full=True, entries=entries))
+    sync.restart()
+    sync.apply_reply(SessionReply(full=True, entries=entries[:1]))
     time[0] = 1.9
-    intake.apply_reply(SessionReply(entries=entries[1:2]))
+    sync.apply_reply(SessionReply(entries=entries[1:2]))
     assert len(directory) == 3
     time[0] = 2.1
-    intake.apply_reply(SessionReply())
+    sync.apply_reply(SessionReply())
     assert sorted(key[1] for key in directory.keys()) == ["s1", "s2"]  # noqa: SIM118
 
 
@@ -655,15 +667,15 @@
     # duplicated or late: every step must end as without the fault.
     async def scenario(system: System) -> None:
         server = BackendServer(system, "s0", entry_index=0)
-        await wait_until(lambda: all_list(system, ["s0"]))
-        entry = system.entry_hosts["e0"]
+        await wait_until(lambda: listed_everywhere(system, ["s0"]))
+        entry_host = system.entry_hosts["e0"]
         undo = inject_fault(system, fault)
-        await run_step(system, entry, server, step)
+        await run_step(system, entry_host, server, step)
         await asyncio.sleep(1.3)
         undo()
         await system.wait_ready()
         await asyncio.sleep(2.5)
-        check_step(system, step)
+        check_outcome(system, step)
 
     run_scenario(scenario)
 
@@ -691,10 +703,10 @@
 
 
 async def run_step(
-    system: System, entry: EntryHost, server: BackendServer, step: str
+    system: System, entry_host: EntryHost, server: BackendServer, step: str
 ) -> None:
     if step == "start":
-        entry.restart()
+        entry_host.restart()
     elif step == "announce":
         BackendServer(system, "s9", entry_index=0)
     elif step == "drain":
@@ -705,15 +717,15 @@
     elif step == "revision":
         system.log.accept_revision()
     elif step == "verdict":
-        entry.client.report(Verdict("f1"))
+        entry_host.client.report(Verdict("f1"))
     await asyncio.sleep(0)
 
 
-def check_step(system: System, step: str) -> None:
+def check_outcome(system: System, step: str) -> None:
     names = {"announce": ["s0", "s9"], "withdraw": []}.get(step, ["s0"])
     state = {"drain": "draining", "withdraw": None}.get(step, "serving")
-    for entry in system.entry_hosts.values():
-        assert entry.live_servers() == names
-        assert entry.server_state("s0") == state
-        assert entry.revision == (1 if step == "revision" else 0)
-        assert len(entry.client.verdicts) == (1 if step == "verdict" else 0)
+    for entry_host in system.entry_hosts.values():
+        assert entry_host.live_servers() == names
+        assert entry_host.server_state("s0") == state
+        assert entry_host.revision == (1 if step == "revision" else 0)
+        assert len(entry_host.client.verdicts) == (1 if step == "verdict" else 0)
