--- a/packages/membership/src/kingcuplug_membership/_announcement.py
+++ b/packages/membership/src/kingcuplug_membership/_announcement.py
@@ -1,7 +1,7 @@
-"""What a backend server says about itself.
+"""Announcements of backend servers, and their validation.
 
-Announcements arrive from processes outside the system, so the border validates
-them with a pydantic model; inside they are frozen dataclasses.
+Announcements come from processes outside the system. A pydantic model validates
+them on arrival; inside the system they are frozen dataclasses.
 """
 
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
 
 __all__ = ["Announcement", "Holding", "parse_announcement"]
 
-State = Literal["serving", "draining", "withdrawn"]
+ServerState = Literal["serving", "draining", "withdrawn"]
 
 _MAX_COUNTER = 2**63 - 1
 _MAX_SHARDS = 1_000_000
@@ -44,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """What a backend server offers; ordered by (incarnation, sequence).
+    """Capacity, state and shards of a server, ordered by (incarnation, sequence).
 
     Attributes
     ----------
     incarnation : int
-        Greater after every restart of the server.
+        Increases with every restart of the server.
     sequence : int
-        Greater with every changed or repeated announcement of one incarnation.
+        Increases with every announcement of one incarnation, changed or repeated.
     slots, connections : int
         Concurrent sub-requests and open connections that the server accepts.
     state : str
@@ -66,12 +66,12 @@
     sequence: int
     slots: int
     connections: int
-    state: State = "serving"
+    state: ServerState = "serving"
     holdings: tuple[Holding, ...] = ()
 
     @property
-    def order(self) -> tuple[int, int]:
-        """Return the pair by which announcements of one server are ordered."""
+    def rank(self) -> tuple[int, int]:
+        """Return (incarnation, sequence), which orders a server's announcements."""
         return (self.incarnation, self.sequence)
 
 
@@ -104,7 +104,7 @@
     sequence: _Counter
     slots: int = Field(strict=True, ge=1, le=10_000)
     connections: int = Field(strict=True, ge=1, le=100_000)
-    state: State = "serving"
+    state: ServerState = "serving"
     holdings: tuple[_HoldingModel, ...] = Field(default=(), max_length=_MAX_SNAPSHOTS)
 
     @model_validator(mode="after")
@@ -123,24 +123,24 @@
     Raises
     ------
     AnnouncementInvalid
-        With every fault of the announcement.
+        If the announcement is not valid; the message lists every fault.
     """
     try:
         model = _AnnouncementModel.model_validate(value)
     except ValidationError as error:
         raise AnnouncementInvalid(
-            f"announcement has {error.error_count()} faults: {_faults(error)}",
+            f"announcement has {error.error_count()} faults: {_describe_errors(error)}",
             "correct the named fields and announce again",
         ) from error
     fields = {name: getattr(model, name) for name in _AnnouncementModel.model_fields}
     fields["holdings"] = tuple(
-        Holding(held.snapshot, held.shard_count, tuple(sorted(held.shards)))
-        for held in sorted(model.holdings, key=lambda held: held.snapshot)
+        Holding(holding.snapshot, holding.shard_count, tuple(sorted(holding.shards)))
+        for holding in sorted(model.holdings, key=lambda holding: holding.snapshot)
     )
     return Announcement(**fields)
 
 
-def _faults(error: ValidationError) -> str:
+def _describe_errors(error: ValidationError) -> str:
     return "; ".join(
         f"{'.'.join(str(part) for part in fault['loc']) or 'announcement'}: "
         f"{fault['msg']}"
--- a/packages/membership/src/kingcuplug_membership/_directory.py
+++ b/packages/membership/src/kingcuplug_membership/_directory.py
@@ -8,15 +8,18 @@
 
 from kingcuplug_common import identifier
 
-from kingcuplug_membership._changes import ChangeLog
-from kingcuplug_membership._entry import Key, ServerEntry, join
+from kingcuplug_membership._change_log import ChangeLog
+from kingcuplug_membership._entry import Key, ServerEntry, join_entries
 
 __all__ = ["Directory", "DirectoryChanges"]
 
 
 @dataclass(frozen=True, slots=True)
 class DirectoryChanges:
-    """Entries after a version, the oldest first; `more` follow after `version`."""
+    """Entries changed after a version, the oldest first.
+
+    `version` is the version reached; `more` tells whether further entries follow it.
+    """
 
     entries: tuple[ServerEntry, ...]
     version: int
@@ -24,28 +27,28 @@
 
 
 class Directory:
-    """Backend servers by service; the greatest rank wins.
+    """Backend servers by service; the entry with the greatest rank wins.
 
     Parameters
     ----------
     clock : callable
         Monotonic time in seconds.
     tombstone_ms : int
-        Time for which an ended server is remembered, so that a stale update does
-        not bring it back.
+        Time for which an ended server is kept as a tombstone, so that a stale update
+        does not restore it.
 
     Attributes
     ----------
     epoch : str
-        Identifies the sequence of versions; a new one means that a reader needs
-        everything.
+        Identifies the sequence of versions; after a change of epoch a reader needs
+        all entries.
     """
 
     def __init__(self, clock: Callable[[], float], tombstone_ms: int = 60_000) -> None:
         self.epoch = identifier()
         self._clock = clock
-        self._tombstone = tombstone_ms / 1_000
-        self._watchers: list[Callable[[ServerEntry], None]] = []
+        self._tombstone_s = tombstone_ms / 1_000
+        self._subscribers: list[Callable[[ServerEntry], None]] = []
         self._clear()
 
     def _clear(self) -> None:
@@ -60,85 +63,86 @@
 
     @property
     def version(self) -> int:
-        """Return the number of the last change."""
+        """Return the version of the last change."""
         return self._changes.version
 
     @property
     def local_version(self) -> int:
-        """Return the number of the last change that this host has to tell."""
+        """Return the version of the last change that this host replicates."""
         return self._changes.local_version
 
     def watch(self, callback: Callable[[ServerEntry], None]) -> None:
-        """Call `callback` with every entry that changes or is dropped."""
-        self._watchers.append(callback)
+        """Call `callback` with every entry that changes or is removed."""
+        self._subscribers.append(callback)
 
     def get(self, service: str, server: str) -> ServerEntry | None:
-        """Return what is known of a server, also after its end."""
+        """Return the entry of a server, also while it is a tombstone."""
         return self._entries.get((service, server))
 
     def servers(self, service: str) -> list[ServerEntry]:
         """Return the live servers of a service, draining ones included."""
-        found = self._services.get(service, {}).values()
-        return [entry for entry in found if entry.live]
+        entries = self._services.get(service, {}).values()
+        return [entry for entry in entries if entry.live]
 
     def services(self) -> list[str]:
-        """Return the names of all services that have a known server."""
+        """Return the names of all services that have an entry."""
         return list(self._services)
 
     def merge(self, entry: ServerEntry, local: bool = False) -> bool:
-        """Merge an update; return whether it said anything new.
+        """Merge an update; return whether it changed the directory.
 
         Parameters
         ----------
         entry : ServerEntry
             The update.
         local : bool
-            Whether this host is the one that tells the other control hosts.
+            Whether this host received the update first and so replicates it to the
+            other control hosts.
         """
-        known = self._entries.get(entry.key)
-        if entry == known:
+        current = self._entries.get(entry.key)
+        if entry == current:
             return False
-        merged = entry if known is None else join(known, entry)
-        if merged == known:
+        merged = entry if current is None else join_entries(current, entry)
+        if merged == current:
             return False
-        self._store(merged, known)
-        self._changes.touch(entry.key, local)
-        self._notify(merged)
+        self._store_entry(merged, current)
+        self._changes.record_change(entry.key, local)
+        self._notify_subscribers(merged)
         return True
 
-    def adopt(self, entry: ServerEntry) -> bool:
-        """Merge an update that this host must tell the others even if it is known.
+    def merge_and_replicate(self, entry: ServerEntry) -> bool:
+        """Merge an update and replicate it even if it is already known.
 
-        A session that moved here sends what its former home may not have passed
-        on before it was lost.
+        A session that moved here repeats updates that its former home may not have
+        replicated before it was lost.
         """
         if self.merge(entry, local=True):
             return True
         if not self._changes[entry.key].local:
-            self._changes.touch(entry.key, local=True)
-            self._notify(entry)
+            self._changes.record_change(entry.key, local=True)
+            self._notify_subscribers(entry)
         return False
 
-    def _store(self, entry: ServerEntry, known: ServerEntry | None) -> None:
+    def _store_entry(self, entry: ServerEntry, previous: ServerEntry | None) -> None:
         key = entry.key
         self._entries[key] = entry
         self._services.setdefault(key[0], {})[key[1]] = entry
-        if known is not None:
-            self._release(known, set(known.held) - set(entry.held))
+        if previous is not None:
+            self._remove_holders(previous, set(previous.held) - set(entry.held))
         for holder in entry.held:
             if holder in entry.ended:
-                self._release(entry, {holder})
+                self._remove_holders(entry, {holder})
             else:
                 self._holders.setdefault(holder, {})[key] = None
         self._tombstones.pop(key, None)
         if not entry.live:
             self._tombstones[key] = self._clock()
 
-    def _release(self, entry: ServerEntry, holders: set[str]) -> None:
+    def _remove_holders(self, entry: ServerEntry, holders: set[str]) -> None:
         for holder in holders:
-            held = self._holders.get(holder, {})
-            held.pop(entry.key, None)
-            if not held:
+            keys = self._holders.get(holder, {})
+            keys.pop(entry.key, None)
+            if not keys:
                 self._holders.pop(holder, None)
 
     def changes_since(
@@ -151,87 +155,88 @@
     ) -> DirectoryChanges:
         """Return the entries changed after `version`, the oldest first."""
         keys = self._keys_since(version, services, local)
-        chosen = keys if limit is None else keys[:limit]
-        more = len(chosen) < len(keys)
-        reached = self._changes[chosen[-1]].version if more else self.version
+        batch = keys if limit is None else keys[:limit]
+        more = len(batch) < len(keys)
+        reached = self._changes[batch[-1]].version if more else self.version
         return DirectoryChanges(
-            tuple(self._entries[key] for key in chosen), reached, more
+            tuple(self._entries[key] for key in batch), reached, more
         )
 
     def _keys_since(
         self, version: int, services: Iterable[str] | None, local: bool
     ) -> list[Key]:
         if services is None:
-            return self._changes.since(version, local)
+            return self._changes.keys_since(version, local)
         wanted = frozenset(services)
-        known = sum(len(self._services.get(service, ())) for service in wanted)
-        if self.version - version < known:
-            found = self._changes.since(version, local)
-            return [key for key in found if key[0] in wanted]
-        # Fewer servers than changes: each part of a long answer looks at these only.
+        server_count = sum(len(self._services.get(service, ())) for service in wanted)
+        if self.version - version < server_count:
+            changed = self._changes.keys_since(version, local)
+            return [key for key in changed if key[0] in wanted]
+        # There are fewer servers than changes, so scan the servers; every part of a
+        # long reply repeats the scan.
         keys = [
             (service, server)
             for service in wanted
             for server in self._services.get(service, ())
         ]
-        marks = self._changes
-        keys = [key for key in keys if marks[key].version > version]
-        keys = [key for key in keys if marks[key].local or not local]
-        return sorted(keys, key=lambda key: marks[key].version)
+        changes = self._changes
+        keys = [key for key in keys if changes[key].version > version]
+        keys = [key for key in keys if changes[key].local or not local]
+        return sorted(keys, key=lambda key: changes[key].version)
 
-    def has_news(self, version: int, services: frozenset[str]) -> bool:
+    def has_changes(self, version: int, services: frozenset[str]) -> bool:
         """Return whether a server of `services` changed after `version`."""
-        return any(key[0] in services for key, _ in self._changes.newest(version))
+        return any(key[0] in services for key, _ in self._changes.newest_since(version))
 
-    def version_at(self, time: float) -> int:
-        """Return a version that contains no change from `time` on."""
-        return self._changes.version_at(time)
+    def version_before(self, time: float) -> int:
+        """Return a version that contains no change made from `time` on."""
+        return self._changes.version_before(time)
 
-    def holders(self) -> list[str]:
-        """Return the entry hosts that hold a running lease."""
+    def lease_holders(self) -> list[str]:
+        """Return the names of the holders of running leases."""
         return list(self._holders)
 
-    def end_holder(self, holder: str) -> int:
+    def end_leases(self, holder: str) -> int:
         """End every lease that `holder` holds; return their number."""
-        held = list(self._holders.get(holder, ()))
-        for key in held:
-            known = self._entries[key]
-            self.merge(ServerEntry(known.announcement, (holder,), (holder,)), True)
-        return len(held)
-
-    def purge(self) -> int:
-        """Forget servers whose end is older than the tombstone's period."""
-        limit = self._clock() - self._tombstone
-        old = []
-        for key, time in self._tombstones.items():
-            if time > limit:
+        keys = list(self._holders.get(holder, ()))
+        for key in keys:
+            entry = self._entries[key]
+            self.merge(ServerEntry(entry.announcement, (holder,), (holder,)), True)
+        return len(keys)
+
+    def purge_tombstones(self) -> int:
+        """Remove tombstones older than their retention; return their number."""
+        cutoff = self._clock() - self._tombstone_s
+        outdated = []
+        for key, ended_at in self._tombstones.items():
+            if ended_at > cutoff:
                 break
-            old.append(key)
-        for key in old:
-            self.drop(key)
-        return len(old)
+            outdated.append(key)
+        for key in outdated:
+            self.remove(key)
+        return len(outdated)
 
-    def drop(self, key: Key) -> None:
-        """Forget a server without a trace."""
+    def remove(self, key: Key) -> None:
+        """Remove a server without leaving a tombstone."""
         entry = self._entries.pop(key)
         servers = self._services[key[0]]
         del servers[key[1]]
         if not servers:
             del self._services[key[0]]
-        self._release(entry, set(entry.held))
+        self._remove_holders(entry, set(entry.held))
         self._tombstones.pop(key, None)
         self._changes.remove(key)
-        self._notify(entry)
+        self._notify_subscribers(entry)
 
-    def _notify(self, entry: ServerEntry) -> None:
-        for callback in self._watchers:
+    def _notify_subscribers(self, entry: ServerEntry) -> None:
+        for callback in self._subscribers:
             callback(entry)
 
     def keys(self) -> list[Key]:
-        """Return (service, server) of all known servers."""
+        """Return (service, server) of all entries."""
         return list(self._entries)
 
     def reset(self) -> None:
-        """Forget everything and take a new epoch, as after a restart."""
+        """Remove all entries and start a new epoch, as after a restart."""
         self.epoch = identifier()
         self._clear()
--- a/packages/membership/src/kingcuplug_membership/_entry.py
+++ b/packages/membership/src/kingcuplug_membership/_entry.py
@@ -1,14 +1,15 @@
-"""The state of one backend server as the directory keeps and sends it.
+"""State of one backend server as the directory stores and sends it.
 
-An entry is the join of everything that was said about the greatest announcement:
-two entries merge to the same result in any order, however often they arrive.
+An entry is the join of all updates to the server's greatest announcement. The join is
+commutative, associative and idempotent, so updates may arrive in any order and more
+than once.
 """
 
 from dataclasses import dataclass
 
 from kingcuplug_membership._announcement import Announcement
 
-__all__ = ["Key", "ServerEntry", "holder_name", "join"]
+__all__ = ["Key", "ServerEntry", "holder_name", "join_entries"]
 
 Key = tuple[str, str]
 
@@ -25,9 +26,10 @@
     Attributes
     ----------
     held : tuple of str
-        Entry hosts that granted a lease on this very announcement.
+        Runs of entry hosts, by `holder_name`, that granted a lease on exactly this
+        announcement.
     ended : tuple of str
-        Those of them whose lease has ended. An announcement that reached two
+        Those of `held` whose lease has ended. An announcement that reached two
         entry hosts is renewed at one of them only, so the end of the other lease
         does not end the server.
     """
@@ -51,28 +53,28 @@
     @property
     def rank(self) -> tuple[int, int, int]:
         """Return (incarnation, sequence, ended)."""
-        return (*self.announcement.order, 0 if self.live else 1)
+        return (*self.announcement.rank, 0 if self.live else 1)
 
 
-def join(one: ServerEntry, other: ServerEntry) -> ServerEntry:
-    """Return the least entry that contains both; the greater announcement wins."""
-    if one.announcement.order != other.announcement.order:
-        return max(one, other, key=lambda entry: entry.announcement.order)
-    announcement = one.announcement
-    if announcement != other.announcement:
-        announcement = max(announcement, other.announcement, key=_content)
+def join_entries(first: ServerEntry, second: ServerEntry) -> ServerEntry:
+    """Return the join of two entries; the greater announcement wins."""
+    if first.announcement.rank != second.announcement.rank:
+        return max(first, second, key=lambda entry: entry.announcement.rank)
+    announcement = first.announcement
+    if announcement != second.announcement:
+        announcement = max(announcement, second.announcement, key=_tie_break_key)
     return ServerEntry(
         announcement,
-        _union(one.held, other.held),
-        _union(one.ended, other.ended),
+        _union(first.held, second.held),
+        _union(first.ended, second.ended),
     )
 
 
-def _content(announcement: Announcement) -> tuple[bool, str]:
-    # Equal pairs have equal content unless the server is faulty or withdraws. The
-    # text decides the rest, so that all hosts settle on the same content.
+def _tie_break_key(announcement: Announcement) -> tuple[bool, str]:
+    # Announcements of equal rank have equal content unless the server is faulty or
+    # withdraws. Comparing the text breaks the tie, so that all hosts converge.
     return (announcement.state == "withdrawn", repr(announcement))
 
 
-def _union(one: tuple[str, ...], other: tuple[str, ...]) -> tuple[str, ...]:
-    return one if one == other else tuple(sorted({*one, *other}))
+def _union(first: tuple[str, ...], second: tuple[str, ...]) -> tuple[str, ...]:
+    return first if first == second else tuple(sorted({*first, *second}))
--- a/packages/membership/src/kingcuplug_membership/_sessions.py
+++ b/packages/membership/src/kingcuplug_membership/_sessions.py
@@ -1,16 +1,16 @@
-"""The sessions of one control host."""
+"""Sessions of the entry hosts at one control host."""
 
 import asyncio
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from kingcuplug_membership._changes import ChangeLog
+from kingcuplug_membership._change_log import ChangeLog
 from kingcuplug_membership._messages import HostRow, SessionRequest
 
 __all__ = ["Session", "SessionTable"]
 
-# A poll lasts at most 1 s, so a host that was answered longer ago has gone.
-_IDLE_S = 3.0
+# A poll lasts at most 1 s, so a host that got its last reply longer ago has gone.
+_IDLE_TIMEOUT_S = 3.0
 
 
 @dataclass(slots=True)
@@ -23,15 +23,15 @@
         Greatest request number seen.
     granted_until : float
         End of the longest lease granted.
-    answered_at : float
-        Time of the last answer.
-    listed : bool
-        Whether the leader is told of a running lease.
-    behind : bool
-        Whether the last answer left out entries for its size.
-    awaited : int
+    replied_at : float
+        Time of the last reply.
+    reported : bool
+        Whether the leader is told that the host holds a lease.
+    truncated : bool
+        Whether the last reply left out entries beyond the batch limit.
+    undelivered_version : int
         Directory version that the leader must have before the host's updates count
-        as delivered; 0 if the host was told so.
+        as delivered; 0 once a reply has reported the delivery.
     """
 
     host: str
@@ -41,105 +41,105 @@
     services: frozenset[str]
     confirmed: int = -1
     granted_until: float = 0.0
-    answered_at: float = 0.0
-    listed: bool = False
-    behind: bool = False
-    awaited: int = 0
-    wake: asyncio.Event = field(default_factory=asyncio.Event)
-
-    def row(self) -> HostRow:
-        """Return what the leader needs to know."""
+    replied_at: float = 0.0
+    reported: bool = False
+    truncated: bool = False
+    undelivered_version: int = 0
+    wakeup: asyncio.Event = field(default_factory=asyncio.Event)
+
+    def to_row(self) -> HostRow:
+        """Return the row that is sent to the leader."""
         return HostRow(
             self.host, self.incarnation, self.availability_zone, self.confirmed
         )
 
 
 class SessionTable:
-    """Sessions by host, with the changes that the leader must learn."""
+    """Sessions by host, with a change log for the reports to the leader."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self._sessions: dict[str, Session] = {}
         self._changes: ChangeLog[str] = ChangeLog(clock)
-        # A version above 0 tells the leader that rows are changes, not everything.
+        # Start at version 1: `since` 0 in a barrier request marks a full report.
         self._changes.version = 1
 
     @property
     def version(self) -> int:
-        """Return the number of the last change."""
+        """Return the version of the last change."""
         return self._changes.version
 
     def get(self, host: str) -> Session | None:
         """Return the session of `host`."""
         return self._sessions.get(host)
 
-    def all(self) -> list[Session]:
+    def sessions(self) -> list[Session]:
         """Return all sessions."""
         return list(self._sessions.values())
 
     def open(self, request: SessionRequest) -> Session:
-        """Start a session, or start it again."""
-        known = self._sessions.get(request.host)
+        """Open a session, in place of an earlier one of the same host."""
+        previous = self._sessions.get(request.host)
         session = Session(
             request.host,
             request.incarnation,
             request.availability_zone,
             request.number,
             frozenset(request.services or ()),
-            # A session that waits for its first answer is not idle.
-            answered_at=self._clock(),
+            # A session that waits for its first reply is not idle.
+            replied_at=self._clock(),
         )
-        if known is not None:
-            known.wake.set()
-            session.listed = known.listed
-            if known.incarnation == request.incarnation:
-                session.granted_until = known.granted_until
-                session.confirmed = known.confirmed
+        if previous is not None:
+            previous.wakeup.set()
+            session.reported = previous.reported
+            if previous.incarnation == request.incarnation:
+                session.granted_until = previous.granted_until
+                session.confirmed = previous.confirmed
         self._sessions[request.host] = session
         return session
 
-    def confirm(self, session: Session, revision: int) -> None:
+    def record_revision(self, session: Session, revision: int) -> None:
         """Record the revision in force at the host of `session`."""
         if revision > session.confirmed:
             session.confirmed = revision
-            if session.listed:
-                self._changes.touch(session.host)
+            if session.reported:
+                self._changes.record_change(session.host)
 
-    def grant(self, session: Session, until: float) -> None:
+    def record_grant(self, session: Session, until: float) -> None:
         """Record a lease that ends at `until`."""
-        if not session.listed:
-            session.listed = True
-            self._changes.touch(session.host)
+        if not session.reported:
+            session.reported = True
+            self._changes.record_change(session.host)
         session.granted_until = max(session.granted_until, until)
 
     def expire(self) -> None:
-        """Drop the sessions whose lease is over and that poll no longer."""
+        """Report expired leases to the leader, and drop sessions without polls."""
         now = self._clock()
-        for session in self.all():
+        for session in self.sessions():
             if session.granted_until > now:
                 continue
-            if session.listed:
-                session.listed = False
-                self._changes.touch(session.host)
-            if session.answered_at < now - _IDLE_S:
+            if session.reported:
+                session.reported = False
+                self._changes.record_change(session.host)
+            if session.replied_at < now - _IDLE_TIMEOUT_S:
                 del self._sessions[session.host]
-                session.wake.set()
+                session.wakeup.set()
 
     def wake(self, service: str | None = None) -> None:
-        """Complete the polls that wait, or those that route `service`."""
+        """Complete all pending polls, or those of hosts that route `service`."""
         for session in self._sessions.values():
             if service is None or service in session.services:
-                session.wake.set()
+                session.wakeup.set()
 
     def changes_since(
         self, version: int
     ) -> tuple[tuple[HostRow, ...], tuple[str, ...]]:
         """Return the granted sessions changed after `version`, and hosts that left."""
         rows, left = [], []
-        for host in self._changes.since(version):
+        for host in self._changes.keys_since(version):
             session = self._sessions.get(host)
-            if session is not None and session.listed:
-                rows.append(session.row())
+            if session is not None and session.reported:
+                rows.append(session.to_row())
             else:
                 left.append(host)
         return tuple(rows), tuple(left)
