--- a/packages/routing/src/kingcuplug_routing/__init__.py
+++ b/packages/routing/src/kingcuplug_routing/__init__.py
@@ -1,19 +1,20 @@
 """Replica choice, limits, hedging, retry budgets and the crash guard."""
 
 from kingcuplug_routing._admission import Admission, Admitted
-from kingcuplug_routing._allowance import (
+from kingcuplug_routing._concurrency_limiter import Turnstile, places
+from kingcuplug_routing._crash_guard import CrashGuard
+from kingcuplug_routing._crash_history import Blame, CrashGuardSettings
+from kingcuplug_routing._delegation import Delegation, delegate
+from kingcuplug_routing._latency_estimator import Timing
+from kingcuplug_routing._partial_answer import AnswerRule
+from kingcuplug_routing._policy import RoutingPolicy, baseline_policy
+from kingcuplug_routing._replica_scoring import ReplicaState, choose_replica
+from kingcuplug_routing._retry_budget import (
     AllowanceSettings,
     RetryAllowance,
     WindowCount,
     fixed_part,
 )
-from kingcuplug_routing._blames import Blame, CrashGuardSettings
-from kingcuplug_routing._completeness import AnswerRule
-from kingcuplug_routing._crash_guard import CrashGuard
-from kingcuplug_routing._delegation import Delegation, delegate
-from kingcuplug_routing._paces import PaceBoard, Samples
-from kingcuplug_routing._policy import RoutingPolicy, baseline_policy
-from kingcuplug_routing._replicas import ReplicaState, choose_replica
 from kingcuplug_routing._router import Router
 from kingcuplug_routing._selection import (
     least_expected_time,
@@ -21,9 +22,9 @@
     random_replica,
     two_choices,
 )
+from kingcuplug_routing._slow_servers import PaceBoard, Samples
+from kingcuplug_routing._startup_wait import wait_until
 from kingcuplug_routing._ticket import Ticket
-from kingcuplug_routing._timing import Timing
-from kingcuplug_routing._turnstile import Turnstile, places
 from kingcuplug_routing._types import (
     Attempt,
     AttemptOutcome,
@@ -33,7 +34,6 @@
     ServerView,
     SnapshotView,
 )
-from kingcuplug_routing._warm_up import wait_until
 
 __all__ = [
     "Admission",
--- a/packages/routing/src/kingcuplug_routing/_admission.py
+++ b/packages/routing/src/kingcuplug_routing/_admission.py
@@ -1,11 +1,11 @@
 """Admission of whole queries, decided before any sub-request is sent.
 
-A query goes to every shard, so one sub-request that finds no place wastes the work
-of all the others. Backend servers have 2 or 3 slots for 10 entry hosts, so an entry
-host's fair share is often below one query in flight, and entry hosts do not see
-each other. The budget is therefore slot time: each entry host may use its even
-share of the service's slots, times `utilisation`. Time spent waiting at a server
-counts like time spent running there, so the total in flight is bounded whatever
+A query fans out to every shard, so one sub-request that is shed wastes the work of
+all the others. Backend servers have 2 or 3 slots for 10 entry hosts, so an entry
+host's fair share is often below one query in flight, and entry hosts share no state.
+The budget is therefore a token bucket of slot time: it refills at the entry host's
+even share of the service's slots, times `utilisation`. Time spent queued at a server
+is charged like time spent running there, so the total in flight is bounded whatever
 the service time is.
 """
 
@@ -13,20 +13,20 @@
 from math import inf
 from types import TracebackType
 
+from kingcuplug_routing._adaptive_share import AdaptiveShare
 from kingcuplug_routing._refusals import overloaded, too_late
 from kingcuplug_routing._router import Router
-from kingcuplug_routing._share import AdaptiveShare
 from kingcuplug_routing._types import Priority
 from kingcuplug_routing._waiting import Waiter, WaitingQueue
 
 __all__ = ["Admission", "Admitted"]
 
-_FEWEST_QUERIES = 2.0  # burst in queries if a query costs more than the burst time
-_DEEPEST_DEBT = 4.0  # bursts; bounds how long one stall can block admission
+_MIN_BURST_QUERIES = 2.0  # burst in queries if a query costs more than the burst time
+_MAX_DEBT_BURSTS = 4.0  # bounds how long one stall can block admission
 _DURATION_WEIGHT = 0.05
-_LIKELY_SHARE = 0.7  # of the mean duration; about the median
-_DOUBT = 0.98
-_SOONEST_S = 0.0005
+_MEDIAN_SHARE_OF_MEAN = 0.7  # about the median of an exponential distribution
+_REFUSAL_DECAY = 0.98
+_MIN_TIMER_DELAY_S = 0.0005
 
 
 class Admission:
@@ -54,22 +54,22 @@
     ) -> "Admitted":
         """Return a context manager that admits one query or order.
 
-        Entering it waits in the order of priority and raises `Refusal` with
-        ``NOT_RUN`` as soon as the wait is expected to be too long.
+        Entering it waits in priority order and raises `Refusal` with ``NOT_RUN`` as
+        soon as the expected wait exceeds the limit.
 
         Parameters
         ----------
         deadline : float
-            Time of the loop by which the whole answer is needed.
+            Event loop time by which the whole answer is needed.
         sub_requests : int
-            Sub-requests that the query will send.
+            Number of sub-requests that the query will send.
         """
         return Admitted(self, Priority(priority), deadline, sub_requests)
 
     async def enter(
         self, priority: Priority, deadline: float, sub_requests: int
     ) -> float:
-        """Admit a query and return the slot time that it was charged."""
+        """Admit a query and return the slot time in seconds that it was charged."""
         if self._policy.utilisation == inf:
             return 0.0
         cost = sub_requests * self._router.statistics.busy_ms / 1_000
@@ -83,7 +83,7 @@
         return cost
 
     def leave(self, cost: float, duration_s: float) -> None:
-        """Replace the estimated slot time of a query by the observed one."""
+        """Correct the charged slot time of a query by the observed one."""
         self._duration_s += _DURATION_WEIGHT * (duration_s - self._duration_s)
         occupied_ms = self._router.statistics.occupied_ms
         observed_s = (occupied_ms - self._charged_ms) / 1_000
@@ -93,12 +93,13 @@
             self._pump()
 
     def _check_time(self, deadline: float, now: float) -> None:
-        likely_s = _LIKELY_SHARE * self._duration_s
-        if now + likely_s >= deadline:
-            # Lowered, so that a long duration once seen does not refuse for ever.
-            self._duration_s *= _DOUBT
+        median_s = _MEDIAN_SHARE_OF_MEAN * self._duration_s
+        if now + median_s >= deadline:
+            # Lower the estimate on each refusal: no answer would correct it otherwise,
+            # and one slow period would refuse such deadlines for ever.
+            self._duration_s *= _REFUSAL_DECAY
             raise too_late(
-                self._router.service, (deadline - now) * 1_000, likely_s * 1_000
+                self._router.service, (deadline - now) * 1_000, median_s * 1_000
             )
 
     async def _wait(
@@ -106,22 +107,22 @@
     ) -> None:
         self._share.bound = True
         expected_s = self._expected_wait_s(priority, cost)
-        longest_s = min(
+        max_wait_s = min(
             self._longest_wait_s(priority),
-            deadline - now - _LIKELY_SHARE * self._duration_s,
+            deadline - now - _MEDIAN_SHARE_OF_MEAN * self._duration_s,
         )
-        if expected_s > longest_s:
+        if expected_s > max_wait_s:
             raise overloaded(self._router.service, expected_s * 1_000)
         loop = asyncio.get_running_loop()
         future: asyncio.Future[bool] = loop.create_future()
         self._waiting.push(Waiter(future, priority, cost))
         timer = None
-        if longest_s < inf:
-            timer = loop.call_at(now + longest_s, _give_up, future)
+        if max_wait_s < inf:
+            timer = loop.call_at(now + max_wait_s, _time_out, future)
         self._pump()
         try:
             if not await future:
-                raise overloaded(self._router.service, longest_s * 1_000)
+                raise overloaded(self._router.service, max_wait_s * 1_000)
         except asyncio.CancelledError:
             if future.done() and not future.cancelled() and future.result():
                 self._level_s += cost
@@ -132,7 +133,7 @@
                 timer.cancel()
 
     def _pump(self) -> None:
-        """Admit waiting queries that the budget allows and plan the next look."""
+        """Admit waiting queries within the budget and schedule the next pass."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -146,8 +147,8 @@
             head.future.set_result(True)
 
     def _plan(self, head: Waiter) -> None:
-        missing = self._threshold(head.priority, head.cost) - self._level_s
-        delay = max(_SOONEST_S, missing / self._rate())
+        deficit_s = self._threshold(head.priority, head.cost) - self._level_s
+        delay = max(_MIN_TIMER_DELAY_S, deficit_s / self._rate())
         self._timer = asyncio.get_running_loop().call_later(delay, self._pump)
 
     def _refill(self, now: float) -> None:
@@ -155,11 +156,11 @@
         rate = self._rate()
         depth = self._depth(rate)
         level = self._level_s + rate * (now - self._refilled)
-        self._level_s = max(-_DEEPEST_DEBT * depth, min(depth, level))
+        self._level_s = max(-_MAX_DEBT_BURSTS * depth, min(depth, level))
         self._refilled = now
 
     def _rate(self) -> float:
-        """Return this entry host's slot time per second."""
+        """Return this entry host's share of slot time, in seconds per second."""
         share = self._share.factor * self._router.slots()
         return max(1e-6, self._policy.utilisation * share)
 
@@ -167,18 +168,18 @@
         return self._policy.burst_s * rate
 
     def _threshold(self, priority: Priority, cost: float) -> float:
-        """Return the level at which a query is admitted."""
+        """Return the bucket level from which a query is admitted."""
         depth = self._depth(self._rate())
         if priority is Priority.URGENT:
-            return -max(depth, _FEWEST_QUERIES * cost)
+            return -max(depth, _MIN_BURST_QUERIES * cost)
         return self._policy.urgent_reserve * depth
 
     def _may_pass(self, priority: Priority, cost: float) -> bool:
         return self._level_s >= self._threshold(priority, cost)
 
     def _expected_wait_s(self, priority: Priority, cost: float) -> float:
-        missing = self._threshold(priority, cost) - self._level_s
-        return max(0.0, missing + self._waiting.ahead(priority)) / self._rate()
+        deficit_s = self._threshold(priority, cost) - self._level_s
+        return max(0.0, deficit_s + self._waiting.ahead(priority)) / self._rate()
 
     def _longest_wait_s(self, priority: Priority) -> float:
         if priority is Priority.URGENT:
@@ -189,7 +190,7 @@
 
 
 class Admitted:
-    """Context manager of one admitted query."""
+    """Context manager that holds the admission of one query."""
 
     __slots__ = ("_admission", "_arguments", "_cost", "_entered")
 
@@ -209,14 +210,14 @@
 
     async def __aexit__(
         self,
-        kind: type[BaseException] | None,
-        error: BaseException | None,
+        exc_type: type[BaseException] | None,
+        exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
         self._admission.leave(self._cost, _now() - self._entered)
 
 
-def _give_up(future: asyncio.Future[bool]) -> None:
+def _time_out(future: asyncio.Future[bool]) -> None:
     if not future.done():
         future.set_result(False)
 
--- a/packages/routing/src/kingcuplug_routing/_crash_guard.py
+++ b/packages/routing/src/kingcuplug_routing/_crash_guard.py
@@ -1,8 +1,9 @@
-"""Stops requests that crash every backend server that runs them.
+"""Quarantine of requests that crash every backend server that runs them.
 
-A crash is blamed on every fingerprint that was in flight at the server. Blames are
-facts that can be shared and withdrawn; which fingerprints are condemned follows
-from them. The bound on false positives is in ``docs/decisions/routing.md``.
+Every fingerprint in flight at a server that crashes becomes a suspect of that crash.
+Suspects are shared between entry hosts and can be withdrawn; the quarantined
+fingerprints are computed from them. The bound on false positives is in
+``docs/decisions/routing.md``.
 """
 
 import asyncio
@@ -11,7 +12,7 @@
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, replace
 
-from kingcuplug_routing._blames import Blame, BlameBook, CrashGuardSettings
+from kingcuplug_routing._crash_history import Blame, BlameBook, CrashGuardSettings
 from kingcuplug_routing._refusals import condemned
 from kingcuplug_routing._types import AttemptOutcome
 
@@ -29,17 +30,17 @@
 
 
 class CrashGuard:
-    """Condemned fingerprints of one entry host.
+    """Quarantined fingerprints of one entry host.
 
-    A fingerprint that has not completed recently is sent alone first (a canary), so
-    it can crash one server at a time. The sender of a canary reports a crash with
-    `server_crashed` before it tries another replica, calls `check` before each
-    attempt, and does not hedge a canary.
+    The first sub-request of a fingerprint that has not completed recently is sent
+    alone, as a canary, so that it crashes one server at a time. The sender of a canary
+    reports a crash with `server_crashed` before it tries another replica, calls
+    `check` before each attempt, and does not hedge.
 
     Parameters
     ----------
     settings : CrashGuardSettings, optional
-        Bounds; the defaults are the design's.
+        Thresholds; `CrashGuardSettings()` if omitted.
     """
 
     def __init__(self, settings: CrashGuardSettings | None = None) -> None:
@@ -53,26 +54,27 @@
         self._fresh: list[tuple[float, Blame]] = []
 
     def check(self, fingerprint: str) -> None:
-        """Raise `Refusal` (``NOT_RUN``) if a fingerprint is condemned."""
+        """Raise `Refusal` (``NOT_RUN``) if a fingerprint is quarantined."""
         now = _now()
         until = self._book.condemned_until(fingerprint, now)
         if until is not None:
             raise condemned(fingerprint, (until - now) * 1_000)
 
     def proven(self, fingerprint: str) -> bool:
-        """Return whether a fingerprint completed recently and is blamed for nothing."""
+        """Return whether a fingerprint completed recently and is no suspect."""
         return fingerprint in self._completed and not self._book.blamed(fingerprint)
 
     @asynccontextmanager
     async def canary(self, fingerprint: str) -> AsyncIterator[bool]:
-        """Yield whether the first sub-request must go alone.
+        """Yield whether the first sub-request must be sent alone.
 
-        Equal requests wait until the canary has ended, and are then checked again.
+        Requests with the same fingerprint wait until the canary has ended and are then
+        checked again.
 
         Raises
         ------
         Refusal
-            If the fingerprint is condemned.
+            If the fingerprint is quarantined.
         """
         self.check(fingerprint)
         while not self.proven(fingerprint) and fingerprint in self._canaries:
@@ -92,15 +94,15 @@
     def started(
         self, attempt_id: str, fingerprint: str, server: str, incarnation: int
     ) -> None:
-        """Note that an attempt is about to be sent to a server."""
-        started = self._book.next_order()
-        proven = self.proven(fingerprint)
-        attempt = _Attempt(fingerprint, server, incarnation, proven, started)
+        """Record that an attempt is about to be sent to a server."""
+        order = self._book.next_order()
+        completed_before = self.proven(fingerprint)
+        attempt = _Attempt(fingerprint, server, incarnation, completed_before, order)
         self._attempts[attempt_id] = attempt
         self._at.setdefault(server, {})[attempt_id] = attempt
 
     def ended(self, attempt_id: str, outcome: AttemptOutcome) -> None:
-        """Note how an attempt ended; unknown attempts are ignored."""
+        """Record the outcome of an attempt; unknown attempts are ignored."""
         attempt = self._attempts.pop(attempt_id, None)
         if attempt is None:
             return
@@ -116,26 +118,26 @@
     def server_crashed(
         self, server: str, incarnation: int, service: str, availability_zone: str
     ) -> tuple[Blame, ...]:
-        """Blame what was in flight at a server that crashed.
+        """Record a crash; the fingerprints in flight at the server become suspects.
 
-        To be called when a connection broke and a new one is refused, and when a
-        server announces a greater incarnation without having withdrawn; also for
-        servers without attempts, which show that a zone is failing.
+        Call this when a connection broke and a new one is refused, and when a server
+        announces a greater incarnation without having withdrawn; also for servers
+        without attempts, whose crashes show that a zone is failing.
 
         Returns
         -------
         tuple of Blame
-            The blames, which `fresh` also hands to the session.
+            The suspects, which `drain_new_suspects` returns too.
         """
         now = _now()
         self._sweep(now)
         crash = self._book.record(
             service, server, incarnation, availability_zone, now, now
         )
-        blames: dict[str, Blame] = {}
+        suspects: dict[str, Blame] = {}
         for attempt in self._at.get(server, {}).values():
             if attempt.incarnation <= incarnation:
-                blames[attempt.fingerprint] = Blame(
+                suspects[attempt.fingerprint] = Blame(
                     attempt.fingerprint,
                     service,
                     server,
@@ -143,52 +145,53 @@
                     availability_zone,
                     self._was_proven(attempt),
                 )
-        for blame in blames.values():
-            self._book.blame(crash, blame.fingerprint, blame.proven)
-            self._fresh.append((now, blame))
-        return tuple(blames.values())
+        for suspect in suspects.values():
+            self._book.blame(crash, suspect.fingerprint, suspect.proven)
+            self._fresh.append((now, suspect))
+        return tuple(suspects.values())
 
     def _was_proven(self, attempt: _Attempt) -> bool:
-        """Return whether a fingerprint had completed before the crash, and forget it.
+        """Return whether a fingerprint completed before the crash; clear that record.
 
-        It goes alone next time, in case it became dangerous with a new index.
+        Its next request is a canary, in case a new index made it crash servers.
         """
-        completed = self._completed.pop(attempt.fingerprint, attempt)
-        return attempt.proven or completed is None
+        completion = self._completed.pop(attempt.fingerprint, attempt)
+        return attempt.proven or completion is None
 
     def fresh(self) -> list[Blame]:
-        """Return and forget the blames that no session has carried yet."""
+        """Return the suspects added since the last call, for the session to send."""
         now = _now()
-        blames = [
-            replace(blame, age_ms=(now - time) * 1_000) for time, blame in self._fresh
+        suspects = [
+            replace(suspect, age_ms=(now - time) * 1_000)
+            for time, suspect in self._fresh
         ]
         self._fresh.clear()
-        return blames
+        return suspects
 
-    def merge(self, blames: Iterable[Blame]) -> None:
-        """Take over blames of other entry hosts."""
+    def merge(self, suspects: Iterable[Blame]) -> None:
+        """Add the suspects that other entry hosts recorded."""
         now = _now()
-        for blame in blames:
+        for suspect in suspects:
             crash = self._book.record(
-                blame.service,
-                blame.server,
-                blame.incarnation,
-                blame.availability_zone,
-                now - blame.age_ms / 1_000,
+                suspect.service,
+                suspect.server,
+                suspect.incarnation,
+                suspect.availability_zone,
+                now - suspect.age_ms / 1_000,
                 now,
             )
-            self._book.blame(crash, blame.fingerprint, blame.proven)
+            self._book.blame(crash, suspect.fingerprint, suspect.proven)
 
     def condemned(self) -> dict[str, float]:
-        """Return the condemned fingerprints with their remaining time in ms."""
+        """Return the quarantined fingerprints with their remaining time in ms."""
         now = _now()
-        ends = {
+        quarantine_ends = {
             fingerprint: self._book.condemned_until(fingerprint, now)
             for fingerprint in self._book.fingerprints()
         }
         return {
             fingerprint: (end - now) * 1_000
-            for fingerprint, end in ends.items()
+            for fingerprint, end in quarantine_ends.items()
             if end is not None
         }
 
@@ -201,11 +204,11 @@
             self._completed.popitem(last=False)
 
     def _sweep(self, now: float) -> None:
-        """Forget attempts whose connection broke too long ago to blame them."""
-        oldest = now - self._settings.linger_s
+        """Remove attempts whose connection broke longer ago than the retention time."""
+        cutoff = now - self._settings.linger_s
         while self._broken:
             attempt_id, attempt = self._broken[0]
-            if attempt.broken is not None and attempt.broken >= oldest:
+            if attempt.broken is not None and attempt.broken >= cutoff:
                 return
             self._broken.popleft()
             self._remove(attempt_id, attempt)
--- a/packages/routing/src/kingcuplug_routing/_blames.py
+++ b/packages/routing/src/kingcuplug_routing/_crash_history.py
@@ -1,4 +1,4 @@
-"""Crashes, the fingerprints blamed for them, and who is condemned by that."""
+"""Recorded crashes and the fingerprints suspected of causing them."""
 
 from collections import Counter, OrderedDict, deque
 from collections.abc import Iterable
@@ -6,9 +6,9 @@
 
 __all__ = ["Blame", "BlameBook", "Crash", "CrashGuardSettings"]
 
-_DISTINCT_SERVERS = 2
-_BLAMES_ARRIVE_S = 0.5  # two session exchanges and one of the mesh
-_CRASHES = 3  # of one server: a shard with one replica never has two servers
+_MIN_CRASHED_SERVERS = 2
+_SUSPECT_EXCHANGE_S = 0.5  # two session exchanges and one of the mesh
+_MIN_CRASHES = 3  # of one server: a shard with one replica never has two servers
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,19 +18,21 @@
     Parameters
     ----------
     condemned_s : float
-        How long blames and condemnations last.
+        Duration of a quarantine, and time for which a crash is evidence.
     most_entries : int
-        Bound on crashes, on blamed and on remembered completed fingerprints.
+        Greatest number each of crashes, suspected fingerprints and remembered
+        completed fingerprints.
     most_blamed : int
-        A crash with more fingerprints in flight that had not completed before is
-        blamed on none of them.
+        A crash with more fingerprints in flight that had not completed before makes
+        none of them a suspect.
     most_other_losses : int
-        A crash is not blamed if more servers of other services broke close to it.
+        A crash makes no suspects if more servers of other services crashed within
+        the window.
     loss_window_s : float
-        How close is close.
+        Time within which crashes are taken for one correlated failure.
     linger_s : float
-        How long an attempt whose connection broke counts as in flight, until the
-        crash is confirmed by a refused connection or a new incarnation.
+        Time for which an attempt with a broken connection still counts as in flight
+        while the crash is not confirmed by a refused connection or a new incarnation.
     """
 
     condemned_s: float = 600.0
@@ -49,9 +51,9 @@
     ----------
     proven : bool
         Whether the fingerprint had completed somewhere before this attempt, so that
-        the attempt was not sent alone.
+        the attempt was not sent as a canary.
     age_ms : float
-        Time since the crash when the blame was handed over.
+        Time from the crash until this record was sent.
     """
 
     fingerprint: str
@@ -75,12 +77,16 @@
     order: int
     blamed: dict[str, bool] = field(default_factory=dict)
     other_services: bool = False
-    one_zone: bool = False
-    close: int = 1  # crashes within the loss window, this one included
+    within_one_zone: bool = False
+    close: int = 1  # crashes within the crash window, this one included
 
 
 class BlameBook:
-    """Remembered crashes; condemnation is derived and therefore reversible."""
+    """Recent crashes with their suspects.
+
+    Quarantines are computed from the crashes on each call and so end as soon as the
+    evidence is withdrawn.
+    """
 
     def __init__(self, settings: CrashGuardSettings) -> None:
         self._settings = settings
@@ -100,7 +106,7 @@
         time: float,
         now: float,
     ) -> Crash:
-        """Return the crash of an incarnation, recorded once."""
+        """Return the crash of an incarnation; record it on the first call."""
         self._expire(now)
         crash = self._crashes.get((server, incarnation))
         if crash is None:
@@ -110,12 +116,12 @@
         return crash
 
     def next_order(self) -> int:
-        """Return a number greater than all before, to order starts and crashes."""
+        """Return the next sequence number, which orders attempt starts and crashes."""
         self._order += 1
         return self._order
 
     def blame(self, crash: Crash, fingerprint: str, proven: bool) -> None:
-        """Blame a fingerprint for a crash."""
+        """Make a fingerprint a suspect of a crash."""
         crash.blamed[fingerprint] = proven
         crashes = self._of.setdefault(fingerprint, [])
         if crash not in crashes:
@@ -124,82 +130,90 @@
             self._of.popitem(last=False)
 
     def completed(self, fingerprint: str, started: int, now: float) -> None:
-        """Withdraw the blames that an attempt started later has disproved."""
+        """Clear the suspicions of crashes older than an attempt that has completed."""
         crashes = self._of.get(fingerprint)
         if crashes is None or self.condemned_until(fingerprint, now) is not None:
             return
-        left = [crash for crash in crashes if crash.order > started]
-        if left:
-            self._of[fingerprint] = left
+        remaining = [crash for crash in crashes if crash.order > started]
+        if remaining:
+            self._of[fingerprint] = remaining
         else:
             del self._of[fingerprint]
 
     def blamed(self, fingerprint: str) -> bool:
-        """Return whether any crash is still blamed on a fingerprint."""
+        """Return whether a fingerprint is a suspect of any crash."""
         return fingerprint in self._of
 
     def condemned_until(self, fingerprint: str, now: float) -> float | None:
-        """Return until when a fingerprint is condemned, or None if it is not."""
+        """Return the end of a fingerprint's quarantine, or None if there is none."""
         if fingerprint not in self._of:
             return None
         self._expire(now)
-        standing = [
+        evidence = [
             crash
             for crash in self._of.get(fingerprint, ())
             if self._stands(crash, fingerprint, now)
         ]
-        standing = [crash for crash in standing if self._explains(crash, standing)]
-        servers = {crash.server for crash in standing}
-        if len(servers) < _DISTINCT_SERVERS and len(standing) < _CRASHES:
+        evidence = [crash for crash in evidence if self._explains(crash, evidence)]
+        servers = {crash.server for crash in evidence}
+        if len(servers) < _MIN_CRASHED_SERVERS and len(evidence) < _MIN_CRASHES:
             return None
-        end = max(crash.time for crash in standing) + self._settings.condemned_s
+        end = max(crash.time for crash in evidence) + self._settings.condemned_s
         return end if end > now else None
 
     def fingerprints(self) -> Iterable[str]:
-        """Return the blamed fingerprints."""
+        """Return the suspected fingerprints."""
         return list(self._of)
 
     def _stands(self, crash: Crash, fingerprint: str, now: float) -> bool:
-        # What completed before does not count: under load, many such are in flight.
-        unproven = sum(1 for proven in crash.blamed.values() if not proven)
-        if crash.other_services or unproven > self._settings.most_blamed:
+        # Fingerprints that completed before are not counted: many of them are in flight
+        # under load.
+        uncompleted_count = sum(
+            1 for completed in crash.blamed.values() if not completed
+        )
+        if crash.other_services or uncompleted_count > self._settings.most_blamed:
             return False
         if not crash.blamed[fingerprint]:
             return True
         # A query is in flight at many servers at once, so two crashes within
-        # milliseconds would condemn every query that runs beside a crashing one. What
-        # completed before is blamed only where nothing else was in flight, once the
-        # blames of other entry hosts have come. Until then it goes alone.
-        alone = len(crash.blamed) == 1 and now - crash.time >= _BLAMES_ARRIVE_S
-        return alone and not crash.one_zone
+        # milliseconds would quarantine every query that runs beside a crashing one. A
+        # fingerprint that completed before is therefore a suspect only if nothing else
+        # was in flight, and only after the suspects of other entry hosts have arrived.
+        # Until then it is sent as a canary.
+        is_only_suspect = (
+            len(crash.blamed) == 1 and now - crash.time >= _SUSPECT_EXCHANGE_S
+        )
+        return is_only_suspect and not crash.within_one_zone
 
     def _explains(self, crash: Crash, blamed: list[Crash]) -> bool:
-        """Return whether a fingerprint was in flight at half of the close crashes.
+        """Return whether a fingerprint was in flight at half of the nearby crashes.
 
-        A crashing request was at all of them. When a whole service restarts, each
-        of its canaries was at a few servers only.
+        A crashing request was in flight at all of them. When a whole service restarts,
+        each canary was in flight at a few servers only.
         """
-        window = self._settings.loss_window_s
-        own = sum(1 for other in blamed if abs(other.time - crash.time) <= window)
-        return 2 * own >= crash.close
+        window_s = self._settings.loss_window_s
+        nearby_count = sum(
+            1 for other in blamed if abs(other.time - crash.time) <= window_s
+        )
+        return 2 * nearby_count >= crash.close
 
     def _judge(self, newest: Crash) -> None:
         """Mark crashes that coincide with the loss of a zone or a rack."""
-        window = self._settings.loss_window_s
-        if self._recent and newest.time < self._recent[-1].time - window:
+        window_s = self._settings.loss_window_s
+        if self._recent and newest.time < self._recent[-1].time - window_s:
             return
         self._recent.append(newest)
         self._services[newest.service] += 1
         self._zones[newest.zone] += 1
-        while newest.time - self._recent[0].time > window:
+        while newest.time - self._recent[0].time > window_s:
             self._leave(self._recent.popleft())
-        most = self._settings.most_other_losses
-        one_zone = len(self._recent) > most and len(self._zones) == 1
+        threshold = self._settings.most_other_losses
+        within_one_zone = len(self._recent) > threshold and len(self._zones) == 1
         for crash in self._recent:
             crash.close = max(crash.close, len(self._recent))
             others = len(self._recent) - self._services[crash.service]
-            crash.other_services = crash.other_services or others > most
-            crash.one_zone = one_zone
+            crash.other_services = crash.other_services or others > threshold
+            crash.within_one_zone = within_one_zone
 
     def _leave(self, crash: Crash) -> None:
         self._services[crash.service] -= 1
@@ -209,16 +223,17 @@
         if not self._services[crash.service]:
             del self._services[crash.service]
         if not crash.blamed:
-            # It only served as evidence of a zone loss.
+            # It was kept only as evidence of a zone loss.
             self._crashes.pop((crash.server, crash.incarnation), None)
 
     def _expire(self, now: float) -> None:
-        # A condemnation lasts from the last crash, so earlier ones must outlive it.
-        oldest = now - 2 * self._settings.condemned_s
+        # A quarantine starts at the last crash, so earlier crashes are kept until it
+        # has ended.
+        cutoff = now - 2 * self._settings.condemned_s
         while self._crashes:
             key, crash = next(iter(self._crashes.items()))
             if (
-                crash.time > oldest
+                crash.time > cutoff
                 and len(self._crashes) <= self._settings.most_entries
             ):
                 return
@@ -227,8 +242,10 @@
                 self._forget(fingerprint, crash)
 
     def _forget(self, fingerprint: str, crash: Crash) -> None:
-        left = [each for each in self._of.get(fingerprint, ()) if each is not crash]
-        if left:
-            self._of[fingerprint] = left
+        remaining = [
+            each for each in self._of.get(fingerprint, ()) if each is not crash
+        ]
+        if remaining:
+            self._of[fingerprint] = remaining
         else:
             self._of.pop(fingerprint, None)
--- a/packages/routing/src/kingcuplug_routing/_delegation.py
+++ b/packages/routing/src/kingcuplug_routing/_delegation.py
@@ -1,11 +1,11 @@
-"""Which hosts gather the parts of a query for a host with a narrow link.
-
-Answers these load patterns: the parts of a query over many shards fill the link of a
-small host for a third of the time that its caller has; ninety small hosts each see a
-server too seldom to know that it has turned slow; and every part from another
-availability zone is priced. A host with a wide link in the zone where replicas are
-gathers the parts, answers with the best records of all of them, and sees enough
-requests to know the servers.
+"""Delegation of scatter-gather work from a host with little bandwidth.
+
+Handles these load patterns: the partial answers of a query over many shards occupy the
+link of a small host for a third of the caller's deadline; each of ninety small hosts
+sends a server too few requests to detect that it has become slow; and traffic between
+availability zones is billed. A gatherer, a host with more bandwidth in the
+availability zone of the replicas, collects the partial answers, returns only the best
+records of all of them, and sends enough requests to detect slow servers.
 """
 
 import random as random_module
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Delegation:
-    """Shards of one query whose parts one host gathers."""
+    """Shards of one query whose partial answers one host gathers."""
 
     gatherer: str
     shards: tuple[str, ...]
@@ -29,9 +29,10 @@
     gatherers: Mapping[str, Sequence[str]],
     random: random_module.Random,
 ) -> list[Delegation]:
-    """Divide the shards of a query among gatherers.
+    """Assign the shards of a query to gatherers.
 
-    Shards that no gatherer is near to are left out; the host asks those itself.
+    Shards without a server in a gatherer's availability zone are left out; the host
+    queries those itself.
 
     Parameters
     ----------
@@ -40,17 +41,22 @@
     gatherers : mapping
         Addresses of hosts that gather, by availability zone.
     """
-    rest = list(zones)
+    remaining = list(zones)
     delegations = []
-    order = sorted(gatherers, key=lambda zone: (zone != own_zone, random.random()))
-    while rest and order:
-        # The own zone first, then the one that has most of what is left.
-        zone = order[0]
+    candidate_zones = sorted(
+        gatherers, key=lambda zone: (zone != own_zone, random.random())
+    )
+    while remaining and candidate_zones:
+        # The host's own zone first, then the one with most of the remaining shards.
+        zone = candidate_zones[0]
         if zone != own_zone:
-            zone = max(order, key=lambda z: sum(z in zones[shard] for shard in rest))
-        order.remove(zone)
-        near = tuple(shard for shard in rest if zone in zones[shard])
-        if near and gatherers[zone]:
-            delegations.append(Delegation(random.choice(gatherers[zone]), near))
-            rest = [shard for shard in rest if shard not in near]
+            zone = max(
+                candidate_zones,
+                key=lambda z: sum(z in zones[shard] for shard in remaining),
+            )
+        candidate_zones.remove(zone)
+        local_shards = tuple(shard for shard in remaining if zone in zones[shard])
+        if local_shards and gatherers[zone]:
+            delegations.append(Delegation(random.choice(gatherers[zone]), local_shards))
+            remaining = [shard for shard in remaining if shard not in local_shards]
     return delegations
--- a/packages/routing/src/kingcuplug_routing/_fleet.py
+++ b/packages/routing/src/kingcuplug_routing/_fleet.py
@@ -1,31 +1,32 @@
-"""The servers of one service as one entry host knows them."""
+"""State of the servers of one service at one entry host."""
 
 from collections.abc import Iterable, Sequence, Set
 from math import inf
 
+from kingcuplug_routing._maintenance import forget, prefer_zones
 from kingcuplug_routing._policy import RoutingPolicy
+from kingcuplug_routing._replica_table import ReplicaTable
 from kingcuplug_routing._server import Server
-from kingcuplug_routing._table import ReplicaTable
 from kingcuplug_routing._types import HoldingView, ServerView
-from kingcuplug_routing._upkeep import forget, prefer_zones
 
 __all__ = ["Fleet"]
 
-_UPKEEP_S = 0.25
-_GONE_S = 5.0  # a directory entry can lag behind by a lease and a session exchange
+_MAINTENANCE_INTERVAL_S = 0.25
+# A directory entry can lag behind by a lease and a session exchange.
+_LOST_HOLDING_S = 5.0
 
 
 class Fleet:
-    """Servers, replica lists, ejections and lost holdings.
+    """Servers of one service with replica lists, ejections and lost holdings.
 
     Attributes
     ----------
     table : ReplicaTable
-        Replica lists for choices.
+        Replica lists from which replicas are chosen.
     upkeep_at : float
-        Time of the loop at which `upkeep` is due.
+        Event loop time at which `run_maintenance` is due.
     ramping_until : float
-        Time of the loop at which the last slow start ends.
+        Event loop time at which the last slow start ends.
     """
 
     def __init__(self, policy: RoutingPolicy) -> None:
@@ -46,29 +47,30 @@
         mean_ms: float,
         now: float,
     ) -> set[Server]:
-        """Replace the known servers and return the former and the new ones."""
+        """Replace the known servers; return the previous and the new ones."""
         self._live_entry_hosts = max(1, live_entry_hosts)
-        former = set(self._holdings)
+        previous = set(self._holdings)
         self._holdings = {
             self._known(view, mean_ms, now): view.holdings
             for view in views
             if view.state == "serving"
         }
         for name, server in list(self._servers.items()):
-            # A server that comes back must find its requests in flight counted.
+            # A server with requests in flight is kept, so that they still count if the
+            # directory lists it again.
             if server not in self._holdings and not server.in_flight:
                 del self._servers[name]
         self._rebuild(now)
-        return former | set(self._holdings)
+        return previous | set(self._holdings)
 
     def servers(self) -> Iterable[Server]:
         """Return the serving servers."""
         return self._holdings
 
     def slots(self) -> float:
-        """Return this entry host's even share of the slots of working servers."""
-        working = sum(each.slots for each in self._holdings if not each.failures)
-        total = working or sum(each.slots for each in self._holdings)
+        """Return this entry host's even share of the healthy servers' slots."""
+        healthy_slots = sum(each.slots for each in self._holdings if not each.failures)
+        total = healthy_slots or sum(each.slots for each in self._holdings)
         return total / self._live_entry_hosts
 
     def replicas(
@@ -85,16 +87,16 @@
         if allowed:
             return allowed
         # An ejected replica is better than a refusal.
-        every = self.table.every[snapshot][shard]
-        return [each for each in every if each.server not in exclude]
+        all_replicas = self.table.every[snapshot][shard]
+        return [each for each in all_replicas if each.server not in exclude]
 
     def lose_holding(self, server: Server, snapshot: int, now: float) -> None:
-        """Stop choosing a server for a snapshot that it no longer has."""
-        self._gone[server.server, snapshot] = now + _GONE_S
+        """Exclude a server from choices for a snapshot that it no longer holds."""
+        self._gone[server.server, snapshot] = now + _LOST_HOLDING_S
         self._rebuild(now)
 
     def eject(self, server: Server, now: float) -> bool:
-        """Eject a server that failed too often; return whether lists changed."""
+        """Eject a server with too many failures; return whether lists changed."""
         duration = server.eject_for(now)
         if duration is None:
             return False
@@ -104,24 +106,24 @@
         return True
 
     def upkeep(self, mean_ms: float, now: float) -> bool:
-        """Make the regular corrections; return whether lists changed."""
-        elapsed = min(1.0, now - self.upkeep_at + _UPKEEP_S)
+        """Run the regular corrections; return whether replica lists changed."""
+        elapsed = min(1.0, now - self.upkeep_at + _MAINTENANCE_INTERVAL_S)
         forget(self._holdings, mean_ms, elapsed)
         prefer_zones(self._holdings)
-        self.upkeep_at = now + _UPKEEP_S
+        self.upkeep_at = now + _MAINTENANCE_INTERVAL_S
         if now < self._rebuild_at:
             return False
         self._rebuild(now)
         return True
 
     def _known(self, view: ServerView, mean_ms: float, now: float) -> Server:
-        known = self._servers.get(view.server)
-        if known is None or known.incarnation != view.incarnation:
-            known = Server(view, self._policy, mean_ms, now)
-            self._servers[view.server] = known
-            self.ramping_until = max(self.ramping_until, known.ramp_end)
-        known.refresh(view, self._live_entry_hosts)
-        return known
+        server = self._servers.get(view.server)
+        if server is None or server.incarnation != view.incarnation:
+            server = Server(view, self._policy, mean_ms, now)
+            self._servers[view.server] = server
+            self.ramping_until = max(self.ramping_until, server.ramp_end)
+        server.refresh(view, self._live_entry_hosts)
+        return server
 
     def _rebuild(self, now: float) -> None:
         self._gone = {key: end for key, end in self._gone.items() if end > now}
@@ -134,5 +136,7 @@
             for server, views in self._holdings.items()
         }
         self.table = ReplicaTable(holdings, now)
-        ends = [each.ejected_until for each in holdings if each.ejected_until > now]
-        self._rebuild_at = min([*ends, *self._gone.values()], default=inf)
+        ejection_ends = [
+            each.ejected_until for each in holdings if each.ejected_until > now
+        ]
+        self._rebuild_at = min([*ejection_ends, *self._gone.values()], default=inf)
--- a/packages/routing/src/kingcuplug_routing/_upkeep.py
+++ b/packages/routing/src/kingcuplug_routing/_maintenance.py
@@ -1,4 +1,4 @@
-"""Regular corrections of server statistics, kept off the path of each choice."""
+"""Periodic corrections of server statistics, outside the path of each choice."""
 
 from collections.abc import Collection
 from math import exp
@@ -11,22 +11,24 @@
 def forget(servers: Collection[Server], mean_ms: float, elapsed_s: float) -> None:
     """Move the latency of unused slow servers towards the service's mean.
 
-    A server that is avoided for its latency gives no new observation, so without
-    this it would be avoided for ever.
+    A server that is avoided for its latency gives no new observation, so without the
+    decay it would be avoided for ever.
     """
     for server in servers:
         if server.latency_ms > mean_ms and not server.in_flight:
-            kept = exp(-elapsed_s / server.policy.forget_s)
-            server.latency_ms = mean_ms + (server.latency_ms - mean_ms) * kept
+            remaining = exp(-elapsed_s / server.policy.forget_s)
+            server.latency_ms = mean_ms + (server.latency_ms - mean_ms) * remaining
 
 
 def prefer_zones(servers: Collection[Server]) -> None:
-    """Set each server's zone factor: below 1 unless its zone is the more loaded one."""
+    """Set each server's zone factor: below 1 unless its zone has the higher load."""
     loads: dict[str, list[float]] = {}
     for server in servers:
         load = (server.in_flight / server.slots + 1) * server.latency_ms
         loads.setdefault(server.zone, []).append(load)
-    means = {zone: sum(each) / len(each) for zone, each in loads.items()}
+    means = {
+        zone: sum(zone_loads) / len(zone_loads) for zone, zone_loads in loads.items()
+    }
     for server in servers:
         others = [mean for zone, mean in means.items() if zone != server.zone]
         more_loaded = bool(others) and means[server.zone] > sum(others) / len(others)
--- a/packages/routing/src/kingcuplug_routing/_policy.py
+++ b/packages/routing/src/kingcuplug_routing/_policy.py
@@ -1,6 +1,6 @@
-"""Settings of the routing policy; the defaults are the chosen policy.
+"""Settings of the routing policy.
 
-The figures that chose each default are in ``docs/decisions/routing.md``.
+The reasons for the defaults are in ``docs/decisions/routing.md``.
 """
 
 from dataclasses import dataclass
@@ -24,29 +24,31 @@
     hedge_budget, retry_budget : float
         Hedges and retries as a share of the first sub-requests.
     budget_burst : float
-        Tokens that an idle budget keeps.
+        Greatest number of tokens that a budget accumulates.
     retry_floor_per_s : float
         Retries per second that are allowed at any traffic. At a few queries a
-        minute the share alone would refuse the retry after a lost replica.
+        minute the share alone would not allow the retry after a lost replica.
     hedge_quantile : float
         Quantile of the observed latency after which a hedge is sent.
     latency_weight : float
         Weight of one observation in a server's recent latency.
     forget_s : float
-        Time after which an unused server's bad latency has lost 63% of its
-        distance to the service's mean.
+        Time constant with which the latency of an unused slow server decays to the
+        service's mean: after this time 63% of the difference is gone.
     slow_start_s : float
-        Time over which a new incarnation is brought to its full share.
+        Time over which a new incarnation ramps up to its full share.
     ejection_failures : int
-        Failures in a row after which a server is ejected.
+        Consecutive failures after which a server is ejected.
     ejection_s, ejection_longest_s : float
         First and longest duration of an ejection; it doubles each time.
     back_off_longest_s : float
         Longest back-off after a shed or failed attempt.
     zone_factor : float
-        Factor on the expected time of servers in the own availability zone.
+        Factor on the expected latency of servers in the entry host's own availability
+        zone.
     turn_after : int
-        A waiting lower class gets a turn after it was passed over so often.
+        Number of times after which a waiting lower priority class that was passed over
+        is served next.
     utilisation : float
         Share of the service's slots that all entry hosts together plan to use;
         infinite for no admission control.
@@ -56,7 +58,7 @@
     urgent_reserve : float
         Share of the admission burst that only urgent requests may use.
     burst_s : float
-        Time over which unused slot time is kept.
+        Time over which unused slot time accumulates.
     longest_wait_s : float
         Longest wait for admission of a normal request; bulk waits up to
         `bulk_wait_factor` times longer.
@@ -87,7 +89,7 @@
 
 
 def baseline_policy() -> RoutingPolicy:
-    """Return the policy to compare with: random replica, nothing limited."""
+    """Return the baseline for comparisons: random replica, no limits."""
     return RoutingPolicy(
         select=random_replica,
         limited=False,
--- a/packages/routing/src/kingcuplug_routing/_queueing.py
+++ b/packages/routing/src/kingcuplug_routing/_queueing.py
@@ -1,4 +1,4 @@
-"""How waiting requests are woken, and when waiting is better than sending."""
+"""Wake-up of waiting requests, and the decision between waiting and sending."""
 
 import asyncio
 from collections.abc import Iterable, Sequence
@@ -8,16 +8,16 @@
 
 __all__ = ["outpaced", "wake", "wake_all"]
 
-_MUCH_SLOWER = 1.5  # a straggler must not get work only because the others are busy
+_SLOWNESS_FACTOR = 1.5  # a slow server must not get work only because others are busy
 
 
 def outpaced(server: Server, replicas: Sequence[Server], now: float) -> bool:
-    """Return whether waiting for a busy replica is expected to be quicker.
+    """Return whether waiting for a busy replica is expected to be faster.
 
-    A replica at its limit has a request in flight here, whose end serves the
-    waiting ones; the end of a back-off does the same.
+    Waiting requests are served when a request in flight at a replica at its limit
+    ends, or when a back-off ends.
     """
-    bound_ms = server.latency_ms / _MUCH_SLOWER
+    bound_ms = server.latency_ms / _SLOWNESS_FACTOR
     for each in replicas:
         expected_ms = (each.in_flight + 1) * each.latency_ms
         if each.back_off_until > now:
@@ -30,13 +30,13 @@
 
 
 def wake_all(servers: Iterable[Server]) -> None:
-    """Let every waiting request look at the new replica lists."""
+    """Wake every waiting request so that it retries with the new replica lists."""
     for server in servers:
         for waiter in server.waiting:
             waiter.future.set_result(None)
 
 
 def wake(future: asyncio.Future[Ticket | None]) -> None:
-    """Let one waiting request look again, unless it was served meanwhile."""
+    """Wake one waiting request so that it retries, unless it was served already."""
     if not future.done():
         future.set_result(None)
--- a/packages/routing/src/kingcuplug_routing/_refusals.py
+++ b/packages/routing/src/kingcuplug_routing/_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals of the routing package; nothing was sent, so each says ``not_run``."""
+"""Refusals of the routing package; each is ``not_run``, as nothing was sent."""
 
 from kingcuplug_common import Refusal, RefusalReason, not_run
 
@@ -22,7 +22,7 @@
 
 
 def replicas_excluded(service: str, shard: int, exclude: frozenset[str]) -> Refusal:
-    """Refuse because all replicas were tried already."""
+    """Refuse because every replica has been tried."""
     return not_run(
         RefusalReason.BACKEND_SERVER_FAILED,
         f"all replicas of shard {shard} of {service} were tried: {sorted(exclude)}",
@@ -31,7 +31,7 @@
 
 
 def budget_spent(service: str) -> Refusal:
-    """Refuse a retry that would exceed the budget."""
+    """Refuse a retry that would exceed the retry budget."""
     return not_run(
         RefusalReason.OVERLOADED,
         f"the retry budget of {service} is spent",
--- /dev/null
+++ b/packages/routing/src/kingcuplug_routing/_replica_scoring.py
@@ -0,0 +1,227 @@
+"""Choice of one replica by this host's own recent observations.
+
+Handles these load patterns: replicas of unequal speed, a server that pauses for some
+hundred milliseconds while its queue grows, a server that fails fast and so looks idle,
+cold starts, and many hosts that choose without knowing each other's choices. Each host
+scores replicas by expected latency; a random factor keeps the hosts from all choosing
+the same one.
+"""
+
+import math
+import random as random_module
+from collections.abc import Sequence
+from dataclasses import dataclass, field
+
+__all__ = ["ReplicaState", "choose_replica"]
+
+# Weight of a new sample in a replica's latency ratio: about the last three answers
+# count, because a host uses each replica only about once a second.
+_RATIO_WEIGHT = 0.3
+# Bounds of a sample: one answer delayed by a pause must not keep a replica unused for
+# long; a slow replica gives several such answers.
+_RATIO_RANGE = (0.3, 3.0)
+# Without new samples, estimates return to normal with this half-life, so that a replica
+# that was slow is tried again.
+_ESTIMATE_HALF_LIFE_S = 5.0
+# An attempt open for this many times its expected duration indicates a stalled server.
+_STALL_FACTOR = 3.0
+_MIN_STALL_S = 0.03  # Shorter waits are within the spread of a healthy server.
+_ERROR_WEIGHT = 0.3
+# Expected cost of a failed attempt, as time that the caller loses.
+_ERROR_COST_S = 0.5
+# A server that refused a connection is avoided for this long, doubled by each further
+# failure.
+_FIRST_UNREACHABLE_S = 0.2
+_MAX_UNREACHABLE_S = 3.0
+_UNREACHABLE_COST_S = 2.0
+_NO_HEARTBEAT_COST_S = 1.0
+# Traffic between availability zones is billed, so a replica in another zone has to be
+# faster by this factor.
+_REMOTE_FACTOR = 1.8
+_REMOTE_ROUND_TRIP_S = 0.002  # between availability zones
+_COLD_START_FACTOR = 1.6  # slowdown of a server that has just started
+_JITTER = (0.85, 1.15)
+
+
+@dataclass(slots=True)
+class ReplicaState:
+    """Observations of one replica by this host.
+
+    Attributes
+    ----------
+    slots : int
+        Number of requests that the server runs concurrently.
+    remote : bool
+        Whether it is in another availability zone.
+    pace : float
+        Latency ratio: duration of its answers relative to the route's typical one.
+    errors : float
+        Recent share of failed attempts.
+    paused_until : float
+        Event loop time until which it counts as unreachable.
+    cold_until : float
+        Event loop time until which it is slow after its start.
+    silent : bool
+        Whether its heartbeats have stopped.
+    shared_pace : float
+        Latency ratio from the samples of all hosts; 1 unless the server is slow.
+    shared : dict
+        Latency ratios that were reported for attempts that are still open.
+    """
+
+    slots: int
+    remote: bool = False
+    pace: float = 1.0
+    pace_at: float = 0.0
+    errors: float = 0.0
+    errors_at: float = 0.0
+    failures_in_row: int = 0
+    paused_until: float = 0.0
+    cold_until: float = 0.0
+    silent: bool = False
+    shared_pace: float = 1.0
+    samples: int = 0
+    samples_total: float = 0.0
+    open: dict[object, tuple[float, float]] = field(default_factory=dict)
+    shared: dict[object, float] = field(default_factory=dict)
+
+    def begin(self, attempt: object, now: float, typical_s: float) -> None:
+        """Record that an attempt was sent."""
+        self.open[attempt] = (now, typical_s)
+
+    def answer(self, attempt: object, now: float) -> float:
+        """Record a successful answer and return its duration in seconds."""
+        started_at, typical_s = self.open.pop(attempt, (now, 0.0))
+        duration_s = now - started_at
+        if typical_s > 0:
+            self._sample(attempt, duration_s / typical_s, now)
+        self.errors = self._errors(now) * (1 - _ERROR_WEIGHT)
+        self.errors_at = now
+        self.failures_in_row = 0
+        self.paused_until = 0.0
+        return duration_s
+
+    def late(self, attempt: object, now: float) -> None:
+        """Report the latency ratio of a late attempt before it has ended.
+
+        When a server becomes slow, its answers arrive too late to warn other hosts.
+        """
+        started_at, typical_s = self.open.get(attempt, (now, 0.0))
+        if typical_s > 0 and attempt not in self.shared:
+            self._share(attempt, (now - started_at) / typical_s)
+
+    def reject(self, attempt: object, now: float) -> None:
+        """Record that the server, running but busy, shed an attempt."""
+        self.open.pop(attempt, None)
+        self.shared.pop(attempt, None)
+        self.pace = min(self._own_pace(now) + 1.0, _RATIO_RANGE[1])
+        self.pace_at = now
+
+    def fail(self, attempt: object, now: float, unreachable: bool) -> None:
+        """Record a failure.
+
+        Parameters
+        ----------
+        unreachable : bool
+            Whether no connection could be made, so that every other attempt would fail
+            too.
+        """
+        self.open.pop(attempt, None)
+        self._share(attempt, _RATIO_RANGE[1])
+        self.shared.pop(attempt, None)
+        self.errors = self._errors(now) * (1 - _ERROR_WEIGHT) + _ERROR_WEIGHT
+        self.errors_at = now
+        if unreachable:
+            unreachable_s = min(
+                _FIRST_UNREACHABLE_S * 2**self.failures_in_row, _MAX_UNREACHABLE_S
+            )
+            self.failures_in_row += 1
+            self.paused_until = max(self.paused_until, now + unreachable_s)
+
+    def forget(self, attempt: object, now: float) -> None:
+        """Record that an attempt was abandoned, with its age as a sample."""
+        started_at, typical_s = self.open.pop(attempt, (now, 0.0))
+        if typical_s > 0 and now - started_at > typical_s * self._pace(now):
+            self._sample(attempt, (now - started_at) / typical_s, now)
+        self.shared.pop(attempt, None)
+
+    def take_samples(self) -> tuple[int, float]:
+        """Return and reset the number and sum of the samples since the last call."""
+        drained = (self.samples, self.samples_total)
+        self.samples, self.samples_total = 0, 0.0
+        return drained
+
+    def expected_s(self, now: float, typical_s: float) -> float:
+        """Return the expected latency of an answer, with penalties."""
+        ratio = self._pace(now)
+        if now < self.cold_until:
+            ratio *= _COLD_START_FACTOR
+        expected_s = typical_s * ratio * (1 + len(self.open) / self.slots)
+        if self.remote:
+            expected_s = expected_s * _REMOTE_FACTOR + _REMOTE_ROUND_TRIP_S
+        expected_s += self._stalled_s(now, ratio)
+        expected_s += self._errors(now) * _ERROR_COST_S
+        if now < self.paused_until:
+            expected_s += _UNREACHABLE_COST_S
+        if self.silent:
+            expected_s += _NO_HEARTBEAT_COST_S
+        return expected_s
+
+    def _sample(self, attempt: object, ratio: float, now: float) -> None:
+        sample = min(max(ratio, _RATIO_RANGE[0]), _RATIO_RANGE[1])
+        self.pace = self._own_pace(now) * (1 - _RATIO_WEIGHT) + sample * _RATIO_WEIGHT
+        self.pace_at = now
+        self._share(attempt, ratio)
+        self.shared.pop(attempt, None)
+
+    def _share(self, attempt: object, ratio: float) -> None:
+        """Add the sample of an attempt, or only its growth if one was added before."""
+        sample = min(max(ratio, _RATIO_RANGE[0]), _RATIO_RANGE[1])
+        previous = self.shared.get(attempt)
+        self.samples += previous is None
+        self.samples_total += sample - (previous or 0.0)
+        self.shared[attempt] = sample
+
+    def _pace(self, now: float) -> float:
+        return max(self._own_pace(now), self.shared_pace)
+
+    def _own_pace(self, now: float) -> float:
+        return 1 + (self.pace - 1) * _decay(now - self.pace_at)
+
+    def _errors(self, now: float) -> float:
+        return self.errors * _decay(now - self.errors_at)
+
+    def _stalled_s(self, now: float, ratio: float) -> float:
+        """Return the age of the oldest open attempt if it is overdue, else 0."""
+        if not self.open:
+            return 0.0
+        started_at, typical_s = next(iter(self.open.values()))
+        age_s = now - started_at
+        if age_s < max(_STALL_FACTOR * typical_s * ratio, _MIN_STALL_S):
+            return 0.0
+        return age_s
+
+
+def _decay(age_s: float) -> float:
+    return math.exp2(-age_s / _ESTIMATE_HALF_LIFE_S)
+
+
+def choose_replica(
+    replicas: Sequence[ReplicaState],
+    now: float,
+    typical_s: float,
+    random: random_module.Random,
+) -> int:
+    """Return the index of the replica with the lowest expected latency.
+
+    Parameters
+    ----------
+    typical_s : float
+        Typical duration of this kind of request.
+    """
+
+    def score(index: int) -> float:
+        jitter = random.uniform(*_JITTER)
+        return replicas[index].expected_s(now, typical_s) * jitter
+
+    return min(range(len(replicas)), key=score)
--- a/packages/routing/src/kingcuplug_routing/_table.py
+++ b/packages/routing/src/kingcuplug_routing/_replica_table.py
@@ -1,7 +1,7 @@
 """Replica lists per snapshot and shard.
 
-They are built when the directory, an ejection or a holding changes, so that a
-choice only indexes a list.
+They are rebuilt when the directory, an ejection or a holding changes, so that a choice
+is only a list index.
 """
 
 from collections.abc import Iterable, Mapping
@@ -25,9 +25,14 @@
     Parameters
     ----------
     holdings : mapping
-        Servers and what each of them holds.
+        Holdings of each server.
     now : float
-        Time of the loop, against which ejections are compared.
+        Current event loop time, to which the ends of ejections are compared.
+
+    Attributes
+    ----------
+    every, usable : dict
+        By snapshot, the replicas of each shard: all of them, and all but the ejected.
     """
 
     def __init__(
--- a/packages/routing/src/kingcuplug_routing/_allowance.py
+++ b/packages/routing/src/kingcuplug_routing/_retry_budget.py
@@ -1,12 +1,12 @@
-"""The share of one host in the retries that a service bears.
-
-Answers this load pattern: servers shed or fail, and every host sends everything
-again at once, so that the load doubles when there is least room. All hosts together
-may add a share of the requests and a fixed number in each window; each host keeps
-to its own requests' share and to its part of the fixed number. The balancer spreads
-callers unevenly, so the parts of the fixed number follow the requests that each host
-has: with equal parts busy hosts lack what idle ones never use. Second attempts that
-only save time leave a rest for those that replace a failed one.
+"""Retry budget of one host for one service.
+
+Prevents retry storms: servers shed or fail, every host resends everything at once,
+and the load doubles when capacity is lowest. All hosts together may add a ratio of
+the requests plus a constant number of attempts in each window. Each host is limited to
+the ratio of its own requests plus its share of the constant number. The load balancer
+distributes callers unevenly, so that number is divided in proportion to each host's
+requests: with equal shares, busy hosts lack what idle ones never use. Hedges may not
+use the whole budget, so that some is left for retries of failed attempts.
 """
 
 import random as random_module
@@ -14,21 +14,21 @@
 
 __all__ = ["AllowanceSettings", "RetryAllowance", "WindowCount", "fixed_part"]
 
-_BUCKETS = 10
-# A host whose callers have just come, or whose requests are not counted elsewhere yet,
-# keeps this share of an even part; a host takes at most so many even parts, as the
-# count of all requests lags.
-_LEAST_EVEN_PARTS = 0.25
-_MOST_EVEN_PARTS = 6.0
-# Hosts count windows at their own offsets, and requests may be counted later by
-# the servers than here; the margin keeps the sum within the bound.
-_SAFE_SHARE = 0.8
+_BUCKET_COUNT = 10
+# Bounds of a host's share, in multiples of an even share. The minimum serves a host
+# whose callers have just arrived or whose requests are not in the total yet; the
+# maximum limits the error while the total of all requests lags.
+_MIN_EVEN_SHARES = 0.25
+_MAX_EVEN_SHARES = 6.0
+# Hosts' windows start at different offsets, and servers may count a request later than
+# the host does; the margin keeps the sum over all hosts within the bound.
+_SAFETY_FACTOR = 0.8
 _HEDGE_SHARE = 0.9
 
 
 @dataclass(frozen=True, slots=True)
 class AllowanceSettings:
-    """What all hosts together may add to a service's load.
+    """Bound on the attempts that all hosts together may add to a service's load.
 
     Attributes
     ----------
@@ -51,16 +51,16 @@
     Parameters
     ----------
     window_s : float
-        Events count for this long, and up to a tenth of it longer.
+        Length of the window; events are counted for up to a tenth of it longer.
     """
 
     def __init__(self, window_s: float) -> None:
-        self._width_s = window_s / _BUCKETS
+        self._width_s = window_s / _BUCKET_COUNT
         self._bucket = 0
-        self._counts = [0] * (_BUCKETS + 1)
+        self._counts = [0] * (_BUCKET_COUNT + 1)
 
     def add(self, now: float, count: int = 1) -> None:
-        """Count events that happen now."""
+        """Count events at the current time."""
         self._advance(now)
         self._counts[self._bucket % len(self._counts)] += count
 
@@ -72,19 +72,19 @@
     def _advance(self, now: float) -> None:
         bucket = int(now / self._width_s)
         size = len(self._counts)
-        for passed in range(max(self._bucket + 1, bucket - size + 1), bucket + 1):
-            self._counts[passed % size] = 0
+        for expired in range(max(self._bucket + 1, bucket - size + 1), bucket + 1):
+            self._counts[expired % size] = 0
         self._bucket = max(self._bucket, bucket)
 
 
 def fixed_part(own: int, total: int, hosts: int) -> float:
-    """Return a host's part of what all hosts together have, between 0 and 1.
+    """Return a host's share of what all hosts together may use, between 0 and 1.
 
     Parameters
     ----------
     own, total : int
-        Requests of this host and of all hosts in the last window; a total of 0 is
-        unknown and makes the parts equal.
+        Requests of this host and of all hosts in the last window; a total of 0 means
+        unknown and makes the shares equal.
     hosts : int
         Live hosts; 0 if unknown.
     """
@@ -92,8 +92,8 @@
         return 0.0
     if total <= 0:
         return 1 / hosts
-    part = max(own / total, _LEAST_EVEN_PARTS / hosts)
-    return min(part, _MOST_EVEN_PARTS / hosts, 1.0)
+    own_share = max(own / total, _MIN_EVEN_SHARES / hosts)
+    return min(own_share, _MAX_EVEN_SHARES / hosts, 1.0)
 
 
 class RetryAllowance:
@@ -102,11 +102,11 @@
     Parameters
     ----------
     share : float
-        Share of the common bound from which this one is taken. Where hosts gather
-        for others, both the gatherer and the host that asks count a request.
+        Share of the common bound that this budget may use. Where hosts gather for
+        others, both the gatherer and the requesting host count a request.
     random : Random
-        Rounds what a host may add, which is often less than one attempt, up at some
-        hosts and down at others, so that the sum over all hosts stays the same.
+        Source of the random rounding. A host's budget is often less than one attempt;
+        rounding it up at some hosts and down at others keeps the sum over all hosts.
     """
 
     def __init__(
@@ -131,13 +131,13 @@
         Parameters
         ----------
         part : float
-            This host's part of the fixed number, see `fixed_part`.
+            This host's share of the constant number, see `host_share`.
         hedge : bool
-            Whether the attempt only saves time.
+            Whether the attempt is a hedge, which replaces no failed attempt.
         """
         settings = self._settings
         allowed = self._requests.total(now) * settings.ratio + settings.fixed * part
-        allowed *= self._share * _SAFE_SHARE * (_HEDGE_SHARE if hedge else 1.0)
+        allowed *= self._share * _SAFETY_FACTOR * (_HEDGE_SHARE if hedge else 1.0)
         if self._extra.total(now) + 1 > allowed + self._rounding:
             return False
         self._extra.add(now)
--- a/packages/routing/src/kingcuplug_routing/_router.py
+++ b/packages/routing/src/kingcuplug_routing/_router.py
@@ -5,7 +5,6 @@
 from math import inf
 from random import Random
 
-from kingcuplug_routing._budget import Budget
 from kingcuplug_routing._fleet import Fleet
 from kingcuplug_routing._policy import RoutingPolicy
 from kingcuplug_routing._queueing import outpaced, wake, wake_all
@@ -18,6 +17,7 @@
 from kingcuplug_routing._server import Server
 from kingcuplug_routing._statistics import ServiceStatistics
 from kingcuplug_routing._ticket import Ticket
+from kingcuplug_routing._token_bucket import Budget
 from kingcuplug_routing._types import (
     Attempt,
     AttemptOutcome,
@@ -29,14 +29,14 @@
 
 __all__ = ["Router"]
 
-# Part of a retry's token given back for a shed attempt, which ran nothing: without
-# it, sheds between entry hosts that do not see each other use up the budget.
-_SHED_CREDIT = 0.8
-# A loop fires timers up to its clock's resolution early; comparing without this
-# allowance would set the same timer again and again.
-_TIMER_EARLY_S = 1e-6
+# Part of a retry token refunded for a shed attempt, which did no work: without it,
+# sheds caused by uncoordinated entry hosts exhaust the retry budget.
+_SHED_REFUND_TOKENS = 0.8
+# The event loop fires timers up to its clock's resolution early; comparing times
+# without this tolerance would re-arm the same timer again and again.
+_TIMER_TOLERANCE_S = 1e-6
 _running_loop = asyncio.get_running_loop
-_NOBODY: frozenset[str] = frozenset()
+_NO_SERVERS: frozenset[str] = frozenset()
 
 
 class Router:
@@ -80,11 +80,12 @@
         """
         mean_ms = self.statistics.mean_ms
         wake_all(self._fleet.update(servers, live_entry_hosts, mean_ms, _now()))
-        # A lost zone breaks all its attempts at once, and each has a live replica.
+        # When a zone is lost, all its attempts fail at once and each can be retried at
+        # a live replica, so the budget must allow one retry per request in flight.
         self._retries.widen(sum(each.cap for each in self._fleet.servers()))
 
     def snapshots(self) -> list[SnapshotView]:
-        """Return the snapshots that are served, newest first."""
+        """Return the served snapshots, newest first."""
         return self._fleet.table.snapshots()
 
     def slots(self) -> float:
@@ -97,18 +98,18 @@
         self,
         snapshot: int,
         shard: int,
-        exclude: Set[str] = _NOBODY,
+        exclude: Set[str] = _NO_SERVERS,
         zone: str = "",
         attempt: Attempt = Attempt.FIRST,
     ) -> Ticket | None:
-        """Reserve capacity at a replica, or return None if there is none now.
+        """Reserve capacity at a replica, or return None if none is free.
 
-        A hedge or a retry also needs a token of its budget.
+        A hedge or a retry also takes a token of its budget.
 
         Parameters
         ----------
         exclude : set of str
-            Servers that must not be chosen, such as the one that is hedged.
+            Servers that must not be chosen, such as the server of the hedged attempt.
         zone : str
             The entry host's availability zone.
         """
@@ -129,18 +130,18 @@
         self,
         snapshot: int,
         shard: int,
-        exclude: Set[str] = _NOBODY,
+        exclude: Set[str] = _NO_SERVERS,
         priority: Priority = Priority.NORMAL,
         deadline: float = inf,
         zone: str = "",
         attempt: Attempt = Attempt.FIRST,
     ) -> Ticket:
-        """Reserve capacity at a replica and wait for it in the order of priority.
+        """Reserve capacity at a replica, waiting for it in priority order.
 
         Parameters
         ----------
         deadline : float
-            Time of the loop by which the answer is needed.
+            Event loop time by which the answer is needed.
 
         Raises
         ------
@@ -168,17 +169,17 @@
         return ticket
 
     def hedge_delay_ms(self, shard: int) -> float | None:
-        """Return after which time to hedge, or None while it is unknown."""
+        """Return the delay after which to hedge, or None while it is unknown."""
         if self.policy.hedge_budget <= 0:
             return None
         return self.statistics.hedge_delay_ms(shard)
 
     def may_hedge(self) -> bool:
-        """Return whether the hedge budget has a token; `choose` spends it."""
+        """Return whether the hedge budget has a token; `choose` takes it."""
         return self._hedges.available()
 
     def may_retry(self) -> bool:
-        """Return whether the retry budget has a token; `choose` spends it."""
+        """Return whether the retry budget has a token; `choose` takes it."""
         return self._retries.available()
 
     # Internals: choice
@@ -199,22 +200,22 @@
             return None
         if now < self._fleet.ramping_until:
             candidates = self._ramped(candidates, now)
-        place = 0
+        index = 0
         if len(candidates) > 1:
-            place = self.policy.select(candidates, zone, self._random)
-        chosen = candidates[place]
+            index = self.policy.select(candidates, zone, self._random)
+        chosen = candidates[index]
         if len(candidates) < len(replicas) and outpaced(chosen, replicas, now):
             return None
         return self._reserve(chosen, snapshot, shard, now)
 
     def _ramped(self, candidates: list[Server], now: float) -> list[Server]:
         duration = self.policy.slow_start_s
-        ready = [
+        eligible = [
             each
             for each in candidates
             if self._random.random() * duration >= each.ramp_end - now
         ]
-        return ready or candidates
+        return eligible or candidates
 
     def _upkeep(self, now: float) -> None:
         if self._fleet.upkeep(self.statistics.mean_ms, now):
@@ -241,7 +242,7 @@
         server.observe(outcome, latency_ms, now, self._random)
         self.statistics.record(ticket.shard, outcome, latency_ms)
         if outcome is AttemptOutcome.SHED:
-            self._retries.credit(_SHED_CREDIT)
+            self._retries.credit(_SHED_REFUND_TOKENS)
         if outcome is AttemptOutcome.SNAPSHOT_GONE:
             self._fleet.lose_holding(server, ticket.snapshot, now)
             wake_all(self._fleet.servers())
@@ -262,7 +263,7 @@
     ) -> None:
         replicas = self._fleet.replicas(snapshot, shard, exclude)
         if not replicas:
-            if exclude and self._fleet.replicas(snapshot, shard, _NOBODY):
+            if exclude and self._fleet.replicas(snapshot, shard, _NO_SERVERS):
                 raise replicas_excluded(self.service, shard, frozenset(exclude))
             raise no_replica(self.service, snapshot, shard)
         if deadline == inf:
@@ -270,7 +271,7 @@
         remaining_ms = (deadline - _now()) * 1_000
         needed_ms = self.statistics.median_ms(shard)
         needed_ms += min(each.expected_wait_ms(priority) for each in replicas)
-        if needed_ms + _TIMER_EARLY_S * 1_000 >= remaining_ms:
+        if needed_ms + _TIMER_TOLERANCE_S * 1_000 >= remaining_ms:
             self.statistics.doubt(shard)
             raise too_late(self.service, remaining_ms, needed_ms)
 
@@ -282,7 +283,7 @@
         priority: Priority,
         deadline: float,
     ) -> Ticket | None:
-        """Return the granted ticket, or None if the caller has to look again."""
+        """Return the granted ticket, or None if the caller has to try again."""
         loop = asyncio.get_running_loop()
         future: asyncio.Future[Ticket | None] = loop.create_future()
         replicas = self._fleet.replicas(snapshot, shard, exclude)
@@ -312,16 +313,16 @@
                 timer.cancel()
 
     def _give_back(self, future: asyncio.Future[Ticket | None]) -> None:
-        """Release a ticket that was granted to a task cancelled at that moment."""
+        """Release a ticket granted to a task that was cancelled at the same time."""
         if future.done() and not future.cancelled():
             ticket = future.result()
             if ticket is not None:
                 ticket.finish(AttemptOutcome.CANCELLED, 0.0)
 
     def _serve(self, server: Server) -> None:
-        """Grant free capacity of a server to the requests that wait for it."""
+        """Grant the free capacity of a server to the requests waiting for it."""
         now = _now()
-        if server.back_off_until > now + _TIMER_EARLY_S:
+        if server.back_off_until > now + _TIMER_TOLERANCE_S:
             self._arm(server, asyncio.get_running_loop())
             return
         while server.in_flight + 1 <= server.limit:
--- a/packages/routing/src/kingcuplug_routing/_selection.py
+++ b/packages/routing/src/kingcuplug_routing/_selection.py
@@ -1,6 +1,6 @@
-"""Ways to pick one of several replicas.
+"""Selection functions that choose one of several replicas.
 
-Each is a plain function that returns the position of the chosen candidate.
+Each returns the index of the chosen candidate.
 """
 
 from collections.abc import Callable, Sequence
@@ -18,7 +18,7 @@
 
 
 class Candidate(Protocol):
-    """What a choice may look at."""
+    """Attributes of a server that a selection function may read."""
 
     in_flight: int
     latency_ms: float
@@ -31,7 +31,7 @@
 
 
 def two_choices(candidates: Sequence[Candidate], zone: str, random: Random) -> int:
-    """Return the one of two random candidates with the smaller expected time."""
+    """Return the one of two random candidates with the lower expected latency."""
     count = len(candidates)
     first = int(random.random() * count)
     second = int(random.random() * (count - 1))
@@ -43,7 +43,7 @@
 def least_expected_time(
     candidates: Sequence[Candidate], zone: str, random: Random
 ) -> int:
-    """Return the candidate with the smallest expected time."""
+    """Return the candidate with the lowest expected latency."""
     best = int(random.random() * len(candidates))
     for other in range(len(candidates)):
         if other != best:
@@ -59,12 +59,14 @@
 
 
 def random_replica(candidates: Sequence[Candidate], zone: str, random: Random) -> int:
-    """Return any candidate."""
+    """Return a random candidate."""
     return int(random.random() * len(candidates))
 
 
-def _quicker(candidates: Sequence[Candidate], one: int, two: int, zone: str) -> int:
-    first, second = candidates[one], candidates[two]
+def _quicker(
+    candidates: Sequence[Candidate], first_index: int, second_index: int, zone: str
+) -> int:
+    first, second = candidates[first_index], candidates[second_index]
     first_ms = (first.in_flight + 1) * first.latency_ms
     second_ms = (second.in_flight + 1) * second.latency_ms
     if first.zone == zone:
@@ -72,5 +74,7 @@
     if second.zone == zone:
         second_ms *= second.zone_factor
     if first_ms == second_ms:
-        return one if first.reported_load <= second.reported_load else two
-    return one if first_ms < second_ms else two
+        return (
+            first_index if first.reported_load <= second.reported_load else second_index
+        )
+    return first_index if first_ms < second_ms else second_index
--- a/packages/routing/src/kingcuplug_routing/_server.py
+++ b/packages/routing/src/kingcuplug_routing/_server.py
@@ -1,9 +1,9 @@
-"""What an entry host knows about one backend server from its own attempts.
+"""State of one backend server, from the attempts of this entry host.
 
-The concurrency limit follows additive increase and multiplicative decrease between
-1 and the server's cap. The floor of 1 keeps every entry host able to observe the
-server; the share below 1 that ten entry hosts need at a server with three slots is
-kept by `Admission`.
+The concurrency limit follows additive increase and multiplicative decrease (AIMD)
+between 1 and the server's maximum. The minimum of 1 lets every entry host observe the
+server; `Admission` enforces the share below 1 that ten entry hosts need at a server
+with three slots.
 """
 
 import asyncio
@@ -16,12 +16,15 @@
 
 __all__ = ["Server"]
 
-_INCREASE = 0.1  # per answer at the limit; it grows by 1 in about ten such answers
-_DECREASE = 0.7
-_LOST_BACK_OFF_S = 0.1  # a refused connection costs a round trip; leases end in 2 s
-_MOST_DOUBLINGS = 6
-CENSORED = 2.0  # the rest of an exponential latency is as long as what passed
-_FAULTS = frozenset(
+_LIMIT_INCREASE = 0.1  # per answer at the limit: adds 1 in about ten such answers
+_LIMIT_DECREASE = 0.7
+# A refused connection costs a round trip; leases expire after 2 s.
+_CONNECTION_LOST_BACK_OFF_S = 0.1
+_MAX_DOUBLINGS = 6
+# A cancelled attempt is a censored observation. The expected remainder of an
+# exponential latency is as long as the time that has passed.
+CENSORED_LATENCY_FACTOR = 2.0
+_FAILURE_OUTCOMES = frozenset(
     {AttemptOutcome.FAILED, AttemptOutcome.TIMEOUT, AttemptOutcome.CONNECTION_LOST}
 )
 
@@ -32,11 +35,11 @@
     Parameters
     ----------
     view : ServerView
-        The directory's entry.
+        Entry of the server in the directory.
     latency_ms : float
         Latency to assume until one is observed.
     now : float
-        Time of the loop, from which the slow start counts.
+        Event loop time at which the slow start begins.
     """
 
     __slots__ = (
@@ -85,7 +88,7 @@
         self.cap = inf
 
     def refresh(self, view: ServerView, live_entry_hosts: int) -> None:
-        """Take over what the directory says about the same incarnation."""
+        """Update from the directory's entry of the same incarnation."""
         self.address = view.address
         self.zone = view.availability_zone
         self.slots = view.slots
@@ -98,63 +101,65 @@
     def observe(
         self, outcome: AttemptOutcome, latency_ms: float, now: float, random: Random
     ) -> None:
-        """Learn from one finished attempt, no longer counted in flight."""
+        """Record one finished attempt, which no longer counts as in flight."""
         if outcome is AttemptOutcome.OK:
             self._succeed(latency_ms)
         elif outcome is AttemptOutcome.SHED:
             self._shed(now, random)
-        elif outcome in _FAULTS:
+        elif outcome in _FAILURE_OUTCOMES:
             self._fail(outcome, latency_ms, now, random)
         elif outcome is AttemptOutcome.CANCELLED and latency_ms > self.latency_ms:
             # The true latency is greater than the time until the cancellation.
-            self._sample(latency_ms * CENSORED)
+            self._sample(latency_ms * CENSORED_LATENCY_FACTOR)
 
     def _succeed(self, latency_ms: float) -> None:
         self._sample(latency_ms)
         self.failures = 0
         self.sheds = 0
         if self.in_flight + 2 > self.limit and self.limit < self.cap:
-            self.limit = min(self.cap, self.limit + _INCREASE)
+            self.limit = min(self.cap, self.limit + _LIMIT_INCREASE)
 
     def _shed(self, now: float, random: Random) -> None:
-        self.limit = max(1.0, self.limit * _DECREASE)
-        doubled = self.latency_ms / 1_000 * 2.0 ** min(self.sheds, _MOST_DOUBLINGS)
+        self.limit = max(1.0, self.limit * _LIMIT_DECREASE)
+        doubled = self.latency_ms / 1_000 * 2.0 ** min(self.sheds, _MAX_DOUBLINGS)
         self.sheds += 1
         self._back_off(doubled / self.slots, now, random)
 
     def _fail(
         self, outcome: AttemptOutcome, latency_ms: float, now: float, random: Random
     ) -> None:
-        self.limit = max(1.0, self.limit * _DECREASE)
+        self.limit = max(1.0, self.limit * _LIMIT_DECREASE)
         if latency_ms > self.latency_ms:
             self._sample(latency_ms)
-        doubled = _LOST_BACK_OFF_S * 2.0 ** min(self.failures, _MOST_DOUBLINGS)
+        doubled = _CONNECTION_LOST_BACK_OFF_S * 2.0 ** min(
+            self.failures, _MAX_DOUBLINGS
+        )
         self.failures += 1
         if outcome is AttemptOutcome.CONNECTION_LOST:
             self._back_off(doubled, now, random)
 
     def _back_off(self, duration_s: float, now: float, random: Random) -> None:
-        # A random factor keeps the entry hosts from returning all at once.
+        # Jitter keeps the entry hosts from retrying all at once.
         duration_s *= 0.5 + random.random()
-        longest_s = self.policy.back_off_longest_s
-        self.back_off_until = now + min(longest_s, duration_s)
+        max_back_off_s = self.policy.back_off_longest_s
+        self.back_off_until = now + min(max_back_off_s, duration_s)
 
     def _sample(self, latency_ms: float) -> None:
         self.samples += 1
-        # The first samples count fully; the assumed latency is only a placeholder.
+        # The first samples form a plain mean, which drops the assumed latency.
         weight = max(self.policy.latency_weight, 1.0 / self.samples)
         self.latency_ms += weight * (latency_ms - self.latency_ms)
 
     def expected_wait_ms(self, priority: Priority) -> float:
-        """Return how long a new request would wait for a place."""
+        """Return the expected wait of a new request for capacity."""
         if self.in_flight + 1 <= self.limit:
             return 0.0
         ahead = self.waiting.ahead(priority) if self.waiting.entries else 0.0
         return (ahead + 1) * self.latency_ms / self.limit
 
     def eject_for(self, now: float) -> float | None:
-        """Return for how long the server should be ejected, if at all."""
+        """Return the duration for which to eject the server, or None."""
         if self.failures < self.policy.ejection_failures or now < self.ejected_until:
             return None
-        doubled = self.policy.ejection_s * 2.0 ** min(self.ejections, _MOST_DOUBLINGS)
+        doubled = self.policy.ejection_s * 2.0 ** min(self.ejections, _MAX_DOUBLINGS)
         return float(min(self.policy.ejection_longest_s, doubled))
--- a/packages/routing/src/kingcuplug_routing/_statistics.py
+++ b/packages/routing/src/kingcuplug_routing/_statistics.py
@@ -1,4 +1,4 @@
-"""Latency statistics of a service that all of its servers share."""
+"""Latency statistics of a service over all of its servers."""
 
 from kingcuplug_routing._distribution import LatencyDistribution
 from kingcuplug_routing._policy import RoutingPolicy
@@ -7,17 +7,17 @@
 __all__ = ["ServiceStatistics"]
 
 _MEAN_WEIGHT = 0.05
-_BUSY_WEIGHT = 0.02
-_PLAIN = 50
-_MEDIAN_SHARE = 0.7  # median of an exponential distribution, as a share of its mean
-_DOUBT = 0.98
+_OCCUPANCY_WEIGHT = 0.02
+_PLAIN_MEAN_COUNT = 50
+_MEDIAN_SHARE_OF_MEAN = 0.7  # of an exponential distribution
+_REFUSAL_DECAY = 0.98
 
 
 class ServiceStatistics:
     """Mean latency per shard, and the distribution of the ratio to that mean.
 
-    Shards differ in cost, so one distribution of plain latencies would always hedge
-    the expensive shards.
+    Shards differ in cost, so with one distribution of absolute latencies the expensive
+    shards would always be hedged.
 
     Attributes
     ----------
@@ -25,9 +25,9 @@
         Mean time for which an attempt occupies its server, whatever its outcome; 0
         before the first attempt.
     occupied_ms : float
-        Total of these times.
+        Sum of these times.
     answered, answered_ms : int, float
-        Answers and the total of their latencies.
+        Number of answers and the sum of their latencies.
     """
 
     __slots__ = (
@@ -54,12 +54,12 @@
         self.shed = 0
 
     def record(self, shard: int, outcome: AttemptOutcome, latency_ms: float) -> None:
-        """Add one attempt."""
+        """Record one finished attempt."""
         self.finished += 1
         self.occupied_ms += latency_ms
         finished = self.finished
         # The first observations form a plain mean.
-        weight = _BUSY_WEIGHT if finished > _PLAIN else 1.0 / finished
+        weight = _OCCUPANCY_WEIGHT if finished > _PLAIN_MEAN_COUNT else 1.0 / finished
         self.busy_ms += weight * (latency_ms - self.busy_ms)
         if outcome is AttemptOutcome.OK:
             self._answer(shard, latency_ms)
@@ -68,27 +68,27 @@
         elif outcome is AttemptOutcome.CANCELLED:
             mean_ms = self._shard_ms.get(shard)
             if mean_ms and latency_ms > mean_ms:
-                # A cancelled loser is known to be at least this slow.
+                # The latency of a cancelled attempt is at least this long.
                 self._ratios.record(latency_ms / mean_ms)
 
     def hedge_delay_ms(self, shard: int) -> float | None:
-        """Return the wanted quantile of a shard's latency."""
+        """Return the hedge quantile of a shard's latency, or None if it is unknown."""
         ratio = self._ratios.value
         mean_ms = self._shard_ms.get(shard)
         return None if ratio is None or mean_ms is None else ratio * mean_ms
 
     def median_ms(self, shard: int) -> float:
-        """Return about the median latency of a shard, 0 if it is unknown."""
-        return _MEDIAN_SHARE * self._shard_ms.get(shard, 0.0)
+        """Return the approximate median latency of a shard, or 0 if it is unknown."""
+        return _MEDIAN_SHARE_OF_MEAN * self._shard_ms.get(shard, 0.0)
 
     def doubt(self, shard: int) -> None:
         """Lower a mean that led to a refusal.
 
-        Without this, a mean that once exceeded all deadlines would refuse every
-        request and never be corrected by an answer.
+        Otherwise a mean that once exceeds all deadlines would lead to the refusal of
+        every request, and no answer would ever correct it.
         """
         if shard in self._shard_ms:
-            self._shard_ms[shard] *= _DOUBT
+            self._shard_ms[shard] *= _REFUSAL_DECAY
 
     def _answer(self, shard: int, latency_ms: float) -> None:
         mean_ms = self._shard_ms.get(shard)
@@ -97,7 +97,11 @@
         self._shard_ms[shard] = mean_ms + _MEAN_WEIGHT * (latency_ms - mean_ms)
         self.answered += 1
         self.answered_ms += latency_ms
-        weight = _BUSY_WEIGHT if self.answered > _PLAIN else 1.0 / self.answered
+        weight = (
+            _OCCUPANCY_WEIGHT
+            if self.answered > _PLAIN_MEAN_COUNT
+            else 1.0 / self.answered
+        )
         self.mean_ms += weight * (latency_ms - self.mean_ms)
         if mean_ms > 0:
             self._ratios.record(latency_ms / mean_ms)
--- a/packages/routing/src/kingcuplug_routing/_ticket.py
+++ b/packages/routing/src/kingcuplug_routing/_ticket.py
@@ -1,4 +1,4 @@
-"""A reserved place at a backend server."""
+"""Reserved capacity at a backend server."""
 
 from collections.abc import Callable
 
@@ -9,16 +9,16 @@
 
 
 class Ticket:
-    """One attempt: the chosen server, and its capacity until `finish`.
+    """One attempt: the chosen server, with capacity reserved until `finish`.
 
     Attributes
     ----------
     server, address, availability_zone : str
-        Where to send the sub-request.
+        Server to which the sub-request is sent.
     incarnation : int
         Incarnation of the server that was chosen.
     started : float
-        Time of the loop at which the capacity was reserved.
+        Event loop time at which the capacity was reserved.
     """
 
     __slots__ = (
@@ -35,33 +35,33 @@
 
     def __init__(
         self,
-        chosen: Server,
+        server: Server,
         snapshot: int,
         shard: int,
         started: float,
-        finished: Callable[["Ticket", Server, AttemptOutcome, float], None],
+        on_finish: Callable[["Ticket", Server, AttemptOutcome, float], None],
     ) -> None:
-        self._chosen: Server | None = chosen
-        self._finished = finished
-        self.server = chosen.server
-        self.address = chosen.address
-        self.availability_zone = chosen.zone
-        self.incarnation = chosen.incarnation
+        self._chosen: Server | None = server
+        self._finished = on_finish
+        self.server = server.server
+        self.address = server.address
+        self.availability_zone = server.zone
+        self.incarnation = server.incarnation
         self.snapshot = snapshot
         self.shard = shard
         self.started = started
 
     def finish(self, outcome: AttemptOutcome, latency_ms: float) -> None:
-        """Release the capacity and learn from the outcome; only the first call counts.
+        """Release the capacity and record the outcome; later calls have no effect.
 
         Parameters
         ----------
         outcome : AttemptOutcome
             How the attempt ended.
         latency_ms : float
-            Time from sending to the end, also for attempts without an answer.
+            Time from sending to the end of the attempt, also without an answer.
         """
-        chosen = self._chosen
-        if chosen is not None:
+        server = self._chosen
+        if server is not None:
             self._chosen = None
-            self._finished(self, chosen, outcome, latency_ms)
+            self._finished(self, server, outcome, latency_ms)
--- a/packages/routing/src/kingcuplug_routing/_budget.py
+++ b/packages/routing/src/kingcuplug_routing/_token_bucket.py
@@ -1,10 +1,10 @@
 """Token bucket for extra sub-requests.
 
-Every first sub-request earns a share of a token and every extra one spends a whole
-token, so extra load stays within the share whatever the delays are.
+Every first sub-request adds a fraction of a token and every extra one takes a whole
+token, so extra load stays within that fraction whatever the delays are.
 
-A floor keeps some tokens coming where traffic is so low that the share earns next to
-none.
+A minimum refill rate adds tokens where traffic is too low for the fraction to add any
+worth mentioning.
 """
 
 import asyncio
@@ -13,18 +13,18 @@
 
 
 class Budget:
-    """Extra sub-requests as a share of the first ones.
+    """Limit on extra sub-requests as a fraction of the first ones.
 
     Parameters
     ----------
     share : float
-        Tokens earned per first sub-request.
+        Tokens added per first sub-request.
     burst : float
-        Most tokens kept.
+        Greatest number of tokens.
     start : float
-        Tokens at the start.
+        Initial number of tokens.
     floor_per_s : float
-        Tokens earned per second without any traffic, unless the share is 0.
+        Tokens added per second whatever the traffic, unless the fraction is 0.
     """
 
     __slots__ = ("_burst", "_filled_at", "_floor_per_s", "_share", "tokens")
@@ -39,31 +39,31 @@
         self.tokens = start if share > 0 else 0.0
 
     def widen(self, burst: float) -> None:
-        """Raise the burst and fill the tokens that it adds."""
+        """Raise the capacity and add as many tokens."""
         if burst > self._burst:
             self.tokens += burst - self._burst
             self._burst = burst
 
     def earn(self) -> None:
-        """Add the share for one first sub-request."""
+        """Add the fraction of a token for one first sub-request."""
         tokens = self.tokens + self._share
         self.tokens = tokens if tokens < self._burst else self._burst
 
     def available(self) -> bool:
-        """Return whether a whole token is there."""
+        """Return whether there is a whole token."""
         if self._floor_per_s > 0:
             self._fill()
         return self.tokens >= 1.0
 
     def spend(self) -> bool:
-        """Take a token; return whether there was one."""
+        """Take a token if there is one, and return whether there was."""
         if not self.available():
             return False
         self.tokens -= 1.0
         return True
 
     def credit(self, tokens: float = 1.0) -> None:
-        """Give back tokens, one for an attempt that was not sent after all."""
+        """Add tokens, by default one, for an attempt that was not sent."""
         self.tokens = min(self._burst, self.tokens + tokens)
 
     def _fill(self) -> None:
--- a/packages/routing/src/kingcuplug_routing/_types.py
+++ b/packages/routing/src/kingcuplug_routing/_types.py
@@ -1,4 +1,4 @@
-"""What the routing package reads and reports: views, priorities and outcomes."""
+"""Types at the interface of the routing package: views, priorities and outcomes."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 
 class Priority(StrEnum):
-    """Order of service; members are declared from first to last."""
+    """Order in which requests are served; members are declared from first to last."""
 
     URGENT = "urgent"
     NORMAL = "normal"
@@ -25,7 +25,7 @@
 
 
 class Attempt(Enum):
-    """Why a sub-request is sent, which decides the budget that it draws on."""
+    """Why a sub-request is sent, which selects the budget that it uses."""
 
     FIRST = "first"
     HEDGE = "hedge"
@@ -71,19 +71,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerView:
-    """One backend server as the directory knows it.
+    """One backend server as listed in the directory.
 
     Parameters
     ----------
     slots : int
-        Sub-requests that the server runs at once, for all entry hosts together.
+        Sub-requests that the server runs concurrently, for all entry hosts together.
     connections : int
         Connections that the server accepts, for all entry hosts together.
     state : str
         ``serving``, ``draining`` or ``withdrawn``; only the first gets new work.
     reported_load : float
-        What the server's load endpoint says. It can lag or mislead, so it only
-        breaks ties.
+        Load reported by the server's load endpoint. It can be stale or wrong, so it
+        only breaks ties.
     """
 
     server: str
--- a/packages/routing/src/kingcuplug_routing/_waiting.py
+++ b/packages/routing/src/kingcuplug_routing/_waiting.py
@@ -1,8 +1,8 @@
-"""Priority queue of waiting requests in which no class starves.
+"""Priority queue of waiting requests without starvation.
 
-Classes are served in strict order, but a class that was passed over `turn_after`
-times while it waited gets the next turn. A fixed number of turns, unlike aging,
-keeps a flood of bulk requests from delaying urgent ones by more than a known share.
+Priority classes are served in strict order, but a class that was passed over
+`turn_after` times while it waited is served next. A fixed count, unlike aging, keeps
+a flood of bulk requests from delaying urgent ones by more than a known share.
 """
 
 import asyncio
@@ -14,20 +14,20 @@
 
 __all__ = ["Waiter", "WaitingQueue"]
 
-_SLACK = 16  # dead entries tolerated before a queue is compacted
+_COMPACTION_LENGTH = 16  # shorter queues are not compacted
 
 
 class Waiter:
-    """One waiting request; it is dead once its future is done.
+    """One waiting request; its entry is obsolete once its future is done.
 
     Parameters
     ----------
     future : asyncio.Future
-        Gets what the owner of the queue grants.
+        Receives the result that the owner of the queue grants.
     cost : float
-        Work that the request brings, in the unit of the owner.
+        Work that the request requires, in a unit of the queue's owner.
     snapshot, shard : int
-        What is wanted, for requests that wait for a server.
+        Requested snapshot and shard, for requests that wait for a server.
     replicas : sequence of Server
         Servers that may serve it.
     """
@@ -52,20 +52,20 @@
 
 
 class WaitingQueue:
-    """Waiting requests in the order in which they are to be served."""
+    """Waiting requests in the order in which they are served."""
 
     __slots__ = ("_classes", "_passed", "_turn_after", "entries")
 
     def __init__(self, turn_after: int) -> None:
-        self.entries = 0  # including dead ones, so 0 means that nothing waits
+        self.entries = 0  # with obsolete entries, so 0 means that no request waits
         self._turn_after = turn_after
         self._classes = {priority: deque[Waiter]() for priority in Priority}
         self._passed = dict.fromkeys(Priority, 0)
 
     def push(self, waiter: Waiter) -> None:
-        """Append a request to its class."""
+        """Append a request to the queue of its priority class."""
         queue = self._classes[waiter.priority]
-        if len(queue) >= _SLACK and queue[len(queue) // 2].future.done():
+        if len(queue) >= _COMPACTION_LENGTH and queue[len(queue) // 2].future.done():
             self._compact(waiter.priority)
             queue = self._classes[waiter.priority]
         queue.append(waiter)
@@ -81,11 +81,11 @@
         chosen = self._next_class()
         if chosen is None:
             return None
-        lower = False
+        after_chosen = False
         for priority, queue in self._classes.items():
-            if lower and queue:
+            if after_chosen and queue:
                 self._passed[priority] += 1
-            lower = lower or priority is chosen
+            after_chosen = after_chosen or priority is chosen
         self._passed[chosen] = 0
         self.entries -= 1
         return self._classes[chosen].popleft()
@@ -100,7 +100,7 @@
         return cost
 
     def __iter__(self) -> Iterator[Waiter]:
-        """Yield the waiting requests by class."""
+        """Yield the waiting requests by priority class."""
         for queue in self._classes.values():
             yield from (each for each in queue if not each.future.done())
 
--- a/tests/routing/conftest.py
+++ b/tests/routing/conftest.py
@@ -1,4 +1,4 @@
-"""Servers and routers shared by the routing tests."""
+"""Fixtures for servers and routers of the routing tests."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -11,7 +11,7 @@
 
 
 def _view(index: int, shards: tuple[int, ...] = (0, 1), **fields: object) -> ServerView:
-    """Return a server with 2 slots; its zone is one of three."""
+    """Return a server with 2 slots in one of three zones."""
     view = ServerView(
         f"server-{index}",
         f"127.0.0.1:{9_000 + index}",
@@ -32,7 +32,7 @@
 @pytest.fixture
 def make_router() -> MakeRouter:
     def make(servers: int = 3, hosts: int = 10, **fields: object) -> Router:
-        """Return a router without slow start, to be made inside the loop."""
+        """Return a router without slow start; call this inside the event loop."""
         policy = RoutingPolicy(**({"slow_start_s": 0.0} | fields))  # type: ignore[arg-type]
         router = Router("stock", policy, Random(7))
         router.update([_view(i) for i in range(servers)], hosts)
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission of whole queries: budget, order, early refusal, no starvation."""
+"""Admission of whole queries: budget, priority order, early refusal, starvation."""
 
 import asyncio
 from collections import Counter
@@ -13,7 +13,7 @@
     Router,
     RoutingPolicy,
 )
-from kingcuplug_routing._share import AdaptiveShare
+from kingcuplug_routing._adaptive_share import AdaptiveShare
 from kingcuplug_routing._statistics import ServiceStatistics
 from kingcuplug_testkit import run_virtual
 
@@ -21,10 +21,10 @@
 SERVICE_S = 0.01
 
 
-async def _query(
+async def _run_query(
     router: Router, admission: Admission, priority: Priority, deadline_s: float = 10.0
 ) -> float:
-    """Run a query of two sub-requests and return its wait for admission."""
+    """Run a query of two sub-requests and return its wait for admission in seconds."""
     loop = asyncio.get_running_loop()
     arrived = loop.time()
     async with admission.admit(priority, arrived + deadline_s, 2):
@@ -40,7 +40,7 @@
     return waited
 
 
-async def _overload(
+async def _offer_load(
     router: Router, priorities: dict[Priority, float], seconds: float
 ) -> tuple[Counter[Priority], Counter[Priority], list[float]]:
     """Offer queries at regular intervals per class."""
@@ -49,9 +49,9 @@
     refused: Counter[Priority] = Counter()
     waits: list[float] = []
 
-    async def one(priority: Priority) -> None:
+    async def run(priority: Priority) -> None:
         try:
-            wait = await _query(router, admission, priority)
+            wait = await _run_query(router, admission, priority)
         except Refusal as refusal:
             assert refusal.kind is RefusalKind.NOT_RUN
             refused[priority] += 1
@@ -60,23 +60,23 @@
             if priority is Priority.URGENT:
                 waits.append(wait)
 
-    async def source(priority: Priority, interval_s: float) -> None:
+    async def generate(priority: Priority, interval_s: float) -> None:
         tasks = []
         for _ in range(int(seconds / interval_s)):
-            tasks.append(asyncio.create_task(one(priority)))
+            tasks.append(asyncio.create_task(run(priority)))
             await asyncio.sleep(interval_s)
         await asyncio.gather(*tasks)
 
-    await asyncio.gather(*(source(p, each) for p, each in priorities.items()))
+    await asyncio.gather(*(generate(p, each) for p, each in priorities.items()))
     return served, refused, waits
 
 
 def test_slot_time_stays_within_the_share(make_router: MakeRouter) -> None:
-    # Guards against ten entry hosts that each use a whole server.
+    # Guards against ten entry hosts that each use the slots of a whole server.
     async def main() -> None:
         router = make_router(greatest_share=1.0)
         offered = {Priority.NORMAL: 0.005}
-        await _overload(router, offered, 20.0)
+        await _offer_load(router, offered, 20.0)
         slots = router.statistics.occupied_ms / 1_000 / 20.0
         share = router.policy.utilisation * 6 / 10
         assert 0.9 * share < slots < 1.15 * share  # the burst is used once
@@ -84,9 +84,9 @@
     run_virtual(main())
 
 
-def test_share_grows_only_while_servers_have_room() -> None:
+def test_share_grows_only_while_servers_do_not_shed() -> None:
     # Guards against idle slots when the load balancer prefers one entry host, and
-    # against an entry host that keeps the others' share when servers shed.
+    # against an entry host that keeps the increased share when servers shed.
     statistics = ServiceStatistics(RoutingPolicy())
     share = AdaptiveShare(10.0)
     factors = []
@@ -102,8 +102,8 @@
     assert factors[-1] == 1.0
 
 
-def test_share_gives_way_to_slow_servers() -> None:
-    # Guards against servers with long queues, which never shed.
+def test_share_falls_when_servers_slow_down() -> None:
+    # Guards against overload of servers with long queues, which never shed.
     statistics = ServiceStatistics(RoutingPolicy())
     share = AdaptiveShare(10.0)
     for window in range(120):
@@ -115,9 +115,11 @@
     assert share.factor == 1.0
 
 
-def test_urgent_goes_first_and_bulk_does_not_starve(make_router: MakeRouter) -> None:
-    # Guards against urgent checks that wait behind others, and against bulk work
-    # that never runs while normal load exceeds the capacity.
+def test_urgent_is_served_first_and_bulk_does_not_starve(
+    make_router: MakeRouter,
+) -> None:
+    # Guards against urgent requests that wait behind others, and against bulk requests
+    # that never run while normal load exceeds the capacity.
     async def main() -> None:
         router = make_router()
         offered = {
@@ -125,7 +127,7 @@
             Priority.NORMAL: 0.01,
             Priority.BULK: 0.02,
         }
-        served, refused, waits = await _overload(router, offered, 20.0)
+        served, refused, waits = await _offer_load(router, offered, 20.0)
         assert refused[Priority.URGENT] == 0
         assert max(waits) < 0.1
         assert served[Priority.BULK] >= served[Priority.NORMAL] / 20
@@ -135,8 +137,8 @@
     run_virtual(main())
 
 
-def test_refuses_early(make_router: MakeRouter) -> None:
-    # Guards against callers that learn of an overload only at their deadline.
+def test_overload_is_refused_early(make_router: MakeRouter) -> None:
+    # Guards against refusals that are sent only at the deadline of a request.
     async def main() -> None:
         router = make_router(greatest_share=1.0)
         admission = Admission(router)
@@ -144,21 +146,21 @@
         tasks = []
         for _ in range(2_000):
             tasks.append(
-                asyncio.create_task(_query(router, admission, Priority.NORMAL))
+                asyncio.create_task(_run_query(router, admission, Priority.NORMAL))
             )
             await asyncio.sleep(0.005)
         refusals = 0
         for _ in range(20):
             started = loop.time()
             try:
-                await _query(router, admission, Priority.NORMAL)
+                await _run_query(router, admission, Priority.NORMAL)
             except Refusal as refusal:
                 refusals += loop.time() == started
                 assert refusal.reason is RefusalReason.OVERLOADED
                 assert refusal.retry_after_ms is not None
                 assert loop.time() - started <= router.policy.longest_wait_s + 0.001
             tasks += [
-                asyncio.create_task(_query(router, admission, Priority.NORMAL))
+                asyncio.create_task(_run_query(router, admission, Priority.NORMAL))
                 for _ in range(20)
             ]
             await asyncio.sleep(0)
@@ -168,20 +170,22 @@
     run_virtual(main())
 
 
-def test_refuses_what_cannot_finish(make_router: MakeRouter) -> None:
-    # Guards against work that is thrown away at its deadline, and against an old
-    # slow period that refuses such work for ever.
+def test_query_that_cannot_meet_its_deadline_is_refused(
+    make_router: MakeRouter,
+) -> None:
+    # Guards against work that is discarded at its deadline, and against a past slow
+    # period because of which such queries are refused for ever.
     async def main() -> None:
         router = make_router()
         admission = Admission(router)
         for _ in range(100):
-            await _query(router, admission, Priority.URGENT)
+            await _run_query(router, admission, Priority.URGENT)
         with pytest.raises(Refusal) as caught:
-            await _query(router, admission, Priority.URGENT, deadline_s=0.01)
+            await _run_query(router, admission, Priority.URGENT, deadline_s=0.01)
         assert caught.value.reason is RefusalReason.DEADLINE_EXCEEDED
         for _ in range(100):
             try:
-                await _query(router, admission, Priority.URGENT, deadline_s=0.01)
+                await _run_query(router, admission, Priority.URGENT, deadline_s=0.01)
             except Refusal:
                 continue
             return
@@ -190,15 +194,15 @@
     run_virtual(main())
 
 
-def test_cancelled_wait_costs_nothing(make_router: MakeRouter) -> None:
-    # Guards against budget that leaks when callers go away while they wait.
+def test_cancelled_wait_consumes_no_budget(make_router: MakeRouter) -> None:
+    # Guards against budget that leaks when callers disconnect while they wait.
     async def main() -> None:
         router = make_router(burst_s=0.05, longest_wait_s=5.0)
         admission = Admission(router)
-        await _query(router, admission, Priority.NORMAL)
+        await _run_query(router, admission, Priority.NORMAL)
         for _ in range(200):
             tasks = [
-                asyncio.create_task(_query(router, admission, Priority.NORMAL))
+                asyncio.create_task(_run_query(router, admission, Priority.NORMAL))
                 for _ in range(5)
             ]
             await asyncio.sleep(0.001)
@@ -206,18 +210,18 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
         await asyncio.sleep(1.0)
-        assert await _query(router, admission, Priority.NORMAL) == 0.0
+        assert await _run_query(router, admission, Priority.NORMAL) == 0.0
 
     run_virtual(main())
 
 
-def test_cancelled_grant_is_given_back(make_router: MakeRouter) -> None:
-    # Guards against budget that leaks when a query is cancelled in the tick in
-    # which it is admitted.
+def test_budget_of_a_cancelled_admission_is_released(make_router: MakeRouter) -> None:
+    # Guards against budget that leaks when a query is cancelled in the same event
+    # loop iteration in which it is admitted.
     async def main() -> None:
         router = make_router(greatest_share=1.0, longest_wait_s=10.0)
         admission = Admission(router)
-        await _query(router, admission, Priority.NORMAL)
+        await _run_query(router, admission, Priority.NORMAL)
         large = admission.admit(Priority.NORMAL, sub_requests=100)
         await large.__aenter__()
         waiting = asyncio.create_task(
--- a/tests/routing/test_crash_guard.py
+++ b/tests/routing/test_crash_guard.py
@@ -1,4 +1,4 @@
-"""A crashing request is stopped after two servers; innocent ones are not."""
+"""Quarantine of a crashing request after two servers, and of no other request."""
 
 import asyncio
 from random import Random
@@ -11,11 +11,11 @@
 from kingcuplug_routing import AttemptOutcome, CrashGuard, CrashGuardSettings
 from kingcuplug_testkit import VirtualTimeLoop, run_virtual
 
-CRASHER = "crasher"
+CRASHING = "crashing"
 
 
 class Attempts:
-    """Sends attempts of fingerprints to servers, which may crash."""
+    """Sends attempts to servers, which may crash."""
 
     def __init__(self, guard: CrashGuard) -> None:
         self.guard = guard
@@ -53,7 +53,7 @@
     return Attempts(CrashGuard())
 
 
-def _is_condemned(guard: CrashGuard, fingerprint: str) -> bool:
+def _is_quarantined(guard: CrashGuard, fingerprint: str) -> bool:
     try:
         guard.check(fingerprint)
     except Refusal:
@@ -61,34 +61,36 @@
     return False
 
 
-def test_stops_after_two_servers(attempts: Attempts) -> None:
-    # Guards against a request that the caller sends again until all servers are down.
+def test_crashing_request_is_quarantined_after_two_servers(attempts: Attempts) -> None:
+    # Guards against a request that the caller resends until all servers have crashed.
     async def main() -> None:
         for index in range(10):
-            if _is_condemned(attempts.guard, CRASHER):
+            if _is_quarantined(attempts.guard, CRASHING):
                 break
             server = f"server-{index}"
-            attempts.crash(server, (attempts.start(CRASHER, server),))
+            attempts.crash(server, (attempts.start(CRASHING, server),))
             await asyncio.sleep(3.0)
         assert len(attempts.crashed) == 2
         with pytest.raises(Refusal) as caught:
-            attempts.guard.check(CRASHER)
+            attempts.guard.check(CRASHING)
         assert caught.value.kind is RefusalKind.NOT_RUN
         assert caught.value.reason is RefusalReason.CRASHING_REQUEST
-        assert set(attempts.guard.condemned()) == {CRASHER}
+        assert set(attempts.guard.condemned()) == {CRASHING}
         await asyncio.sleep(600.0)
-        assert not _is_condemned(attempts.guard, CRASHER)
+        assert not _is_quarantined(attempts.guard, CRASHING)
 
     run_virtual(main())
 
 
-def test_stops_at_a_single_replica(attempts: Attempts) -> None:
-    # Guards against a shard with one replica that is crashed for ever.
+def test_crashing_request_is_quarantined_at_a_single_replica(
+    attempts: Attempts,
+) -> None:
+    # Guards against a single replica that is crashed again after each restart.
     async def main() -> None:
         for incarnation in range(10):
-            if _is_condemned(attempts.guard, CRASHER):
+            if _is_quarantined(attempts.guard, CRASHING):
                 break
-            attempt_id = attempts.start(CRASHER, "server-0", incarnation)
+            attempt_id = attempts.start(CRASHING, "server-0", incarnation)
             attempts.crash("server-0", (attempt_id,), incarnation=incarnation)
             await asyncio.sleep(5.0)
         assert len(attempts.crashed) == 3
@@ -97,14 +99,14 @@
 
 
 def test_equal_requests_crash_one_server_at_a_time(attempts: Attempts) -> None:
-    # Guards against many equal requests that reach many servers before the first
-    # crash is known.
+    # Guards against many requests with one fingerprint that reach many servers before
+    # the first crash is detected.
     async def send(index: int) -> None:
         try:
-            async with attempts.guard.canary(CRASHER) as alone:
+            async with attempts.guard.canary(CRASHING) as alone:
                 assert alone
                 server = f"server-{index}"
-                attempt_id = attempts.start(CRASHER, server)
+                attempt_id = attempts.start(CRASHING, server)
                 await asyncio.sleep(0.1)
                 attempts.crash(server, (attempt_id,), zone=f"zone-{index % 3}")
         except Refusal:
@@ -118,7 +120,7 @@
 
 
 def test_completed_fingerprint_needs_no_canary(attempts: Attempts) -> None:
-    # Guards against a canary that slows down every query.
+    # Guards against the delay of a canary in every query.
     async def main() -> None:
         guard = attempts.guard
         async with guard.canary("known") as alone:
@@ -133,14 +135,14 @@
     run_virtual(main())
 
 
-def test_cancelled_canary_lets_the_next_one_go(attempts: Attempts) -> None:
-    # Guards against a canary that was given up and blocks all equal requests.
+def test_cancelled_canary_is_followed_by_the_next_one(attempts: Attempts) -> None:
+    # Guards against a cancelled canary that blocks all requests with its fingerprint.
     async def main() -> None:
-        async def hold() -> None:
+        async def run_canary() -> None:
             async with attempts.guard.canary("held"):
                 await asyncio.sleep(60)
 
-        first = asyncio.create_task(hold())
+        first = asyncio.create_task(run_canary())
         await asyncio.sleep(0)
         first.cancel()
         async with attempts.guard.canary("held") as alone:
@@ -150,44 +152,48 @@
     run_virtual(main())
 
 
-def test_later_completion_acquits(attempts: Attempts) -> None:
-    # Guards against condemning a request that ran fine between two losses.
+def test_later_completion_clears_the_suspicion(attempts: Attempts) -> None:
+    # Guards against quarantining a request that completed between two crashes.
     async def main() -> None:
-        attempts.crash("server-0", (attempts.start("innocent", "server-0"),))
+        attempts.crash("server-0", (attempts.start("ordinary", "server-0"),))
         await asyncio.sleep(1.0)
-        attempts.complete("innocent", "server-1")
+        attempts.complete("ordinary", "server-1")
         await asyncio.sleep(1.0)
-        attempts.crash("server-2", (attempts.start("innocent", "server-2"),))
-        assert not _is_condemned(attempts.guard, "innocent")
+        attempts.crash("server-2", (attempts.start("ordinary", "server-2"),))
+        assert not _is_quarantined(attempts.guard, "ordinary")
 
     run_virtual(main())
 
 
-def test_answers_of_the_same_query_do_not_acquit(attempts: Attempts) -> None:
-    # Guards against a request that crashes some shards and is acquitted by others.
+def test_answers_to_the_same_query_do_not_clear_the_suspicion(
+    attempts: Attempts,
+) -> None:
+    # Guards against a request that crashes some shards and is cleared by the answers of
+    # others.
     async def main() -> None:
-        attempts.complete(CRASHER, "server-0")
-        sent = [attempts.start(CRASHER, f"server-{i}") for i in range(6)]
+        attempts.complete(CRASHING, "server-0")
+        sent = [attempts.start(CRASHING, f"server-{i}") for i in range(6)]
         attempts.crash("server-1", (sent[1],), zone="zone-1")
         attempts.guard.ended(sent[2], AttemptOutcome.OK)
         attempts.crash("server-3", (sent[3],), zone="zone-0")
-        # What completed before goes alone until the blames of others have come.
-        assert not attempts.guard.proven(CRASHER)
+        # A request that completed before is sent as a canary until the suspects of
+        # other entry hosts have arrived.
+        assert not attempts.guard.proven(CRASHING)
         await asyncio.sleep(0.5)
-        assert _is_condemned(attempts.guard, CRASHER)
+        assert _is_quarantined(attempts.guard, CRASHING)
 
     run_virtual(main())
 
 
-def test_restart_of_a_service_condemns_nobody(attempts: Attempts) -> None:
-    # Guards against refusing requests that were alone at two servers while all
+def test_restart_of_a_service_quarantines_no_request(attempts: Attempts) -> None:
+    # Guards against refusing requests that were the only ones at two servers while all
     # servers of their service, in several zones, restarted.
     async def main() -> None:
         for index in range(12):
             server = f"server-{index}"
             sent = ()
             if index in (3, 7):
-                sent = (attempts.start("innocent", server),)
+                sent = (attempts.start("ordinary", server),)
             attempts.crash(server, sent, zone=f"zone-{index % 4}")
             await asyncio.sleep(0.01)
         assert attempts.guard.condemned() == {}
@@ -195,42 +201,45 @@
     run_virtual(main())
 
 
-def test_crasher_is_found_at_a_busy_server(attempts: Attempts) -> None:
-    # Guards against a crashing request that hides among many ordinary ones.
+def test_crashing_request_is_identified_at_a_busy_server(attempts: Attempts) -> None:
+    # Guards against a crashing request that is not identified among many others.
     async def main() -> None:
         for number in range(2):
             busy = []
             for query in range(20):
                 attempts.complete(f"query-{query}", "server-9")
                 busy.append(attempts.start(f"query-{query}", f"server-{number}"))
-            crasher = attempts.start(CRASHER, f"server-{number}")
-            attempts.crash(f"server-{number}", (*busy, crasher))
-        assert set(attempts.guard.condemned()) == {CRASHER}
+            crashing = attempts.start(CRASHING, f"server-{number}")
+            attempts.crash(f"server-{number}", (*busy, crashing))
+        assert set(attempts.guard.condemned()) == {CRASHING}
 
     run_virtual(main())
 
 
-def test_queries_beside_a_crasher_go_free(attempts: Attempts) -> None:
-    # Guards against condemning a query because it was in flight, as every query is,
-    # at both servers that a crashing request took down within milliseconds.
+def test_queries_concurrent_with_a_crashing_request_are_not_quarantined(
+    attempts: Attempts,
+) -> None:
+    # Guards against quarantining a query because it was in flight, as every query is,
+    # at both servers that a crashing request crashed within milliseconds.
     async def main() -> None:
         attempts.complete("popular", "server-9")
         popular = [attempts.start("popular", f"server-{i}") for i in range(3)]
         for number in range(2):
-            crasher = attempts.start(CRASHER, f"server-{number}")
-            attempts.crash(f"server-{number}", (popular[number], crasher))
-        assert _is_condemned(attempts.guard, CRASHER)
-        assert not _is_condemned(attempts.guard, "popular")
+            crashing = attempts.start(CRASHING, f"server-{number}")
+            attempts.crash(f"server-{number}", (popular[number], crashing))
+        assert _is_quarantined(attempts.guard, CRASHING)
+        assert not _is_quarantined(attempts.guard, "popular")
         await asyncio.sleep(5)
-        assert not _is_condemned(attempts.guard, "popular")
+        assert not _is_quarantined(attempts.guard, "popular")
 
     run_virtual(main())
 
 
 @pytest.mark.parametrize("services", [4, 1])
-def test_zone_loss_condemns_nobody(attempts: Attempts, services: int) -> None:
+def test_zone_loss_quarantines_no_request(attempts: Attempts, services: int) -> None:
     # Guards against refusing ordinary queries because a zone was lost. With several
-    # services their losses tell; with one, that all losses are in one zone.
+    # services, the loss is recognised by crashes of other services; with one service,
+    # by all crashes being in one zone.
     async def main() -> None:
         attempts.complete("popular", "server-99")
         sent = {
@@ -240,14 +249,16 @@
             service = f"service-{index % services}"
             attempts.crash(server, (attempt_id,), service)
             await asyncio.sleep(0.01)
-        assert not _is_condemned(attempts.guard, "popular")
+        assert not _is_quarantined(attempts.guard, "popular")
         assert attempts.guard.condemned() == {}
 
     run_virtual(main())
 
 
-def test_crowded_server_condemns_nobody(attempts: Attempts) -> None:
-    # Guards against condemning all requests of two busy servers that were lost.
+def test_crash_with_many_requests_in_flight_quarantines_no_request(
+    attempts: Attempts,
+) -> None:
+    # Guards against quarantining all requests of two busy servers that crashed.
     async def main() -> None:
         for server in ("server-0", "server-1"):
             sent = [attempts.start(f"request-{i}", server) for i in range(9)]
@@ -258,18 +269,21 @@
     run_virtual(main())
 
 
-def test_bystanders_of_a_crasher_go_free(attempts: Attempts) -> None:
-    # Guards against more false positives than the bound in the decision record:
-    # requests that were in flight at both crashes and ran nowhere in between.
+def test_requests_concurrent_with_a_crashing_request_are_not_quarantined(
+    attempts: Attempts,
+) -> None:
+    # Guards against more false positives than the bound in the decision record, which
+    # allows only requests that were in flight at both crashes and did not complete in
+    # between.
     async def main() -> None:
         for server in ("server-0", "server-1"):
-            crasher = attempts.start(CRASHER, server)
-            bystanders = [attempts.start(f"other-{i}", server) for i in range(7)]
-            attempts.crash(server, (crasher, *bystanders), zone=server)
+            crashing = attempts.start(CRASHING, server)
+            others = [attempts.start(f"other-{i}", server) for i in range(7)]
+            attempts.crash(server, (crashing, *others), zone=server)
             for i in range(7):
                 attempts.complete(f"other-{i}", "server-2")
             await asyncio.sleep(2.0)
-        assert set(attempts.guard.condemned()) == {CRASHER}
+        assert set(attempts.guard.condemned()) == {CRASHING}
 
     run_virtual(main())
 
@@ -277,35 +291,35 @@
 def test_broken_connection_counts_until_the_crash_is_confirmed(
     attempts: Attempts,
 ) -> None:
-    # Guards against a crash that is confirmed only by the next incarnation, when
-    # the attempt has already ended; and against blaming for ever.
+    # Guards against missing a crash that is confirmed only by the next incarnation,
+    # when the attempt has already ended, and against suspects that are kept for ever.
     async def main() -> None:
         for server, delay_s in (("server-0", 2.0), ("server-1", 6.0)):
-            attempt_id = attempts.start(CRASHER, server)
+            attempt_id = attempts.start(CRASHING, server)
             attempts.guard.ended(attempt_id, AttemptOutcome.CONNECTION_LOST)
             await asyncio.sleep(delay_s)
             attempts.crash(server)
-        assert not _is_condemned(attempts.guard, CRASHER)
-        attempts.crash("server-2", (attempts.start(CRASHER, "server-2"),))
-        assert _is_condemned(attempts.guard, CRASHER)
+        assert not _is_quarantined(attempts.guard, CRASHING)
+        attempts.crash("server-2", (attempts.start(CRASHING, "server-2"),))
+        assert _is_quarantined(attempts.guard, CRASHING)
 
     run_virtual(main())
 
 
-def test_blames_are_shared_between_entry_hosts() -> None:
-    # Guards against two servers lost per entry host instead of two in all.
+def test_suspects_are_shared_between_entry_hosts() -> None:
+    # Guards against two crashed servers per entry host instead of two in all.
     async def main() -> None:
-        one, other = Attempts(CrashGuard()), Attempts(CrashGuard())
-        one.crash("server-0", (one.start(CRASHER, "server-0"),))
-        blames = one.guard.fresh()
-        assert one.guard.fresh() == []
-        other.guard.merge(blames)
-        other.guard.merge(blames)
-        assert not _is_condemned(other.guard, CRASHER)
-        other.crash("server-1", (other.start(CRASHER, "server-1"),))
-        assert _is_condemned(other.guard, CRASHER)
-        one.guard.merge(other.guard.fresh())
-        assert _is_condemned(one.guard, CRASHER)
+        first, second = Attempts(CrashGuard()), Attempts(CrashGuard())
+        first.crash("server-0", (first.start(CRASHING, "server-0"),))
+        suspects = first.guard.fresh()
+        assert first.guard.fresh() == []
+        second.guard.merge(suspects)
+        second.guard.merge(suspects)
+        assert not _is_quarantined(second.guard, CRASHING)
+        second.crash("server-1", (second.start(CRASHING, "server-1"),))
+        assert _is_quarantined(second.guard, CRASHING)
+        first.guard.merge(second.guard.fresh())
+        assert _is_quarantined(first.guard, CRASHING)
 
     run_virtual(main())
 
@@ -328,7 +342,7 @@
 
 
 class GuardMachine(RuleBasedStateMachine):
-    """One crasher among innocent requests, in any order of events."""
+    """Runs one crashing request among ordinary ones, with events in any order."""
 
     @initialize(seed=st.integers(0, 99))
     def start(self, seed: int) -> None:
@@ -343,70 +357,70 @@
         """Close the loop."""
         self.loop.close()
 
-    def run(self, seconds: float = 0.0) -> None:
-        """Let time pass."""
+    def advance(self, seconds: float = 0.0) -> None:
+        """Advance the virtual time."""
         self.loop.run_until_complete(asyncio.sleep(seconds))
 
     @rule(name=st.integers(0, 9))
-    def innocent(self, name: int) -> None:
-        """Complete an innocent request."""
+    def complete_request(self, name: int) -> None:
+        """Complete an ordinary request."""
 
-        async def one() -> None:
-            self.attempts.complete(f"innocent-{name}", f"idle-{name % 3}")
+        async def act() -> None:
+            self.attempts.complete(f"ordinary-{name}", f"idle-{name % 3}")
 
-        self.loop.run_until_complete(one())
+        self.loop.run_until_complete(act())
 
-    @rule(bystanders=st.integers(0, 12), zone=st.integers(0, 2))
-    def crasher(self, bystanders: int, zone: int) -> None:
-        """Send the crashing request again."""
+    @rule(others=st.integers(0, 12), zone=st.integers(0, 2))
+    def send_crashing(self, others: int, zone: int) -> None:
+        """Resend the crashing request."""
 
-        async def one() -> None:
-            if _is_condemned(self.attempts.guard, CRASHER):
+        async def act() -> None:
+            if _is_quarantined(self.attempts.guard, CRASHING):
                 return
             server = f"server-{self.fresh_servers}"
             self.fresh_servers += 1
-            sent = [self.attempts.start(CRASHER, server)]
+            sent = [self.attempts.start(CRASHING, server)]
             sent += [
-                self.attempts.start(f"innocent-{i}", server) for i in range(bystanders)
+                self.attempts.start(f"ordinary-{i}", server) for i in range(others)
             ]
             self.attempts.crash(server, tuple(sent), zone=f"zone-{zone}")
-            self.canary_crashes += bystanders < 8
-            for i in range(bystanders):
-                self.attempts.complete(f"innocent-{i}", "idle-0")
+            self.canary_crashes += others < 8
+            for i in range(others):
+                self.attempts.complete(f"ordinary-{i}", "idle-0")
 
-        self.loop.run_until_complete(one())
-        self.run(2.0)
+        self.loop.run_until_complete(act())
+        self.advance(2.0)
 
     @rule(services=st.integers(4, 6))
     def zone_loss(self, services: int) -> None:
-        """Break servers of many services while innocent requests run."""
+        """Crash servers of many services while ordinary requests run."""
 
-        async def one() -> None:
+        async def act() -> None:
             for index in range(services):
                 server = f"server-{self.fresh_servers}"
                 self.fresh_servers += 1
-                sent = self.attempts.start("innocent-0", server)
+                sent = self.attempts.start("ordinary-0", server)
                 self.attempts.crash(server, (sent,), service=f"service-{index}")
-            self.attempts.complete("innocent-0", "idle-0")
+            self.attempts.complete("ordinary-0", "idle-0")
 
-        self.loop.run_until_complete(one())
-        self.run(2.0)
+        self.loop.run_until_complete(act())
+        self.advance(2.0)
 
     @invariant()
-    def crasher_is_stopped(self) -> None:
-        """Two servers at most, counting crashes that can be blamed."""
+    def check_crashing_request_is_stopped(self) -> None:
+        """Check that at most two servers crash, of those whose crash makes suspects."""
         assert getattr(self, "canary_crashes", 0) <= 2
 
     @invariant()
-    def innocent_requests_run(self) -> None:
-        """Only the crasher is ever condemned."""
+    def check_other_requests_run(self) -> None:
+        """Check that only the crashing request is ever quarantined."""
         if not hasattr(self, "loop"):
             return
 
-        async def one() -> None:
-            assert set(self.attempts.guard.condemned()) <= {CRASHER}
+        async def act() -> None:
+            assert set(self.attempts.guard.condemned()) <= {CRASHING}
 
-        self.loop.run_until_complete(one())
+        self.loop.run_until_complete(act())
 
 
 TestGuardMachine = GuardMachine.TestCase
--- a/tests/routing/test_invariants.py
+++ b/tests/routing/test_invariants.py
@@ -1,4 +1,4 @@
-"""State machine over a router: capacity, ejection, budget and waiting order."""
+"""Stateful test of a router: capacity, ejection, hedge budget and waiting."""
 
 import asyncio
 from random import Random
@@ -132,7 +132,7 @@
 
         async def one() -> None:
             if granted and self.held:
-                # The cancellation meets a grant that is already under way.
+                # Cancel a request whose grant has not been delivered yet.
                 self.held.pop().finish(AttemptOutcome.OK, 5.0)
             self.waiting[which % len(self.waiting)].cancel()
 
--- a/tests/routing/test_replicas.py
+++ b/tests/routing/test_replicas.py
@@ -1,4 +1,4 @@
-"""Replays of load patterns against the choice of a replica."""
+"""Choice of a replica under replayed load patterns."""
 
 from random import Random
 
@@ -28,14 +28,14 @@
     assert min(shares) > 0.2
 
 
-def test_replica_that_became_slow_is_avoided():
+def test_slow_replica_is_avoided():
     """Guards against one slow replica that delays a third of all queries."""
     slow = TYPICAL_S * 8
     shares = _shares([ReplicaState(3) for _ in range(3)], [slow, TYPICAL_S, TYPICAL_S])
     assert shares[0] < 0.08
 
 
-def test_one_pause_does_not_condemn_a_local_replica():
+def test_local_replica_is_used_again_after_one_pause():
     """Guards against ten seconds of traffic to other zones after a pause of 200 ms."""
     local, remote = ReplicaState(3), ReplicaState(3, remote=True)
     key = object()
@@ -59,21 +59,23 @@
     assert chosen.count(1) == 50
 
 
-def test_failing_fast_does_not_attract_requests():
-    """Guards against a server that fails at once and so looks idle."""
-    grey, sound = ReplicaState(3), ReplicaState(3)
-    random, now, to_grey = Random(5), 0.0, 0
+def test_replica_that_fails_fast_does_not_attract_requests():
+    """Guards against a server that fails immediately and so looks idle."""
+    failing, healthy = ReplicaState(3), ReplicaState(3)
+    random, now, to_failing = Random(5), 0.0, 0
     for _ in range(200):
         now += 0.1
-        replica = (grey, sound)[choose_replica([grey, sound], now, TYPICAL_S, random)]
+        replica = (failing, healthy)[
+            choose_replica([failing, healthy], now, TYPICAL_S, random)
+        ]
         key = object()
         replica.begin(key, now, TYPICAL_S)
-        if replica is grey:
-            to_grey += 1
+        if replica is failing:
+            to_failing += 1
             replica.fail(key, now + 0.001, unreachable=False)
         else:
             replica.answer(key, now + TYPICAL_S)
-    assert to_grey < 20
+    assert to_failing < 20
 
 
 def test_unreachable_server_is_tried_again_later():
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -1,4 +1,4 @@
-"""Choice, limits, budgets and ejection of one router."""
+"""Replica choice, limits, budgets and ejection of one router."""
 
 import asyncio
 from collections import Counter
@@ -24,7 +24,9 @@
 OK = AttemptOutcome.OK
 
 
-def _spread(router: Router, rounds: int, latency_ms: dict[str, float]) -> Counter[str]:
+def _run_attempts(
+    router: Router, rounds: int, latency_ms: dict[str, float]
+) -> Counter[str]:
     chosen: Counter[str] = Counter()
     for _ in range(rounds):
         ticket = router.choose(1, 0)
@@ -34,7 +36,9 @@
     return chosen
 
 
-def _fail(router: Router, server: str, outcome: AttemptOutcome, times: int) -> None:
+def _finish_attempts(
+    router: Router, server: str, outcome: AttemptOutcome, times: int
+) -> None:
     others = {f"server-{i}" for i in range(9)} - {server}
     for _ in range(times):
         ticket = router.choose(1, 0, others)
@@ -42,22 +46,23 @@
         ticket.finish(outcome, 10.0)
 
 
-def test_avoids_a_straggler(make_router: MakeRouter) -> None:
+def test_slow_replica_is_avoided(make_router: MakeRouter) -> None:
     # Guards against a slow replica that keeps its even share of the work.
     async def main() -> None:
-        chosen = _spread(make_router(), 300, {"server-1": 100.0})
+        chosen = _run_attempts(make_router(), 300, {"server-1": 100.0})
         assert chosen["server-1"] < 30
 
     run_virtual(main())
 
 
-def test_straggler_gets_nothing_while_others_are_only_busy(
+def test_slow_replica_gets_no_work_while_others_are_only_busy(
     make_router: MakeRouter,
 ) -> None:
-    # Guards against a full limit that pushes work to the straggler.
+    # Guards against sending work to a slow replica because the others are at their
+    # limits.
     async def main() -> None:
         router = make_router()
-        _spread(router, 100, {"server-1": 200.0})
+        _run_attempts(router, 100, {"server-1": 200.0})
         held = [router.choose(1, 0, {"server-1"}) for _ in range(4)]
         waiting = asyncio.create_task(router.acquire(1, 0))
         await asyncio.sleep(0.001)
@@ -69,11 +74,11 @@
     run_virtual(main())
 
 
-def test_cancelled_loser_is_not_a_fast_answer(make_router: MakeRouter) -> None:
-    # Guards against hedge losers that make a straggler look quick.
+def test_cancelled_attempt_is_not_a_fast_answer(make_router: MakeRouter) -> None:
+    # Guards against cancelled hedges that make a slow replica look fast.
     async def main() -> None:
         router = make_router(2)
-        _spread(router, 100, {"server-0": 5.0, "server-1": 10.0})
+        _run_attempts(router, 100, {"server-0": 5.0, "server-1": 10.0})
         for _ in range(20):
             ticket = router.choose(1, 0, {"server-0"})
             assert ticket is not None
@@ -109,11 +114,11 @@
     run_virtual(main())
 
 
-def test_sheds_lower_the_limit_and_back_off(make_router: MakeRouter) -> None:
-    # Guards against sending on to a server that sheds.
+def test_shed_lowers_the_limit_and_starts_a_back_off(make_router: MakeRouter) -> None:
+    # Guards against sending further requests to a server that sheds.
     async def main() -> None:
         router = make_router(1)
-        _spread(router, 50, {})
+        _run_attempts(router, 50, {})
         ticket = router.choose(1, 0)
         assert ticket is not None
         ticket.finish(AttemptOutcome.SHED, 1.0)
@@ -125,16 +130,16 @@
     run_virtual(main())
 
 
-def test_ejection_is_capped_and_ends(make_router: MakeRouter) -> None:
-    # Guards against ejecting so many replicas that the rest is overloaded.
+def test_ejection_is_limited_and_ends(make_router: MakeRouter) -> None:
+    # Guards against ejecting so many replicas that the others are overloaded.
     async def main() -> None:
         router = make_router()
-        _fail(router, "server-0", AttemptOutcome.FAILED, 3)
-        assert "server-0" not in _spread(router, 60, {})
-        _fail(router, "server-1", AttemptOutcome.FAILED, 3)
-        assert len(_spread(router, 60, {})) >= 2
+        _finish_attempts(router, "server-0", AttemptOutcome.FAILED, 3)
+        assert "server-0" not in _run_attempts(router, 60, {})
+        _finish_attempts(router, "server-1", AttemptOutcome.FAILED, 3)
+        assert len(_run_attempts(router, 60, {})) >= 2
         await asyncio.sleep(5.0)
-        assert len(_spread(router, 200, {})) == 3
+        assert len(_run_attempts(router, 200, {})) == 3
 
     run_virtual(main())
 
@@ -143,10 +148,10 @@
     # Guards against refusing what a live replica could still serve.
     async def main() -> None:
         router = make_router(1)
-        _fail(router, "server-0", AttemptOutcome.FAILED, 10)
+        _finish_attempts(router, "server-0", AttemptOutcome.FAILED, 10)
         assert router.choose(1, 0) is not None
         router = make_router(2)
-        _fail(router, "server-0", AttemptOutcome.FAILED, 3)
+        _finish_attempts(router, "server-0", AttemptOutcome.FAILED, 3)
         ticket = router.choose(1, 0, {"server-1"})
         assert ticket is not None
         assert ticket.server == "server-0"
@@ -154,8 +159,8 @@
     run_virtual(main())
 
 
-def test_lost_replica_costs_no_refusal(make_router: MakeRouter) -> None:
-    # Guards against a refusal while a live replica has room.
+def test_lost_replica_causes_no_refusal(make_router: MakeRouter) -> None:
+    # Guards against a refusal while a live replica has capacity.
     async def main() -> None:
         router = make_router()
         for _ in range(50):
@@ -169,11 +174,13 @@
     run_virtual(main())
 
 
-def test_snapshot_gone_leaves_the_snapshot(make_router: MakeRouter) -> None:
-    # Guards against asking a server again for a snapshot that it dropped.
+def test_server_without_the_snapshot_is_not_chosen_again(
+    make_router: MakeRouter,
+) -> None:
+    # Guards against requesting a snapshot from a server that has dropped it.
     async def main() -> None:
         router = make_router(1)
-        _fail(router, "server-0", AttemptOutcome.SNAPSHOT_GONE, 1)
+        _finish_attempts(router, "server-0", AttemptOutcome.SNAPSHOT_GONE, 1)
         assert router.snapshots() == []
         with pytest.raises(Refusal) as caught:
             await router.acquire(1, 0)
@@ -183,8 +190,8 @@
 
 
 def test_snapshots_are_newest_first(make_view: MakeView) -> None:
-    # Guards against answers from an old snapshot, and a shard counted as served
-    # because only a draining server holds it.
+    # Guards against answers from an old snapshot, and against a shard that counts as
+    # served although only a draining server holds it.
     async def main() -> None:
         router = Router("stock", RoutingPolicy(), Random(1))
         newer = replace(make_view(0).holdings[0], snapshot=2)  # type: ignore[type-var]
@@ -198,19 +205,17 @@
     run_virtual(main())
 
 
-def test_new_incarnation_starts_slowly(
-    make_router: MakeRouter, make_view: MakeView
-) -> None:
-    # Guards against a cold server that gets its full share at once.
+def test_new_incarnation_ramps_up(make_router: MakeRouter, make_view: MakeView) -> None:
+    # Guards against a server that gets its full share right after its start.
     async def main() -> None:
         router = make_router(slow_start_s=5.0)
         await asyncio.sleep(6.0)
-        fresh = make_view(0, incarnation=1)
-        router.update([fresh, make_view(1), make_view(2)], 10)
-        early = _spread(router, 300, {})["server-0"]
+        restarted = make_view(0, incarnation=1)
+        router.update([restarted, make_view(1), make_view(2)], 10)
+        count_at_start = _run_attempts(router, 300, {})["server-0"]
         await asyncio.sleep(6.0)
-        late = _spread(router, 300, {})["server-0"]
-        assert early < 30 < late
+        count_after_ramp = _run_attempts(router, 300, {})["server-0"]
+        assert count_at_start < 30 < count_after_ramp
 
     run_virtual(main())
 
@@ -238,13 +243,13 @@
 def test_load_reports_only_break_ties(
     make_router: MakeRouter, make_view: MakeView
 ) -> None:
-    # Guards against a lying load endpoint that attracts work.
+    # Guards against a server that attracts work by reporting too low a load.
     async def main() -> None:
         router = make_router()
-        liar = make_view(1, reported_load=-1.0)
-        honest = [make_view(i, reported_load=5.0) for i in (0, 2)]
-        router.update([liar, *honest], 10)
-        assert _spread(router, 300, {"server-1": 40.0})["server-1"] < 30
+        misreporting = make_view(1, reported_load=-1.0)
+        others = [make_view(i, reported_load=5.0) for i in (0, 2)]
+        router.update([misreporting, *others], 10)
+        assert _run_attempts(router, 300, {"server-1": 40.0})["server-1"] < 30
 
     run_virtual(main())
 
@@ -268,7 +273,7 @@
 
 
 def test_hedge_delay_follows_the_observed_quantile(make_router: MakeRouter) -> None:
-    # Guards against hedges that start before most answers could arrive.
+    # Guards against hedges that are sent before most answers can arrive.
     async def main() -> None:
         router = make_router()
         assert router.hedge_delay_ms(0) is None
@@ -299,21 +304,21 @@
     run_virtual(main())
 
 
-def test_waits_in_order_of_priority(make_router: MakeRouter) -> None:
-    # Guards against an urgent check that waits behind bulk work.
+def test_waiting_requests_are_served_by_priority(make_router: MakeRouter) -> None:
+    # Guards against an urgent request that waits behind bulk requests.
     async def main() -> None:
         router = make_router(1)
         held = router.choose(1, 0)
         assert held is not None
         order: list[Priority] = []
 
-        async def work(priority: Priority) -> None:
+        async def run(priority: Priority) -> None:
             ticket = await router.acquire(1, 0, priority=priority)
             order.append(priority)
             await asyncio.sleep(0.01)
             ticket.finish(AttemptOutcome.CANCELLED, 0.0)
 
-        tasks = [asyncio.create_task(work(p)) for p in reversed(Priority)]
+        tasks = [asyncio.create_task(run(p)) for p in reversed(Priority)]
         await asyncio.sleep(0.001)
         held.finish(AttemptOutcome.CANCELLED, 0.0)
         await asyncio.gather(*tasks)
@@ -322,9 +327,9 @@
     run_virtual(main())
 
 
-def test_cancelled_grant_is_given_back(make_router: MakeRouter) -> None:
-    # Guards against capacity that leaks when a caller goes away in the tick in
-    # which its request gets a server.
+def test_capacity_of_a_cancelled_grant_is_released(make_router: MakeRouter) -> None:
+    # Guards against capacity that leaks when a request is cancelled in the same event
+    # loop iteration in which it is granted a server.
     async def main() -> None:
         router = make_router(1)
         held = router.choose(1, 0)
@@ -339,11 +344,13 @@
     run_virtual(main())
 
 
-def test_late_work_is_refused_before_it_is_sent(make_router: MakeRouter) -> None:
+def test_request_that_cannot_meet_its_deadline_is_not_sent(
+    make_router: MakeRouter,
+) -> None:
     # Guards against wasting slots on answers that come too late.
     async def main() -> None:
         router = make_router(1)
-        _spread(router, 100, {"server-0": 100.0})
+        _run_attempts(router, 100, {"server-0": 100.0})
         now = asyncio.get_running_loop().time()
         with pytest.raises(Refusal) as caught:
             await router.acquire(1, 0, deadline=now + 0.02)
@@ -358,11 +365,11 @@
     run_virtual(main())
 
 
-def test_refusals_do_not_last_for_ever(make_router: MakeRouter) -> None:
-    # Guards against one slow period after which every request is refused.
+def test_slow_period_does_not_refuse_requests_for_ever(make_router: MakeRouter) -> None:
+    # Guards against a slow period after which every request is refused.
     async def main() -> None:
         router = make_router(1)
-        _spread(router, 100, {"server-0": 1_000.0})
+        _run_attempts(router, 100, {"server-0": 1_000.0})
         for _ in range(300):
             deadline = asyncio.get_running_loop().time() + 0.1
             try:
@@ -376,9 +383,9 @@
     run_virtual(main())
 
 
-def test_early_timer_does_not_spin(make_router: MakeRouter) -> None:
-    # Guards against re-arming a timer for ever when it fires within the clock's
-    # resolution of its time, which hung a run.
+def test_early_timer_is_not_rearmed_for_ever(make_router: MakeRouter) -> None:
+    # Guards against a hang: a timer that fired early, within the clock's resolution,
+    # was re-armed for ever.
     async def main() -> None:
         router = make_router(1)
         for _ in range(200):
@@ -392,7 +399,7 @@
 def test_update_keeps_requests_in_flight(
     make_router: MakeRouter, make_view: MakeView
 ) -> None:
-    # Guards against capacity that is forgotten when the directory changes.
+    # Guards against losing count of requests in flight when the directory changes.
     async def main() -> None:
         router = make_router(1)
         held = router.choose(1, 0)
@@ -414,7 +421,7 @@
 def test_waiting_request_moves_to_a_new_server(
     make_router: MakeRouter, make_view: MakeView
 ) -> None:
-    # Guards against a request that waits for a lost server only.
+    # Guards against a request that waits only for a server that was lost.
     async def main() -> None:
         router = make_router(1)
         router.choose(1, 0)
@@ -427,7 +434,7 @@
 
 
 def test_baseline_is_random_and_unlimited(make_view: MakeView) -> None:
-    # Guards against a baseline that shares the rules it is compared with.
+    # Guards against a baseline that applies limits of the policy compared with it.
     async def main() -> None:
         router = Router("stock", baseline_policy(), Random(7))
         router.update([make_view(i) for i in range(3)], 10)
--- a/tests/routing/test_waiting.py
+++ b/tests/routing/test_waiting.py
@@ -1,4 +1,4 @@
-"""Order of the waiting queue."""
+"""Order in which the waiting queue serves requests."""
 
 import asyncio
 
@@ -12,13 +12,13 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(st.one_of(st.sampled_from(Priority), st.just("pop")), max_size=60))
-def test_order_and_turns(steps: list[Priority | str]) -> None:
-    # Guards against a class served out of order or first-come order lost in a
-    # class, and against a class that is passed over for ever.
+def test_priority_order_without_starvation(steps: list[Priority | str]) -> None:
+    # Guards against classes served out of priority order, requests of a class served
+    # out of arrival order, and a class that is passed over for ever.
     loop = asyncio.new_event_loop()
     queue = WaitingQueue(TURN_AFTER)
     expected: dict[Priority, list[Waiter]] = {p: [] for p in Priority}
-    passed = dict.fromkeys(Priority, 0)
+    times_passed_over = dict.fromkeys(Priority, 0)
     for step in steps:
         if isinstance(step, Priority):
             waiter = Waiter(loop.create_future(), step)
@@ -36,17 +36,21 @@
             for p in waiting
             if list(Priority).index(p) < list(Priority).index(popped.priority)
         ]
-        assert not higher or passed[popped.priority] >= TURN_AFTER
+        assert not higher or times_passed_over[popped.priority] >= TURN_AFTER
         for priority in waiting:
             skipped = priority not in higher and priority is not popped.priority
-            passed[priority] = passed[priority] + 1 if skipped else passed[priority]
-        passed[popped.priority] = 0
-        assert max(passed.values()) <= TURN_AFTER + 1
+            times_passed_over[priority] = (
+                times_passed_over[priority] + 1
+                if skipped
+                else times_passed_over[priority]
+            )
+        times_passed_over[popped.priority] = 0
+        assert max(times_passed_over.values()) <= TURN_AFTER + 1
     loop.close()
 
 
-def test_abandoned_waiters_take_no_memory() -> None:
-    # Guards against a queue that grows while callers go away at a stuck server.
+def test_abandoned_waiters_are_removed() -> None:
+    # Guards against a queue that grows while callers of a stalled server disconnect.
     loop = asyncio.new_event_loop()
     queue = WaitingQueue(TURN_AFTER)
     for _ in range(10_000):
