--- a/packages/routing/src/kingcuplug_routing/__init__.py
+++ b/packages/routing/src/kingcuplug_routing/__init__.py
@@ -1,6 +1,6 @@
 """Replica choice, limits, hedging, retry budgets and the crash guard."""
 
-from kingcuplug_routing._admission import Admission, Admitted
+from kingcuplug_routing._admission import Admission, AdmissionContext
 from kingcuplug_routing._concurrency_limiter import Turnstile, places
 from kingcuplug_routing._crash_guard import CrashGuard
 from kingcuplug_routing._crash_history import Blame, CrashGuardSettings
@@ -19,11 +19,10 @@
 from kingcuplug_routing._selection import (
     least_expected_time,
     least_in_flight,
+    power_of_two_choices,
     random_replica,
-    two_choices,
 )
 from kingcuplug_routing._slow_servers import PaceBoard, Samples
-from kingcuplug_routing._startup_wait import wait_until
 from kingcuplug_routing._ticket import Ticket
 from kingcuplug_routing._types import (
     Attempt,
@@ -34,10 +33,11 @@
     ServerView,
     SnapshotView,
 )
+from kingcuplug_routing._warm_up import wait_until
 
 __all__ = [
     "Admission",
-    "Admitted",
+    "AdmissionContext",
     "AllowanceSettings",
     "AnswerRule",
     "Attempt",
@@ -68,7 +68,7 @@
     "least_expected_time",
     "least_in_flight",
     "places",
+    "power_of_two_choices",
     "random_replica",
-    "two_choices",
     "wait_until",
 ]
--- a/packages/routing/src/kingcuplug_routing/_adaptive_share.py
+++ b/packages/routing/src/kingcuplug_routing/_adaptive_share.py
@@ -29,14 +29,14 @@
 
     Parameters
     ----------
-    greatest : float
+    max_factor : float
         Upper bound of the factor.
 
     Attributes
     ----------
     factor : float
         Current factor.
-    bound : bool
+    was_limiting : bool
         Whether the share delayed or refused a query in this window; set by the owner.
     """
 
@@ -45,17 +45,17 @@
         "_answered_ms",
         "_best_ms",
         "_finished",
-        "_greatest",
+        "_max_factor",
         "_shed",
         "_window_end",
-        "bound",
         "factor",
+        "was_limiting",
     )
 
-    def __init__(self, greatest: float) -> None:
-        self._greatest = greatest
+    def __init__(self, max_factor: float) -> None:
+        self._max_factor = max_factor
         self.factor = 1.0
-        self.bound = False
+        self.was_limiting = False
         self._best_ms = 0.0
         self._window_end = 0.0
         self._answered = 0
@@ -85,12 +85,16 @@
             )
         elif shed_ratio > _HIGH_SHED_RATIO or slowdown > _HIGH_SLOWDOWN:
             factor = max(1.0, factor * _DECREASE)
-        elif self.bound and shed_ratio < _LOW_SHED_RATIO and slowdown < _LOW_SLOWDOWN:
-            factor = min(self._greatest, factor * _INCREASE)
+        elif (
+            self.was_limiting
+            and shed_ratio < _LOW_SHED_RATIO
+            and slowdown < _LOW_SLOWDOWN
+        ):
+            factor = min(self._max_factor, factor * _INCREASE)
         self.factor = factor
         self._answered = statistics.answered
         self._answered_ms = statistics.answered_ms
         self._finished = statistics.finished
         self._shed = statistics.shed
         self._window_end = now + _WINDOW_S
-        self.bound = False
+        self.was_limiting = False
--- a/packages/routing/src/kingcuplug_routing/_admission.py
+++ b/packages/routing/src/kingcuplug_routing/_admission.py
@@ -14,12 +14,12 @@
 from types import TracebackType
 
 from kingcuplug_routing._adaptive_share import AdaptiveShare
-from kingcuplug_routing._refusals import overloaded, too_late
+from kingcuplug_routing._refusals import deadline_unreachable, overloaded
 from kingcuplug_routing._router import Router
 from kingcuplug_routing._types import Priority
 from kingcuplug_routing._waiting import Waiter, WaitingQueue
 
-__all__ = ["Admission", "Admitted"]
+__all__ = ["Admission", "AdmissionContext"]
 
 _MIN_BURST_QUERIES = 2.0  # burst in queries if a query costs more than the burst time
 _MAX_DEBT_BURSTS = 4.0  # bounds how long one stall can block admission
@@ -42,16 +42,16 @@
         self._router = router
         self._policy = router.policy
         self._waiting = WaitingQueue(router.policy.turn_after)
-        self._level_s = inf
-        self._refilled = 0.0
-        self._charged_ms = 0.0
-        self._duration_s = 0.0
+        self._budget_s = inf
+        self._refilled_at = 0.0
+        self._accounted_ms = 0.0
+        self._mean_duration_s = 0.0
         self._share = AdaptiveShare(router.policy.greatest_share)
         self._timer: asyncio.TimerHandle | None = None
 
     def admit(
         self, priority: Priority, deadline: float = inf, sub_requests: int = 1
-    ) -> "Admitted":
+    ) -> "AdmissionContext":
         """Return a context manager that admits one query or order.
 
         Entering it waits in priority order and raises `Refusal` with ``NOT_RUN`` as
@@ -64,52 +64,52 @@
         sub_requests : int
             Number of sub-requests that the query will send.
         """
-        return Admitted(self, Priority(priority), deadline, sub_requests)
+        return AdmissionContext(self, Priority(priority), deadline, sub_requests)
 
-    async def enter(
+    async def acquire(
         self, priority: Priority, deadline: float, sub_requests: int
     ) -> float:
         """Admit a query and return the slot time in seconds that it was charged."""
         if self._policy.utilisation == inf:
             return 0.0
-        cost = sub_requests * self._router.statistics.busy_ms / 1_000
+        cost = sub_requests * self._router.statistics.mean_occupancy_ms / 1_000
         now = _now()
         self._refill(now)
-        self._check_time(deadline, now)
-        if not self._waiting.ahead(priority) and self._may_pass(priority, cost):
-            self._level_s -= cost
+        self._check_deadline(deadline, now)
+        if not self._waiting.cost_ahead(priority) and self._has_budget(priority, cost):
+            self._budget_s -= cost
             return cost
         await self._wait(priority, deadline, cost, now)
         return cost
 
     def leave(self, cost: float, duration_s: float) -> None:
         """Correct the charged slot time of a query by the observed one."""
-        self._duration_s += _DURATION_WEIGHT * (duration_s - self._duration_s)
-        occupied_ms = self._router.statistics.occupied_ms
-        observed_s = (occupied_ms - self._charged_ms) / 1_000
-        self._charged_ms = occupied_ms
-        self._level_s += cost - observed_s
-        if self._waiting.entries:
-            self._pump()
-
-    def _check_time(self, deadline: float, now: float) -> None:
-        median_s = _MEDIAN_SHARE_OF_MEAN * self._duration_s
+        self._mean_duration_s += _DURATION_WEIGHT * (duration_s - self._mean_duration_s)
+        occupied_ms = self._router.statistics.total_occupancy_ms
+        observed_s = (occupied_ms - self._accounted_ms) / 1_000
+        self._accounted_ms = occupied_ms
+        self._budget_s += cost - observed_s
+        if self._waiting.entry_count:
+            self._admit_waiting()
+
+    def _check_deadline(self, deadline: float, now: float) -> None:
+        median_s = _MEDIAN_SHARE_OF_MEAN * self._mean_duration_s
         if now + median_s >= deadline:
             # Lower the estimate on each refusal: no answer would correct it otherwise,
             # and one slow period would refuse such deadlines for ever.
-            self._duration_s *= _REFUSAL_DECAY
-            raise too_late(
+            self._mean_duration_s *= _REFUSAL_DECAY
+            raise deadline_unreachable(
                 self._router.service, (deadline - now) * 1_000, median_s * 1_000
             )
 
     async def _wait(
         self, priority: Priority, deadline: float, cost: float, now: float
     ) -> None:
-        self._share.bound = True
+        self._share.was_limiting = True
         expected_s = self._expected_wait_s(priority, cost)
         max_wait_s = min(
-            self._longest_wait_s(priority),
-            deadline - now - _MEDIAN_SHARE_OF_MEAN * self._duration_s,
+            self._max_wait_s(priority),
+            deadline - now - _MEDIAN_SHARE_OF_MEAN * self._mean_duration_s,
         )
         if expected_s > max_wait_s:
             raise overloaded(self._router.service, expected_s * 1_000)
@@ -119,49 +119,49 @@
         timer = None
         if max_wait_s < inf:
             timer = loop.call_at(now + max_wait_s, _time_out, future)
-        self._pump()
+        self._admit_waiting()
         try:
             if not await future:
                 raise overloaded(self._router.service, max_wait_s * 1_000)
         except asyncio.CancelledError:
             if future.done() and not future.cancelled() and future.result():
-                self._level_s += cost
+                self._budget_s += cost
             raise
         finally:
             future.cancel()
             if timer is not None:
                 timer.cancel()
 
-    def _pump(self) -> None:
+    def _admit_waiting(self) -> None:
         """Admit waiting queries within the budget and schedule the next pass."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         self._refill(_now())
         while (head := self._waiting.peek()) is not None:
-            if not self._may_pass(head.priority, head.cost):
-                self._plan(head)
+            if not self._has_budget(head.priority, head.cost):
+                self._schedule_admission(head)
                 return
             self._waiting.pop()
-            self._level_s -= head.cost
+            self._budget_s -= head.cost
             head.future.set_result(True)
 
-    def _plan(self, head: Waiter) -> None:
-        deficit_s = self._threshold(head.priority, head.cost) - self._level_s
+    def _schedule_admission(self, head: Waiter) -> None:
+        deficit_s = self._threshold(head.priority, head.cost) - self._budget_s
         delay = max(_MIN_TIMER_DELAY_S, deficit_s / self._rate())
-        self._timer = asyncio.get_running_loop().call_later(delay, self._pump)
+        self._timer = asyncio.get_running_loop().call_later(delay, self._admit_waiting)
 
     def _refill(self, now: float) -> None:
         self._share.adapt(self._router.statistics, now)
         rate = self._rate()
         depth = self._depth(rate)
-        level = self._level_s + rate * (now - self._refilled)
-        self._level_s = max(-_MAX_DEBT_BURSTS * depth, min(depth, level))
-        self._refilled = now
+        level = self._budget_s + rate * (now - self._refilled_at)
+        self._budget_s = max(-_MAX_DEBT_BURSTS * depth, min(depth, level))
+        self._refilled_at = now
 
     def _rate(self) -> float:
         """Return this entry host's share of slot time, in seconds per second."""
-        share = self._share.factor * self._router.slots()
+        share = self._share.factor * self._router.slot_share()
         return max(1e-6, self._policy.utilisation * share)
 
     def _depth(self, rate: float) -> float:
@@ -174,14 +174,14 @@
             return -max(depth, _MIN_BURST_QUERIES * cost)
         return self._policy.urgent_reserve * depth
 
-    def _may_pass(self, priority: Priority, cost: float) -> bool:
-        return self._level_s >= self._threshold(priority, cost)
+    def _has_budget(self, priority: Priority, cost: float) -> bool:
+        return self._budget_s >= self._threshold(priority, cost)
 
     def _expected_wait_s(self, priority: Priority, cost: float) -> float:
-        deficit_s = self._threshold(priority, cost) - self._level_s
-        return max(0.0, deficit_s + self._waiting.ahead(priority)) / self._rate()
+        deficit_s = self._threshold(priority, cost) - self._budget_s
+        return max(0.0, deficit_s + self._waiting.cost_ahead(priority)) / self._rate()
 
-    def _longest_wait_s(self, priority: Priority) -> float:
+    def _max_wait_s(self, priority: Priority) -> float:
         if priority is Priority.URGENT:
             return inf
         if priority is Priority.BULK:
@@ -189,10 +189,10 @@
         return self._policy.longest_wait_s
 
 
-class Admitted:
+class AdmissionContext:
     """Context manager that holds the admission of one query."""
 
-    __slots__ = ("_admission", "_arguments", "_cost", "_entered")
+    __slots__ = ("_admission", "_admitted_at", "_arguments", "_cost")
 
     def __init__(
         self,
@@ -205,8 +205,8 @@
         self._arguments = (priority, deadline, sub_requests)
 
     async def __aenter__(self) -> None:
-        self._cost = await self._admission.enter(*self._arguments)
-        self._entered = _now()
+        self._cost = await self._admission.acquire(*self._arguments)
+        self._admitted_at = _now()
 
     async def __aexit__(
         self,
@@ -214,7 +214,7 @@
         exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        self._admission.leave(self._cost, _now() - self._entered)
+        self._admission.leave(self._cost, _now() - self._admitted_at)
 
 
 def _time_out(future: asyncio.Future[bool]) -> None:
--- a/packages/routing/src/kingcuplug_routing/_concurrency_limiter.py
+++ b/packages/routing/src/kingcuplug_routing/_concurrency_limiter.py
@@ -36,15 +36,15 @@
     """Counts the requests in flight and queues the others in order of rank."""
 
     def __init__(self) -> None:
-        self._inside = 0
+        self._in_flight = 0
         self._waiting: list[tuple[int, int, Callable[[], bool]]] = []
-        self._order = count()
+        self._sequence = count()
 
     def enter(self, limit: int) -> bool:
         """Return whether a request may be sent at once, and count it if so."""
-        if self._inside >= limit or self._waiting:
+        if self._in_flight >= limit or self._waiting:
             return False
-        self._inside += 1
+        self._in_flight += 1
         return True
 
     def wait(self, rank: int, admit: Callable[[], bool]) -> None:
@@ -56,12 +56,12 @@
             Called when the request may be sent; returns ``False`` if it has been
             abandoned.
         """
-        heapq.heappush(self._waiting, (rank, next(self._order), admit))
+        heapq.heappush(self._waiting, (rank, next(self._sequence), admit))
 
     def leave(self, limit: int) -> None:
         """End one request and admit as many waiting ones as the limit allows."""
-        self._inside -= 1
-        while self._waiting and self._inside < limit:
+        self._in_flight -= 1
+        while self._waiting and self._in_flight < limit:
             admit = heapq.heappop(self._waiting)[2]
             if admit():
-                self._inside += 1
+                self._in_flight += 1
--- a/packages/routing/src/kingcuplug_routing/_crash_guard.py
+++ b/packages/routing/src/kingcuplug_routing/_crash_guard.py
@@ -12,21 +12,21 @@
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, replace
 
-from kingcuplug_routing._crash_history import Blame, BlameBook, CrashGuardSettings
-from kingcuplug_routing._refusals import condemned
+from kingcuplug_routing._crash_history import Blame, CrashGuardSettings, CrashHistory
+from kingcuplug_routing._refusals import fingerprint_quarantined
 from kingcuplug_routing._types import AttemptOutcome
 
 __all__ = ["CrashGuard"]
 
 
 @dataclass(slots=True)
-class _Attempt:
+class _TrackedAttempt:
     fingerprint: str
     server: str
     incarnation: int
     proven: bool
-    started: int
-    broken: float | None = None
+    started_order: int
+    broken_at: float | None = None
 
 
 class CrashGuard:
@@ -45,24 +45,26 @@
 
     def __init__(self, settings: CrashGuardSettings | None = None) -> None:
         self._settings = settings or CrashGuardSettings()
-        self._book = BlameBook(self._settings)
-        self._attempts: dict[str, _Attempt] = {}
-        self._at: dict[str, dict[str, _Attempt]] = {}
-        self._broken: deque[tuple[str, _Attempt]] = deque()
+        self._history = CrashHistory(self._settings)
+        self._attempts: dict[str, _TrackedAttempt] = {}
+        self._attempts_by_server: dict[str, dict[str, _TrackedAttempt]] = {}
+        self._broken_attempts: deque[tuple[str, _TrackedAttempt]] = deque()
         self._completed: OrderedDict[str, None] = OrderedDict()
         self._canaries: dict[str, asyncio.Future[None]] = {}
-        self._fresh: list[tuple[float, Blame]] = []
+        self._new_suspects: list[tuple[float, Blame]] = []
 
     def check(self, fingerprint: str) -> None:
         """Raise `Refusal` (``NOT_RUN``) if a fingerprint is quarantined."""
         now = _now()
-        until = self._book.condemned_until(fingerprint, now)
+        until = self._history.quarantined_until(fingerprint, now)
         if until is not None:
-            raise condemned(fingerprint, (until - now) * 1_000)
+            raise fingerprint_quarantined(fingerprint, (until - now) * 1_000)
 
-    def proven(self, fingerprint: str) -> bool:
+    def has_completed(self, fingerprint: str) -> bool:
         """Return whether a fingerprint completed recently and is no suspect."""
-        return fingerprint in self._completed and not self._book.blamed(fingerprint)
+        return fingerprint in self._completed and not self._history.is_suspect(
+            fingerprint
+        )
 
     @asynccontextmanager
     async def canary(self, fingerprint: str) -> AsyncIterator[bool]:
@@ -77,10 +79,10 @@
             If the fingerprint is quarantined.
         """
         self.check(fingerprint)
-        while not self.proven(fingerprint) and fingerprint in self._canaries:
+        while not self.has_completed(fingerprint) and fingerprint in self._canaries:
             await asyncio.wait([self._canaries[fingerprint]])
             self.check(fingerprint)
-        if self.proven(fingerprint):
+        if self.has_completed(fingerprint):
             yield False
             return
         ended = asyncio.get_running_loop().create_future()
@@ -95,11 +97,13 @@
         self, attempt_id: str, fingerprint: str, server: str, incarnation: int
     ) -> None:
         """Record that an attempt is about to be sent to a server."""
-        order = self._book.next_order()
-        completed_before = self.proven(fingerprint)
-        attempt = _Attempt(fingerprint, server, incarnation, completed_before, order)
+        order = self._history.next_order()
+        completed_before = self.has_completed(fingerprint)
+        attempt = _TrackedAttempt(
+            fingerprint, server, incarnation, completed_before, order
+        )
         self._attempts[attempt_id] = attempt
-        self._at.setdefault(server, {})[attempt_id] = attempt
+        self._attempts_by_server.setdefault(server, {})[attempt_id] = attempt
 
     def ended(self, attempt_id: str, outcome: AttemptOutcome) -> None:
         """Record the outcome of an attempt; unknown attempts are ignored."""
@@ -107,13 +111,13 @@
         if attempt is None:
             return
         if outcome is AttemptOutcome.CONNECTION_LOST:
-            attempt.broken = _now()
-            self._broken.append((attempt_id, attempt))
-            self._sweep(attempt.broken)
+            attempt.broken_at = _now()
+            self._broken_attempts.append((attempt_id, attempt))
+            self._expire_broken_attempts(attempt.broken_at)
             return
-        self._remove(attempt_id, attempt)
+        self._remove_attempt(attempt_id, attempt)
         if outcome is AttemptOutcome.OK:
-            self._complete(attempt)
+            self._record_completion(attempt)
 
     def server_crashed(
         self, server: str, incarnation: int, service: str, availability_zone: str
@@ -130,12 +134,12 @@
             The suspects, which `drain_new_suspects` returns too.
         """
         now = _now()
-        self._sweep(now)
-        crash = self._book.record(
+        self._expire_broken_attempts(now)
+        crash = self._history.record(
             service, server, incarnation, availability_zone, now, now
         )
         suspects: dict[str, Blame] = {}
-        for attempt in self._at.get(server, {}).values():
+        for attempt in self._attempts_by_server.get(server, {}).values():
             if attempt.incarnation <= incarnation:
                 suspects[attempt.fingerprint] = Blame(
                     attempt.fingerprint,
@@ -143,14 +147,14 @@
                     server,
                     incarnation,
                     availability_zone,
-                    self._was_proven(attempt),
+                    self._pop_completion(attempt),
                 )
         for suspect in suspects.values():
-            self._book.blame(crash, suspect.fingerprint, suspect.proven)
-            self._fresh.append((now, suspect))
+            self._history.add_suspect(crash, suspect.fingerprint, suspect.proven)
+            self._new_suspects.append((now, suspect))
         return tuple(suspects.values())
 
-    def _was_proven(self, attempt: _Attempt) -> bool:
+    def _pop_completion(self, attempt: _TrackedAttempt) -> bool:
         """Return whether a fingerprint completed before the crash; clear that record.
 
         Its next request is a canary, in case a new index made it crash servers.
@@ -163,16 +167,16 @@
         now = _now()
         suspects = [
             replace(suspect, age_ms=(now - time) * 1_000)
-            for time, suspect in self._fresh
+            for time, suspect in self._new_suspects
         ]
-        self._fresh.clear()
+        self._new_suspects.clear()
         return suspects
 
     def merge(self, suspects: Iterable[Blame]) -> None:
         """Add the suspects that other entry hosts recorded."""
         now = _now()
         for suspect in suspects:
-            crash = self._book.record(
+            crash = self._history.record(
                 suspect.service,
                 suspect.server,
                 suspect.incarnation,
@@ -180,14 +184,14 @@
                 now - suspect.age_ms / 1_000,
                 now,
             )
-            self._book.blame(crash, suspect.fingerprint, suspect.proven)
+            self._history.add_suspect(crash, suspect.fingerprint, suspect.proven)
 
     def condemned(self) -> dict[str, float]:
         """Return the quarantined fingerprints with their remaining time in ms."""
         now = _now()
         quarantine_ends = {
-            fingerprint: self._book.condemned_until(fingerprint, now)
-            for fingerprint in self._book.fingerprints()
+            fingerprint: self._history.quarantined_until(fingerprint, now)
+            for fingerprint in self._history.suspected_fingerprints()
         }
         return {
             fingerprint: (end - now) * 1_000
@@ -195,30 +199,30 @@
             if end is not None
         }
 
-    def _complete(self, attempt: _Attempt) -> None:
+    def _record_completion(self, attempt: _TrackedAttempt) -> None:
         fingerprint = attempt.fingerprint
-        self._book.completed(fingerprint, attempt.started, _now())
+        self._history.record_completion(fingerprint, attempt.started_order, _now())
         self._completed[fingerprint] = None
         self._completed.move_to_end(fingerprint)
-        if len(self._completed) > self._settings.most_entries:
+        if len(self._completed) > self._settings.max_entries:
             self._completed.popitem(last=False)
 
-    def _sweep(self, now: float) -> None:
+    def _expire_broken_attempts(self, now: float) -> None:
         """Remove attempts whose connection broke longer ago than the retention time."""
-        cutoff = now - self._settings.linger_s
-        while self._broken:
-            attempt_id, attempt = self._broken[0]
-            if attempt.broken is not None and attempt.broken >= cutoff:
+        cutoff = now - self._settings.broken_attempt_retention_s
+        while self._broken_attempts:
+            attempt_id, attempt = self._broken_attempts[0]
+            if attempt.broken_at is not None and attempt.broken_at >= cutoff:
                 return
-            self._broken.popleft()
-            self._remove(attempt_id, attempt)
+            self._broken_attempts.popleft()
+            self._remove_attempt(attempt_id, attempt)
 
-    def _remove(self, attempt_id: str, attempt: _Attempt) -> None:
-        attempts = self._at.get(attempt.server)
+    def _remove_attempt(self, attempt_id: str, attempt: _TrackedAttempt) -> None:
+        attempts = self._attempts_by_server.get(attempt.server)
         if attempts is not None:
             attempts.pop(attempt_id, None)
             if not attempts:
-                del self._at[attempt.server]
+                del self._attempts_by_server[attempt.server]
 
 
 def _now() -> float:
--- a/packages/routing/src/kingcuplug_routing/_crash_history.py
+++ b/packages/routing/src/kingcuplug_routing/_crash_history.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-__all__ = ["Blame", "BlameBook", "Crash", "CrashGuardSettings"]
+__all__ = ["Blame", "Crash", "CrashGuardSettings", "CrashHistory"]
 
 _MIN_CRASHED_SERVERS = 2
 _SUSPECT_EXCHANGE_S = 0.5  # two session exchanges and one of the mesh
@@ -17,30 +17,30 @@
 
     Parameters
     ----------
-    condemned_s : float
+    quarantine_s : float
         Duration of a quarantine, and time for which a crash is evidence.
-    most_entries : int
+    max_entries : int
         Greatest number each of crashes, suspected fingerprints and remembered
         completed fingerprints.
-    most_blamed : int
+    max_suspects : int
         A crash with more fingerprints in flight that had not completed before makes
         none of them a suspect.
-    most_other_losses : int
+    max_other_service_crashes : int
         A crash makes no suspects if more servers of other services crashed within
         the window.
-    loss_window_s : float
+    crash_window_s : float
         Time within which crashes are taken for one correlated failure.
-    linger_s : float
+    broken_attempt_retention_s : float
         Time for which an attempt with a broken connection still counts as in flight
         while the crash is not confirmed by a refused connection or a new incarnation.
     """
 
-    condemned_s: float = 600.0
-    most_entries: int = 10_000
-    most_blamed: int = 8
-    most_other_losses: int = 2
-    loss_window_s: float = 1.0
-    linger_s: float = 5.0
+    quarantine_s: float = 600.0
+    max_entries: int = 10_000
+    max_suspects: int = 8
+    max_other_service_crashes: int = 2
+    crash_window_s: float = 1.0
+    broken_attempt_retention_s: float = 5.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,13 +75,13 @@
     zone: str
     time: float
     order: int
-    blamed: dict[str, bool] = field(default_factory=dict)
-    other_services: bool = False
+    suspects: dict[str, bool] = field(default_factory=dict)
+    other_services_crashed: bool = False
     within_one_zone: bool = False
-    close: int = 1  # crashes within the crash window, this one included
+    nearby_crashes: int = 1  # crashes within the crash window, this one included
 
 
-class BlameBook:
+class CrashHistory:
     """Recent crashes with their suspects.
 
     Quarantines are computed from the crashes on each call and so end as soon as the
@@ -91,11 +91,11 @@
     def __init__(self, settings: CrashGuardSettings) -> None:
         self._settings = settings
         self._crashes: OrderedDict[tuple[str, int], Crash] = OrderedDict()
-        self._recent: deque[Crash] = deque()
-        self._services: Counter[str] = Counter()
-        self._zones: Counter[str] = Counter()
+        self._window: deque[Crash] = deque()
+        self._service_counts: Counter[str] = Counter()
+        self._zone_counts: Counter[str] = Counter()
         self._order = 0
-        self._of: OrderedDict[str, list[Crash]] = OrderedDict()
+        self._crashes_by_suspect: OrderedDict[str, list[Crash]] = OrderedDict()
 
     def record(
         self,
@@ -112,7 +112,7 @@
         if crash is None:
             crash = Crash(service, server, incarnation, zone, time, self.next_order())
             self._crashes[server, incarnation] = crash
-            self._judge(crash)
+            self._mark_correlated(crash)
         return crash
 
     def next_order(self) -> int:
@@ -120,60 +120,67 @@
         self._order += 1
         return self._order
 
-    def blame(self, crash: Crash, fingerprint: str, proven: bool) -> None:
+    def add_suspect(self, crash: Crash, fingerprint: str, proven: bool) -> None:
         """Make a fingerprint a suspect of a crash."""
-        crash.blamed[fingerprint] = proven
-        crashes = self._of.setdefault(fingerprint, [])
+        crash.suspects[fingerprint] = proven
+        crashes = self._crashes_by_suspect.setdefault(fingerprint, [])
         if crash not in crashes:
             crashes.append(crash)
-        if len(self._of) > self._settings.most_entries:
-            self._of.popitem(last=False)
+        if len(self._crashes_by_suspect) > self._settings.max_entries:
+            self._crashes_by_suspect.popitem(last=False)
 
-    def completed(self, fingerprint: str, started: int, now: float) -> None:
+    def record_completion(
+        self, fingerprint: str, started_order: int, now: float
+    ) -> None:
         """Clear the suspicions of crashes older than an attempt that has completed."""
-        crashes = self._of.get(fingerprint)
-        if crashes is None or self.condemned_until(fingerprint, now) is not None:
+        crashes = self._crashes_by_suspect.get(fingerprint)
+        if crashes is None or self.quarantined_until(fingerprint, now) is not None:
             return
-        remaining = [crash for crash in crashes if crash.order > started]
+        remaining = [crash for crash in crashes if crash.order > started_order]
         if remaining:
-            self._of[fingerprint] = remaining
+            self._crashes_by_suspect[fingerprint] = remaining
         else:
-            del self._of[fingerprint]
+            del self._crashes_by_suspect[fingerprint]
 
-    def blamed(self, fingerprint: str) -> bool:
+    def is_suspect(self, fingerprint: str) -> bool:
         """Return whether a fingerprint is a suspect of any crash."""
-        return fingerprint in self._of
+        return fingerprint in self._crashes_by_suspect
 
-    def condemned_until(self, fingerprint: str, now: float) -> float | None:
+    def quarantined_until(self, fingerprint: str, now: float) -> float | None:
         """Return the end of a fingerprint's quarantine, or None if there is none."""
-        if fingerprint not in self._of:
+        if fingerprint not in self._crashes_by_suspect:
             return None
         self._expire(now)
         evidence = [
             crash
-            for crash in self._of.get(fingerprint, ())
-            if self._stands(crash, fingerprint, now)
+            for crash in self._crashes_by_suspect.get(fingerprint, ())
+            if self._is_evidence(crash, fingerprint, now)
+        ]
+        evidence = [
+            crash for crash in evidence if self._was_at_nearby_crashes(crash, evidence)
         ]
-        evidence = [crash for crash in evidence if self._explains(crash, evidence)]
         servers = {crash.server for crash in evidence}
         if len(servers) < _MIN_CRASHED_SERVERS and len(evidence) < _MIN_CRASHES:
             return None
-        end = max(crash.time for crash in evidence) + self._settings.condemned_s
+        end = max(crash.time for crash in evidence) + self._settings.quarantine_s
         return end if end > now else None
 
-    def fingerprints(self) -> Iterable[str]:
+    def suspected_fingerprints(self) -> Iterable[str]:
         """Return the suspected fingerprints."""
-        return list(self._of)
+        return list(self._crashes_by_suspect)
 
-    def _stands(self, crash: Crash, fingerprint: str, now: float) -> bool:
+    def _is_evidence(self, crash: Crash, fingerprint: str, now: float) -> bool:
         # Fingerprints that completed before are not counted: many of them are in flight
         # under load.
         uncompleted_count = sum(
-            1 for completed in crash.blamed.values() if not completed
+            1 for completed in crash.suspects.values() if not completed
         )
-        if crash.other_services or uncompleted_count > self._settings.most_blamed:
+        if (
+            crash.other_services_crashed
+            or uncompleted_count > self._settings.max_suspects
+        ):
             return False
-        if not crash.blamed[fingerprint]:
+        if not crash.suspects[fingerprint]:
             return True
         # A query is in flight at many servers at once, so two crashes within
         # milliseconds would quarantine every query that runs beside a crashing one. A
@@ -181,71 +188,72 @@
         # was in flight, and only after the suspects of other entry hosts have arrived.
         # Until then it is sent as a canary.
         is_only_suspect = (
-            len(crash.blamed) == 1 and now - crash.time >= _SUSPECT_EXCHANGE_S
+            len(crash.suspects) == 1 and now - crash.time >= _SUSPECT_EXCHANGE_S
         )
         return is_only_suspect and not crash.within_one_zone
 
-    def _explains(self, crash: Crash, blamed: list[Crash]) -> bool:
+    def _was_at_nearby_crashes(self, crash: Crash, crashes: list[Crash]) -> bool:
         """Return whether a fingerprint was in flight at half of the nearby crashes.
 
         A crashing request was in flight at all of them. When a whole service restarts,
         each canary was in flight at a few servers only.
         """
-        window_s = self._settings.loss_window_s
+        window_s = self._settings.crash_window_s
         nearby_count = sum(
-            1 for other in blamed if abs(other.time - crash.time) <= window_s
+            1 for other in crashes if abs(other.time - crash.time) <= window_s
         )
-        return 2 * nearby_count >= crash.close
+        return 2 * nearby_count >= crash.nearby_crashes
 
-    def _judge(self, newest: Crash) -> None:
+    def _mark_correlated(self, newest: Crash) -> None:
         """Mark crashes that coincide with the loss of a zone or a rack."""
-        window_s = self._settings.loss_window_s
-        if self._recent and newest.time < self._recent[-1].time - window_s:
+        window_s = self._settings.crash_window_s
+        if self._window and newest.time < self._window[-1].time - window_s:
             return
-        self._recent.append(newest)
-        self._services[newest.service] += 1
-        self._zones[newest.zone] += 1
-        while newest.time - self._recent[0].time > window_s:
-            self._leave(self._recent.popleft())
-        threshold = self._settings.most_other_losses
-        within_one_zone = len(self._recent) > threshold and len(self._zones) == 1
-        for crash in self._recent:
-            crash.close = max(crash.close, len(self._recent))
-            others = len(self._recent) - self._services[crash.service]
-            crash.other_services = crash.other_services or others > threshold
+        self._window.append(newest)
+        self._service_counts[newest.service] += 1
+        self._zone_counts[newest.zone] += 1
+        while newest.time - self._window[0].time > window_s:
+            self._drop_from_window(self._window.popleft())
+        threshold = self._settings.max_other_service_crashes
+        within_one_zone = len(self._window) > threshold and len(self._zone_counts) == 1
+        for crash in self._window:
+            crash.nearby_crashes = max(crash.nearby_crashes, len(self._window))
+            others = len(self._window) - self._service_counts[crash.service]
+            crash.other_services_crashed = (
+                crash.other_services_crashed or others > threshold
+            )
             crash.within_one_zone = within_one_zone
 
-    def _leave(self, crash: Crash) -> None:
-        self._services[crash.service] -= 1
-        self._zones[crash.zone] -= 1
-        if not self._zones[crash.zone]:
-            del self._zones[crash.zone]
-        if not self._services[crash.service]:
-            del self._services[crash.service]
-        if not crash.blamed:
+    def _drop_from_window(self, crash: Crash) -> None:
+        self._service_counts[crash.service] -= 1
+        self._zone_counts[crash.zone] -= 1
+        if not self._zone_counts[crash.zone]:
+            del self._zone_counts[crash.zone]
+        if not self._service_counts[crash.service]:
+            del self._service_counts[crash.service]
+        if not crash.suspects:
             # It was kept only as evidence of a zone loss.
             self._crashes.pop((crash.server, crash.incarnation), None)
 
     def _expire(self, now: float) -> None:
         # A quarantine starts at the last crash, so earlier crashes are kept until it
         # has ended.
-        cutoff = now - 2 * self._settings.condemned_s
+        cutoff = now - 2 * self._settings.quarantine_s
         while self._crashes:
             key, crash = next(iter(self._crashes.items()))
-            if (
-                crash.time > cutoff
-                and len(self._crashes) <= self._settings.most_entries
-            ):
+            if crash.time > cutoff and len(self._crashes) <= self._settings.max_entries:
                 return
             del self._crashes[key]
-            for fingerprint in crash.blamed:
-                self._forget(fingerprint, crash)
+            for fingerprint in crash.suspects:
+                self._remove_suspect(fingerprint, crash)
 
-    def _forget(self, fingerprint: str, crash: Crash) -> None:
+    def _remove_suspect(self, fingerprint: str, crash: Crash) -> None:
         remaining = [
-            each for each in self._of.get(fingerprint, ()) if each is not crash
+            each
+            for each in self._crashes_by_suspect.get(fingerprint, ())
+            if each is not crash
         ]
         if remaining:
-            self._of[fingerprint] = remaining
+            self._crashes_by_suspect[fingerprint] = remaining
         else:
-            self._of.pop(fingerprint, None)
+            self._crashes_by_suspect.pop(fingerprint, None)
--- a/packages/routing/src/kingcuplug_routing/_distribution.py
+++ b/packages/routing/src/kingcuplug_routing/_distribution.py
@@ -27,13 +27,13 @@
         Quantile to estimate, 0 to 1.
     """
 
-    __slots__ = ("_counts", "_quantile", "_since", "_total", "value")
+    __slots__ = ("_counts", "_quantile", "_since_refresh", "_total", "value")
 
     def __init__(self, quantile: float) -> None:
         self._quantile = quantile
         self._counts = [0.0] * _BUCKET_COUNT
         self._total = 0.0
-        self._since = 0
+        self._since_refresh = 0
         self.value: float | None = None
 
     def record(self, latency: float) -> None:
@@ -43,14 +43,14 @@
             bucket = int((log(latency) - _LOG_FIRST_BUCKET_BOUND) / _LOG_GROWTH) + 1
         self._counts[bucket if bucket < _BUCKET_COUNT else _BUCKET_COUNT - 1] += 1.0
         self._total += 1.0
-        self._since += 1
-        if self._since >= _REFRESH_AFTER or (
+        self._since_refresh += 1
+        if self._since_refresh >= _REFRESH_AFTER or (
             self.value is None and self._total >= _MIN_OBSERVATIONS
         ):
             self._refresh()
 
     def _refresh(self) -> None:
-        self._since = 0
+        self._since_refresh = 0
         rank = self._quantile * self._total
         cumulative = 0.0
         for bucket, count in enumerate(self._counts):
--- a/packages/routing/src/kingcuplug_routing/_fleet.py
+++ b/packages/routing/src/kingcuplug_routing/_fleet.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Sequence, Set
 from math import inf
 
-from kingcuplug_routing._maintenance import forget, prefer_zones
+from kingcuplug_routing._maintenance import decay_latencies, update_zone_factors
 from kingcuplug_routing._policy import RoutingPolicy
 from kingcuplug_routing._replica_table import ReplicaTable
 from kingcuplug_routing._server import Server
@@ -23,9 +23,9 @@
     ----------
     table : ReplicaTable
         Replica lists from which replicas are chosen.
-    upkeep_at : float
+    maintenance_at : float
         Event loop time at which `run_maintenance` is due.
-    ramping_until : float
+    slow_start_until : float
         Event loop time at which the last slow start ends.
     """
 
@@ -34,11 +34,11 @@
         self._holdings: dict[Server, tuple[HoldingView, ...]] = {}
         self._servers: dict[str, Server] = {}
         self._live_entry_hosts = 1
-        self._gone: dict[tuple[str, int], float] = {}
+        self._lost_holdings: dict[tuple[str, int], float] = {}
         self._rebuild_at = inf
         self.table = ReplicaTable({}, 0.0)
-        self.upkeep_at = 0.0
-        self.ramping_until = 0.0
+        self.maintenance_at = 0.0
+        self.slow_start_until = 0.0
 
     def update(
         self,
@@ -51,7 +51,7 @@
         self._live_entry_hosts = max(1, live_entry_hosts)
         previous = set(self._holdings)
         self._holdings = {
-            self._known(view, mean_ms, now): view.holdings
+            self._refreshed_server(view, mean_ms, now): view.holdings
             for view in views
             if view.state == "serving"
         }
@@ -67,9 +67,11 @@
         """Return the serving servers."""
         return self._holdings
 
-    def slots(self) -> float:
+    def slot_share(self) -> float:
         """Return this entry host's even share of the healthy servers' slots."""
-        healthy_slots = sum(each.slots for each in self._holdings if not each.failures)
+        healthy_slots = sum(
+            each.slots for each in self._holdings if not each.consecutive_failures
+        )
         total = healthy_slots or sum(each.slots for each in self._holdings)
         return total / self._live_entry_hosts
 
@@ -90,48 +92,50 @@
         all_replicas = self.table.every[snapshot][shard]
         return [each for each in all_replicas if each.server not in exclude]
 
-    def lose_holding(self, server: Server, snapshot: int, now: float) -> None:
+    def exclude_holding(self, server: Server, snapshot: int, now: float) -> None:
         """Exclude a server from choices for a snapshot that it no longer holds."""
-        self._gone[server.server, snapshot] = now + _LOST_HOLDING_S
+        self._lost_holdings[server.server, snapshot] = now + _LOST_HOLDING_S
         self._rebuild(now)
 
-    def eject(self, server: Server, now: float) -> bool:
+    def eject_if_failing(self, server: Server, now: float) -> bool:
         """Eject a server with too many failures; return whether lists changed."""
-        duration = server.eject_for(now)
+        duration = server.ejection_duration_s(now)
         if duration is None:
             return False
         server.ejected_until = now + duration
-        server.ejections += 1
+        server.ejection_count += 1
         self._rebuild(now)
         return True
 
-    def upkeep(self, mean_ms: float, now: float) -> bool:
+    def run_maintenance(self, mean_ms: float, now: float) -> bool:
         """Run the regular corrections; return whether replica lists changed."""
-        elapsed = min(1.0, now - self.upkeep_at + _MAINTENANCE_INTERVAL_S)
-        forget(self._holdings, mean_ms, elapsed)
-        prefer_zones(self._holdings)
-        self.upkeep_at = now + _MAINTENANCE_INTERVAL_S
+        elapsed = min(1.0, now - self.maintenance_at + _MAINTENANCE_INTERVAL_S)
+        decay_latencies(self._holdings, mean_ms, elapsed)
+        update_zone_factors(self._holdings)
+        self.maintenance_at = now + _MAINTENANCE_INTERVAL_S
         if now < self._rebuild_at:
             return False
         self._rebuild(now)
         return True
 
-    def _known(self, view: ServerView, mean_ms: float, now: float) -> Server:
+    def _refreshed_server(self, view: ServerView, mean_ms: float, now: float) -> Server:
         server = self._servers.get(view.server)
         if server is None or server.incarnation != view.incarnation:
             server = Server(view, self._policy, mean_ms, now)
             self._servers[view.server] = server
-            self.ramping_until = max(self.ramping_until, server.ramp_end)
+            self.slow_start_until = max(self.slow_start_until, server.slow_start_end)
         server.refresh(view, self._live_entry_hosts)
         return server
 
     def _rebuild(self, now: float) -> None:
-        self._gone = {key: end for key, end in self._gone.items() if end > now}
+        self._lost_holdings = {
+            key: end for key, end in self._lost_holdings.items() if end > now
+        }
         holdings = {
             server: [
                 view
                 for view in views
-                if (server.server, view.snapshot) not in self._gone
+                if (server.server, view.snapshot) not in self._lost_holdings
             ]
             for server, views in self._holdings.items()
         }
@@ -139,4 +143,6 @@
         ejection_ends = [
             each.ejected_until for each in holdings if each.ejected_until > now
         ]
-        self._rebuild_at = min([*ejection_ends, *self._gone.values()], default=inf)
+        self._rebuild_at = min(
+            [*ejection_ends, *self._lost_holdings.values()], default=inf
+        )
--- a/packages/routing/src/kingcuplug_routing/_latency_estimator.py
+++ b/packages/routing/src/kingcuplug_routing/_latency_estimator.py
@@ -31,16 +31,16 @@
     def __init__(self, target_ms: int) -> None:
         self._target_s = target_ms / _MS_PER_S
         self.typical_s = self._target_s * _INITIAL_SHARE_OF_TARGET
-        self._late_s = self.typical_s * 2
+        self._quantile_s = self.typical_s * 2
 
     def record(self, duration_s: float) -> None:
         """Record the duration of a successful answer."""
         bounded_s = min(duration_s, self.typical_s * 4)
         self.typical_s += (bounded_s - self.typical_s) * _TYPICAL_WEIGHT
-        if duration_s > self._late_s:
-            self._late_s *= 1 + _QUANTILE_STEP * _QUANTILE
+        if duration_s > self._quantile_s:
+            self._quantile_s *= 1 + _QUANTILE_STEP * _QUANTILE
         else:
-            self._late_s *= 1 - _QUANTILE_STEP * (1 - _QUANTILE)
+            self._quantile_s *= 1 - _QUANTILE_STEP * (1 - _QUANTILE)
 
     @property
     def latest_hedge_after_s(self) -> float:
@@ -50,5 +50,5 @@
     @property
     def hedge_after_s(self) -> float:
         """Age of an attempt at which to send a hedge."""
-        delay_s = max(self._late_s * _HEDGE_MARGIN_FACTOR, _MIN_HEDGE_DELAY_S)
+        delay_s = max(self._quantile_s * _HEDGE_MARGIN_FACTOR, _MIN_HEDGE_DELAY_S)
         return min(delay_s, self.latest_hedge_after_s)
--- a/packages/routing/src/kingcuplug_routing/_maintenance.py
+++ b/packages/routing/src/kingcuplug_routing/_maintenance.py
@@ -5,10 +5,12 @@
 
 from kingcuplug_routing._server import Server
 
-__all__ = ["forget", "prefer_zones"]
+__all__ = ["decay_latencies", "update_zone_factors"]
 
 
-def forget(servers: Collection[Server], mean_ms: float, elapsed_s: float) -> None:
+def decay_latencies(
+    servers: Collection[Server], mean_ms: float, elapsed_s: float
+) -> None:
     """Move the latency of unused slow servers towards the service's mean.
 
     A server that is avoided for its latency gives no new observation, so without the
@@ -20,7 +22,7 @@
             server.latency_ms = mean_ms + (server.latency_ms - mean_ms) * remaining
 
 
-def prefer_zones(servers: Collection[Server]) -> None:
+def update_zone_factors(servers: Collection[Server]) -> None:
     """Set each server's zone factor: below 1 unless its zone has the higher load."""
     loads: dict[str, list[float]] = {}
     for server in servers:
--- a/packages/routing/src/kingcuplug_routing/_partial_answer.py
+++ b/packages/routing/src/kingcuplug_routing/_partial_answer.py
@@ -65,21 +65,25 @@
         return min(self.target_at + target_s * _MAX_LATENESS_TARGETS, self.final_at)
 
     def ready(
-        self, included: int, open_parts: int, now: float, at_target: bool = False
+        self,
+        answered_shards: int,
+        pending_shards: int,
+        now: float,
+        at_target: bool = False,
     ) -> bool:
         """Return whether the query should be answered now.
 
         Parameters
         ----------
-        included : int
+        answered_shards : int
             Number of shards that have answered.
-        open_parts : int
+        pending_shards : int
             Number of shards that may still answer.
         at_target : bool
             Whether the target time has come.
         """
-        if open_parts == 0 or now >= self.final_at:
+        if pending_shards == 0 or now >= self.final_at:
             return True
-        if included < self.needed:
-            return included + open_parts < self.needed
+        if answered_shards < self.needed:
+            return answered_shards + pending_shards < self.needed
         return at_target or now >= self.late_at
--- a/packages/routing/src/kingcuplug_routing/_policy.py
+++ b/packages/routing/src/kingcuplug_routing/_policy.py
@@ -6,7 +6,11 @@
 from dataclasses import dataclass
 from math import inf
 
-from kingcuplug_routing._selection import Select, random_replica, two_choices
+from kingcuplug_routing._selection import (
+    ReplicaSelector,
+    power_of_two_choices,
+    random_replica,
+)
 
 __all__ = ["RoutingPolicy", "baseline_policy"]
 
@@ -64,7 +68,7 @@
         `bulk_wait_factor` times longer.
     """
 
-    select: Select = two_choices
+    select: ReplicaSelector = power_of_two_choices
     limited: bool = True
     hedge_budget: float = 0.05
     retry_budget: float = 0.1
--- a/packages/routing/src/kingcuplug_routing/_queueing.py
+++ b/packages/routing/src/kingcuplug_routing/_queueing.py
@@ -6,12 +6,12 @@
 from kingcuplug_routing._server import Server
 from kingcuplug_routing._ticket import Ticket
 
-__all__ = ["outpaced", "wake", "wake_all"]
+__all__ = ["waiting_is_faster", "wake", "wake_all"]
 
 _SLOWNESS_FACTOR = 1.5  # a slow server must not get work only because others are busy
 
 
-def outpaced(server: Server, replicas: Sequence[Server], now: float) -> bool:
+def waiting_is_faster(server: Server, replicas: Sequence[Server], now: float) -> bool:
     """Return whether waiting for a busy replica is expected to be faster.
 
     Waiting requests are served when a request in flight at a replica at its limit
--- a/packages/routing/src/kingcuplug_routing/_refusals.py
+++ b/packages/routing/src/kingcuplug_routing/_refusals.py
@@ -3,12 +3,12 @@
 from kingcuplug_common import Refusal, RefusalReason, not_run
 
 __all__ = [
-    "budget_spent",
-    "condemned",
+    "deadline_unreachable",
+    "fingerprint_quarantined",
     "no_replica",
     "overloaded",
     "replicas_excluded",
-    "too_late",
+    "retry_budget_exhausted",
 ]
 
 
@@ -30,7 +30,7 @@
     )
 
 
-def budget_spent(service: str) -> Refusal:
+def retry_budget_exhausted(service: str) -> Refusal:
     """Refuse a retry that would exceed the retry budget."""
     return not_run(
         RefusalReason.OVERLOADED,
@@ -39,7 +39,9 @@
     )
 
 
-def too_late(service: str, remaining_ms: float, needed_ms: float) -> Refusal:
+def deadline_unreachable(
+    service: str, remaining_ms: float, needed_ms: float
+) -> Refusal:
     """Refuse work that can no longer finish in time."""
     return not_run(
         RefusalReason.DEADLINE_EXCEEDED,
@@ -58,7 +60,7 @@
     )
 
 
-def condemned(fingerprint: str, remaining_ms: float) -> Refusal:
+def fingerprint_quarantined(fingerprint: str, remaining_ms: float) -> Refusal:
     """Refuse a request that crashed backend servers."""
     return not_run(
         RefusalReason.CRASHING_REQUEST,
--- a/packages/routing/src/kingcuplug_routing/_replica_scoring.py
+++ b/packages/routing/src/kingcuplug_routing/_replica_scoring.py
@@ -53,9 +53,9 @@
         Number of requests that the server runs concurrently.
     remote : bool
         Whether it is in another availability zone.
-    pace : float
+    latency_ratio : float
         Latency ratio: duration of its answers relative to the route's typical one.
-    errors : float
+    error_rate : float
         Recent share of failed attempts.
     paused_until : float
         Event loop time until which it counts as unreachable.
@@ -65,39 +65,39 @@
         Whether its heartbeats have stopped.
     shared_pace : float
         Latency ratio from the samples of all hosts; 1 unless the server is slow.
-    shared : dict
+    reported_ratios : dict
         Latency ratios that were reported for attempts that are still open.
     """
 
     slots: int
     remote: bool = False
-    pace: float = 1.0
-    pace_at: float = 0.0
-    errors: float = 0.0
-    errors_at: float = 0.0
-    failures_in_row: int = 0
+    latency_ratio: float = 1.0
+    latency_ratio_at: float = 0.0
+    error_rate: float = 0.0
+    error_rate_at: float = 0.0
+    consecutive_failures: int = 0
     paused_until: float = 0.0
     cold_until: float = 0.0
     silent: bool = False
     shared_pace: float = 1.0
-    samples: int = 0
-    samples_total: float = 0.0
-    open: dict[object, tuple[float, float]] = field(default_factory=dict)
-    shared: dict[object, float] = field(default_factory=dict)
+    sample_count: int = 0
+    sample_sum: float = 0.0
+    open_attempts: dict[object, tuple[float, float]] = field(default_factory=dict)
+    reported_ratios: dict[object, float] = field(default_factory=dict)
 
     def begin(self, attempt: object, now: float, typical_s: float) -> None:
         """Record that an attempt was sent."""
-        self.open[attempt] = (now, typical_s)
+        self.open_attempts[attempt] = (now, typical_s)
 
     def answer(self, attempt: object, now: float) -> float:
         """Record a successful answer and return its duration in seconds."""
-        started_at, typical_s = self.open.pop(attempt, (now, 0.0))
+        started_at, typical_s = self.open_attempts.pop(attempt, (now, 0.0))
         duration_s = now - started_at
         if typical_s > 0:
-            self._sample(attempt, duration_s / typical_s, now)
-        self.errors = self._errors(now) * (1 - _ERROR_WEIGHT)
-        self.errors_at = now
-        self.failures_in_row = 0
+            self._add_sample(attempt, duration_s / typical_s, now)
+        self.error_rate = self._current_error_rate(now) * (1 - _ERROR_WEIGHT)
+        self.error_rate_at = now
+        self.consecutive_failures = 0
         self.paused_until = 0.0
         return duration_s
 
@@ -106,16 +106,16 @@
 
         When a server becomes slow, its answers arrive too late to warn other hosts.
         """
-        started_at, typical_s = self.open.get(attempt, (now, 0.0))
-        if typical_s > 0 and attempt not in self.shared:
-            self._share(attempt, (now - started_at) / typical_s)
+        started_at, typical_s = self.open_attempts.get(attempt, (now, 0.0))
+        if typical_s > 0 and attempt not in self.reported_ratios:
+            self._report_ratio(attempt, (now - started_at) / typical_s)
 
     def reject(self, attempt: object, now: float) -> None:
         """Record that the server, running but busy, shed an attempt."""
-        self.open.pop(attempt, None)
-        self.shared.pop(attempt, None)
-        self.pace = min(self._own_pace(now) + 1.0, _RATIO_RANGE[1])
-        self.pace_at = now
+        self.open_attempts.pop(attempt, None)
+        self.reported_ratios.pop(attempt, None)
+        self.latency_ratio = min(self._own_ratio(now) + 1.0, _RATIO_RANGE[1])
+        self.latency_ratio_at = now
 
     def fail(self, attempt: object, now: float, unreachable: bool) -> None:
         """Record a failure.
@@ -126,83 +126,87 @@
             Whether no connection could be made, so that every other attempt would fail
             too.
         """
-        self.open.pop(attempt, None)
-        self._share(attempt, _RATIO_RANGE[1])
-        self.shared.pop(attempt, None)
-        self.errors = self._errors(now) * (1 - _ERROR_WEIGHT) + _ERROR_WEIGHT
-        self.errors_at = now
+        self.open_attempts.pop(attempt, None)
+        self._report_ratio(attempt, _RATIO_RANGE[1])
+        self.reported_ratios.pop(attempt, None)
+        self.error_rate = (
+            self._current_error_rate(now) * (1 - _ERROR_WEIGHT) + _ERROR_WEIGHT
+        )
+        self.error_rate_at = now
         if unreachable:
             unreachable_s = min(
-                _FIRST_UNREACHABLE_S * 2**self.failures_in_row, _MAX_UNREACHABLE_S
+                _FIRST_UNREACHABLE_S * 2**self.consecutive_failures, _MAX_UNREACHABLE_S
             )
-            self.failures_in_row += 1
+            self.consecutive_failures += 1
             self.paused_until = max(self.paused_until, now + unreachable_s)
 
     def forget(self, attempt: object, now: float) -> None:
         """Record that an attempt was abandoned, with its age as a sample."""
-        started_at, typical_s = self.open.pop(attempt, (now, 0.0))
-        if typical_s > 0 and now - started_at > typical_s * self._pace(now):
-            self._sample(attempt, (now - started_at) / typical_s, now)
-        self.shared.pop(attempt, None)
+        started_at, typical_s = self.open_attempts.pop(attempt, (now, 0.0))
+        if typical_s > 0 and now - started_at > typical_s * self._current_ratio(now):
+            self._add_sample(attempt, (now - started_at) / typical_s, now)
+        self.reported_ratios.pop(attempt, None)
 
     def take_samples(self) -> tuple[int, float]:
         """Return and reset the number and sum of the samples since the last call."""
-        drained = (self.samples, self.samples_total)
-        self.samples, self.samples_total = 0, 0.0
+        drained = (self.sample_count, self.sample_sum)
+        self.sample_count, self.sample_sum = 0, 0.0
         return drained
 
     def expected_s(self, now: float, typical_s: float) -> float:
         """Return the expected latency of an answer, with penalties."""
-        ratio = self._pace(now)
+        ratio = self._current_ratio(now)
         if now < self.cold_until:
             ratio *= _COLD_START_FACTOR
-        expected_s = typical_s * ratio * (1 + len(self.open) / self.slots)
+        expected_s = typical_s * ratio * (1 + len(self.open_attempts) / self.slots)
         if self.remote:
             expected_s = expected_s * _REMOTE_FACTOR + _REMOTE_ROUND_TRIP_S
-        expected_s += self._stalled_s(now, ratio)
-        expected_s += self._errors(now) * _ERROR_COST_S
+        expected_s += self._overdue_s(now, ratio)
+        expected_s += self._current_error_rate(now) * _ERROR_COST_S
         if now < self.paused_until:
             expected_s += _UNREACHABLE_COST_S
         if self.silent:
             expected_s += _NO_HEARTBEAT_COST_S
         return expected_s
 
-    def _sample(self, attempt: object, ratio: float, now: float) -> None:
+    def _add_sample(self, attempt: object, ratio: float, now: float) -> None:
         sample = min(max(ratio, _RATIO_RANGE[0]), _RATIO_RANGE[1])
-        self.pace = self._own_pace(now) * (1 - _RATIO_WEIGHT) + sample * _RATIO_WEIGHT
-        self.pace_at = now
-        self._share(attempt, ratio)
-        self.shared.pop(attempt, None)
-
-    def _share(self, attempt: object, ratio: float) -> None:
+        self.latency_ratio = (
+            self._own_ratio(now) * (1 - _RATIO_WEIGHT) + sample * _RATIO_WEIGHT
+        )
+        self.latency_ratio_at = now
+        self._report_ratio(attempt, ratio)
+        self.reported_ratios.pop(attempt, None)
+
+    def _report_ratio(self, attempt: object, ratio: float) -> None:
         """Add the sample of an attempt, or only its growth if one was added before."""
         sample = min(max(ratio, _RATIO_RANGE[0]), _RATIO_RANGE[1])
-        previous = self.shared.get(attempt)
-        self.samples += previous is None
-        self.samples_total += sample - (previous or 0.0)
-        self.shared[attempt] = sample
+        previous = self.reported_ratios.get(attempt)
+        self.sample_count += previous is None
+        self.sample_sum += sample - (previous or 0.0)
+        self.reported_ratios[attempt] = sample
 
-    def _pace(self, now: float) -> float:
-        return max(self._own_pace(now), self.shared_pace)
+    def _current_ratio(self, now: float) -> float:
+        return max(self._own_ratio(now), self.shared_pace)
 
-    def _own_pace(self, now: float) -> float:
-        return 1 + (self.pace - 1) * _decay(now - self.pace_at)
+    def _own_ratio(self, now: float) -> float:
+        return 1 + (self.latency_ratio - 1) * _decay_factor(now - self.latency_ratio_at)
 
-    def _errors(self, now: float) -> float:
-        return self.errors * _decay(now - self.errors_at)
+    def _current_error_rate(self, now: float) -> float:
+        return self.error_rate * _decay_factor(now - self.error_rate_at)
 
-    def _stalled_s(self, now: float, ratio: float) -> float:
+    def _overdue_s(self, now: float, ratio: float) -> float:
         """Return the age of the oldest open attempt if it is overdue, else 0."""
-        if not self.open:
+        if not self.open_attempts:
             return 0.0
-        started_at, typical_s = next(iter(self.open.values()))
+        started_at, typical_s = next(iter(self.open_attempts.values()))
         age_s = now - started_at
         if age_s < max(_STALL_FACTOR * typical_s * ratio, _MIN_STALL_S):
             return 0.0
         return age_s
 
 
-def _decay(age_s: float) -> float:
+def _decay_factor(age_s: float) -> float:
     return math.exp2(-age_s / _ESTIMATE_HALF_LIFE_S)
 
 
--- a/packages/routing/src/kingcuplug_routing/_replica_table.py
+++ b/packages/routing/src/kingcuplug_routing/_replica_table.py
@@ -9,14 +9,14 @@
 from kingcuplug_routing._server import Server
 from kingcuplug_routing._types import HoldingView, SnapshotView
 
-__all__ = ["ReplicaTable", "most_ejected"]
+__all__ = ["ReplicaTable", "max_ejected"]
 
 Replicas = list[tuple[Server, ...]]
 
 
-def most_ejected(replicas: int) -> int:
+def max_ejected(replica_count: int) -> int:
     """Return how many of a shard's replicas may be ejected at once."""
-    return min(max(1, replicas // 3), replicas - 1)
+    return min(max(1, replica_count // 3), replica_count - 1)
 
 
 class ReplicaTable:
@@ -72,5 +72,5 @@
     if not ejected:
         return replicas
     ejected.sort(key=lambda each: each.ejected_until, reverse=True)
-    removed = ejected[: most_ejected(len(replicas))]
+    removed = ejected[: max_ejected(len(replicas))]
     return tuple(each for each in replicas if each not in removed)
--- a/packages/routing/src/kingcuplug_routing/_retry_budget.py
+++ b/packages/routing/src/kingcuplug_routing/_retry_budget.py
@@ -119,26 +119,28 @@
         self._share = share
         self._rounding = random.random()
         self._requests = WindowCount(settings.window_s)
-        self._extra = WindowCount(settings.window_s)
+        self._extra_attempts = WindowCount(settings.window_s)
 
     def request(self, now: float) -> None:
         """Count a request for the service."""
         self._requests.add(now)
 
-    def take(self, now: float, part: float, hedge: bool) -> bool:
+    def take(self, now: float, fixed_share: float, hedge: bool) -> bool:
         """Return whether one more attempt may be sent, and count it if so.
 
         Parameters
         ----------
-        part : float
+        fixed_share : float
             This host's share of the constant number, see `host_share`.
         hedge : bool
             Whether the attempt is a hedge, which replaces no failed attempt.
         """
         settings = self._settings
-        allowed = self._requests.total(now) * settings.ratio + settings.fixed * part
+        allowed = (
+            self._requests.total(now) * settings.ratio + settings.fixed * fixed_share
+        )
         allowed *= self._share * _SAFETY_FACTOR * (_HEDGE_SHARE if hedge else 1.0)
-        if self._extra.total(now) + 1 > allowed + self._rounding:
+        if self._extra_attempts.total(now) + 1 > allowed + self._rounding:
             return False
-        self._extra.add(now)
+        self._extra_attempts.add(now)
         return True
--- a/packages/routing/src/kingcuplug_routing/_router.py
+++ b/packages/routing/src/kingcuplug_routing/_router.py
@@ -7,17 +7,17 @@
 
 from kingcuplug_routing._fleet import Fleet
 from kingcuplug_routing._policy import RoutingPolicy
-from kingcuplug_routing._queueing import outpaced, wake, wake_all
+from kingcuplug_routing._queueing import waiting_is_faster, wake, wake_all
 from kingcuplug_routing._refusals import (
-    budget_spent,
+    deadline_unreachable,
     no_replica,
     replicas_excluded,
-    too_late,
+    retry_budget_exhausted,
 )
 from kingcuplug_routing._server import Server
 from kingcuplug_routing._statistics import ServiceStatistics
 from kingcuplug_routing._ticket import Ticket
-from kingcuplug_routing._token_bucket import Budget
+from kingcuplug_routing._token_bucket import TokenBucket
 from kingcuplug_routing._types import (
     Attempt,
     AttemptOutcome,
@@ -58,8 +58,8 @@
         self.statistics = ServiceStatistics(policy)
         self._random = random
         self._fleet = Fleet(policy)
-        self._hedges = Budget(policy.hedge_budget, policy.budget_burst, 1.0)
-        self._retries = Budget(
+        self._hedge_budget = TokenBucket(policy.hedge_budget, policy.budget_burst, 1.0)
+        self._retry_budget = TokenBucket(
             policy.retry_budget,
             policy.budget_burst,
             policy.budget_burst,
@@ -82,15 +82,17 @@
         wake_all(self._fleet.update(servers, live_entry_hosts, mean_ms, _now()))
         # When a zone is lost, all its attempts fail at once and each can be retried at
         # a live replica, so the budget must allow one retry per request in flight.
-        self._retries.widen(sum(each.cap for each in self._fleet.servers()))
+        self._retry_budget.raise_capacity(
+            sum(each.max_limit for each in self._fleet.servers())
+        )
 
     def snapshots(self) -> list[SnapshotView]:
         """Return the served snapshots, newest first."""
         return self._fleet.table.snapshots()
 
-    def slots(self) -> float:
+    def slot_share(self) -> float:
         """Return this entry host's even share of the service's slots."""
-        return self._fleet.slots()
+        return self._fleet.slot_share()
 
     # Choice
 
@@ -114,16 +116,16 @@
             The entry host's availability zone.
         """
         if attempt is Attempt.FIRST:
-            ticket = self._take(snapshot, shard, exclude, zone)
+            ticket = self._try_reserve(snapshot, shard, exclude, zone)
             if ticket is not None:
-                self._earn()
+                self._add_budget_tokens()
             return ticket
-        budget = self._budget(attempt)
-        if not budget.available():
+        budget = self._budget_of(attempt)
+        if not budget.has_token():
             return None
-        ticket = self._take(snapshot, shard, exclude, zone)
+        ticket = self._try_reserve(snapshot, shard, exclude, zone)
         if ticket is not None:
-            budget.spend()
+            budget.try_acquire()
         return ticket
 
     async def acquire(
@@ -149,23 +151,23 @@
             Always ``NOT_RUN``: no replica, no budget, or the attempt can no longer
             finish before the deadline.
         """
-        budget = None if attempt is Attempt.FIRST else self._budget(attempt)
-        if budget is not None and not budget.spend():
-            raise budget_spent(self.service)
+        budget = None if attempt is Attempt.FIRST else self._budget_of(attempt)
+        if budget is not None and not budget.try_acquire():
+            raise retry_budget_exhausted(self.service)
         ticket = None
         try:
             while ticket is None:
-                self._check(snapshot, shard, exclude, priority, deadline)
-                ticket = self._take(snapshot, shard, exclude, zone)
+                self._check_servable(snapshot, shard, exclude, priority, deadline)
+                ticket = self._try_reserve(snapshot, shard, exclude, zone)
                 if ticket is None:
                     ticket = await self._wait(
                         snapshot, shard, exclude, priority, deadline
                     )
         finally:
             if ticket is None and budget is not None:
-                budget.credit()
+                budget.add_tokens()
         if budget is None:
-            self._earn()
+            self._add_budget_tokens()
         return ticket
 
     def hedge_delay_ms(self, shard: int) -> float | None:
@@ -176,20 +178,20 @@
 
     def may_hedge(self) -> bool:
         """Return whether the hedge budget has a token; `choose` takes it."""
-        return self._hedges.available()
+        return self._hedge_budget.has_token()
 
     def may_retry(self) -> bool:
         """Return whether the retry budget has a token; `choose` takes it."""
-        return self._retries.available()
+        return self._retry_budget.has_token()
 
     # Internals: choice
 
-    def _take(
+    def _try_reserve(
         self, snapshot: int, shard: int, exclude: Set[str], zone: str
     ) -> Ticket | None:
         now = _now()
-        if now >= self._fleet.upkeep_at:
-            self._upkeep(now)
+        if now >= self._fleet.maintenance_at:
+            self._run_maintenance(now)
         replicas = self._fleet.replicas(snapshot, shard, exclude)
         candidates = [
             each
@@ -198,62 +200,62 @@
         ]
         if not candidates:
             return None
-        if now < self._fleet.ramping_until:
-            candidates = self._ramped(candidates, now)
+        if now < self._fleet.slow_start_until:
+            candidates = self._apply_slow_start(candidates, now)
         index = 0
         if len(candidates) > 1:
             index = self.policy.select(candidates, zone, self._random)
         chosen = candidates[index]
-        if len(candidates) < len(replicas) and outpaced(chosen, replicas, now):
+        if len(candidates) < len(replicas) and waiting_is_faster(chosen, replicas, now):
             return None
         return self._reserve(chosen, snapshot, shard, now)
 
-    def _ramped(self, candidates: list[Server], now: float) -> list[Server]:
+    def _apply_slow_start(self, candidates: list[Server], now: float) -> list[Server]:
         duration = self.policy.slow_start_s
         eligible = [
             each
             for each in candidates
-            if self._random.random() * duration >= each.ramp_end - now
+            if self._random.random() * duration >= each.slow_start_end - now
         ]
         return eligible or candidates
 
-    def _upkeep(self, now: float) -> None:
-        if self._fleet.upkeep(self.statistics.mean_ms, now):
+    def _run_maintenance(self, now: float) -> None:
+        if self._fleet.run_maintenance(self.statistics.mean_ms, now):
             wake_all(self._fleet.servers())
 
     def _reserve(self, server: Server, snapshot: int, shard: int, now: float) -> Ticket:
         server.in_flight += 1
-        return Ticket(server, snapshot, shard, now, self._finished)
+        return Ticket(server, snapshot, shard, now, self._record_outcome)
 
-    def _budget(self, attempt: Attempt) -> Budget:
-        return self._hedges if attempt is Attempt.HEDGE else self._retries
+    def _budget_of(self, attempt: Attempt) -> TokenBucket:
+        return self._hedge_budget if attempt is Attempt.HEDGE else self._retry_budget
 
-    def _earn(self) -> None:
-        self._hedges.earn()
-        self._retries.earn()
+    def _add_budget_tokens(self) -> None:
+        self._hedge_budget.add_for_request()
+        self._retry_budget.add_for_request()
 
     # Internals: feedback
 
-    def _finished(
+    def _record_outcome(
         self, ticket: Ticket, server: Server, outcome: AttemptOutcome, latency_ms: float
     ) -> None:
         now = _now()
         server.in_flight -= 1
-        server.observe(outcome, latency_ms, now, self._random)
+        server.record_outcome(outcome, latency_ms, now, self._random)
         self.statistics.record(ticket.shard, outcome, latency_ms)
         if outcome is AttemptOutcome.SHED:
-            self._retries.credit(_SHED_REFUND_TOKENS)
+            self._retry_budget.add_tokens(_SHED_REFUND_TOKENS)
         if outcome is AttemptOutcome.SNAPSHOT_GONE:
-            self._fleet.lose_holding(server, ticket.snapshot, now)
+            self._fleet.exclude_holding(server, ticket.snapshot, now)
             wake_all(self._fleet.servers())
-        elif server.failures and self._fleet.eject(server, now):
+        elif server.consecutive_failures and self._fleet.eject_if_failing(server, now):
             wake_all(self._fleet.servers())
-        if server.waiting.entries:
-            self._serve(server)
+        if server.waiting.entry_count:
+            self._grant_waiting(server)
 
     # Internals: waiting
 
-    def _check(
+    def _check_servable(
         self,
         snapshot: int,
         shard: int,
@@ -272,8 +274,8 @@
         needed_ms = self.statistics.median_ms(shard)
         needed_ms += min(each.expected_wait_ms(priority) for each in replicas)
         if needed_ms + _TIMER_TOLERANCE_S * 1_000 >= remaining_ms:
-            self.statistics.doubt(shard)
-            raise too_late(self.service, remaining_ms, needed_ms)
+            self.statistics.lower_mean(shard)
+            raise deadline_unreachable(self.service, remaining_ms, needed_ms)
 
     async def _wait(
         self,
@@ -297,7 +299,7 @@
         for server in replicas:
             server.waiting.push(waiter)
             if server.back_off_until > loop.time():
-                self._arm(server, loop)
+                self._arm_back_off_timer(server, loop)
         timer = None
         if deadline < inf:
             latest = deadline - self.statistics.median_ms(shard) / 1_000
@@ -305,41 +307,45 @@
         try:
             return await future
         except asyncio.CancelledError:
-            self._give_back(future)
+            self._release_granted(future)
             raise
         finally:
             future.cancel()
             if timer is not None:
                 timer.cancel()
 
-    def _give_back(self, future: asyncio.Future[Ticket | None]) -> None:
+    def _release_granted(self, future: asyncio.Future[Ticket | None]) -> None:
         """Release a ticket granted to a task that was cancelled at the same time."""
         if future.done() and not future.cancelled():
             ticket = future.result()
             if ticket is not None:
                 ticket.finish(AttemptOutcome.CANCELLED, 0.0)
 
-    def _serve(self, server: Server) -> None:
+    def _grant_waiting(self, server: Server) -> None:
         """Grant the free capacity of a server to the requests waiting for it."""
         now = _now()
         if server.back_off_until > now + _TIMER_TOLERANCE_S:
-            self._arm(server, asyncio.get_running_loop())
+            self._arm_back_off_timer(server, asyncio.get_running_loop())
             return
         while server.in_flight + 1 <= server.limit:
             waiter = server.waiting.peek()
-            if waiter is None or outpaced(server, waiter.replicas, now):
+            if waiter is None or waiting_is_faster(server, waiter.replicas, now):
                 return
             server.waiting.pop()
             ticket = self._reserve(server, waiter.snapshot, waiter.shard, now)
             waiter.future.set_result(ticket)
 
-    def _arm(self, server: Server, loop: asyncio.AbstractEventLoop) -> None:
-        if server.timer is None:
-            server.timer = loop.call_at(server.back_off_until, self._retry, server)
-
-    def _retry(self, server: Server) -> None:
-        server.timer = None
-        self._serve(server)
+    def _arm_back_off_timer(
+        self, server: Server, loop: asyncio.AbstractEventLoop
+    ) -> None:
+        if server.back_off_timer is None:
+            server.back_off_timer = loop.call_at(
+                server.back_off_until, self._end_back_off, server
+            )
+
+    def _end_back_off(self, server: Server) -> None:
+        server.back_off_timer = None
+        self._grant_waiting(server)
 
 
 def _now() -> float:
--- a/packages/routing/src/kingcuplug_routing/_selection.py
+++ b/packages/routing/src/kingcuplug_routing/_selection.py
@@ -9,11 +9,11 @@
 
 __all__ = [
     "Candidate",
-    "Select",
+    "ReplicaSelector",
     "least_expected_time",
     "least_in_flight",
+    "power_of_two_choices",
     "random_replica",
-    "two_choices",
 ]
 
 
@@ -27,17 +27,19 @@
     reported_load: float
 
 
-Select = Callable[[Sequence[Candidate], str, Random], int]
+ReplicaSelector = Callable[[Sequence[Candidate], str, Random], int]
 
 
-def two_choices(candidates: Sequence[Candidate], zone: str, random: Random) -> int:
+def power_of_two_choices(
+    candidates: Sequence[Candidate], zone: str, random: Random
+) -> int:
     """Return the one of two random candidates with the lower expected latency."""
     count = len(candidates)
     first = int(random.random() * count)
     second = int(random.random() * (count - 1))
     if second >= first:
         second += 1
-    return _quicker(candidates, first, second, zone)
+    return _faster(candidates, first, second, zone)
 
 
 def least_expected_time(
@@ -47,7 +49,7 @@
     best = int(random.random() * len(candidates))
     for other in range(len(candidates)):
         if other != best:
-            best = _quicker(candidates, best, other, zone)
+            best = _faster(candidates, best, other, zone)
     return best
 
 
@@ -63,7 +65,7 @@
     return int(random.random() * len(candidates))
 
 
-def _quicker(
+def _faster(
     candidates: Sequence[Candidate], first_index: int, second_index: int, zone: str
 ) -> int:
     first, second = candidates[first_index], candidates[second_index]
--- a/packages/routing/src/kingcuplug_routing/_server.py
+++ b/packages/routing/src/kingcuplug_routing/_server.py
@@ -44,23 +44,23 @@
 
     __slots__ = (
         "address",
+        "back_off_timer",
         "back_off_until",
-        "cap",
+        "consecutive_failures",
+        "consecutive_sheds",
         "ejected_until",
-        "ejections",
-        "failures",
+        "ejection_count",
         "in_flight",
         "incarnation",
         "latency_ms",
         "limit",
+        "max_limit",
         "policy",
-        "ramp_end",
         "reported_load",
-        "samples",
+        "sample_count",
         "server",
-        "sheds",
         "slots",
-        "timer",
+        "slow_start_end",
         "waiting",
         "zone",
         "zone_factor",
@@ -74,18 +74,18 @@
         self.incarnation = view.incarnation
         self.in_flight = 0
         self.latency_ms = latency_ms
-        self.samples = 0
-        self.failures = 0
-        self.sheds = 0
+        self.sample_count = 0
+        self.consecutive_failures = 0
+        self.consecutive_sheds = 0
         self.back_off_until = 0.0
         self.ejected_until = 0.0
-        self.ejections = 0
-        self.ramp_end = now + policy.slow_start_s
+        self.ejection_count = 0
+        self.slow_start_end = now + policy.slow_start_s
         self.zone_factor = 1.0
         self.waiting = WaitingQueue(policy.turn_after)
-        self.timer: asyncio.TimerHandle | None = None
+        self.back_off_timer: asyncio.TimerHandle | None = None
         self.limit = 1.0 if policy.limited else inf
-        self.cap = inf
+        self.max_limit = inf
 
     def refresh(self, view: ServerView, live_entry_hosts: int) -> None:
         """Update from the directory's entry of the same incarnation."""
@@ -95,46 +95,48 @@
         self.reported_load = view.reported_load
         if self.policy.limited:
             connections = view.connections // max(1, live_entry_hosts)
-            self.cap = float(max(1, min(view.slots, connections)))
-            self.limit = min(self.limit, self.cap)
+            self.max_limit = float(max(1, min(view.slots, connections)))
+            self.limit = min(self.limit, self.max_limit)
 
-    def observe(
+    def record_outcome(
         self, outcome: AttemptOutcome, latency_ms: float, now: float, random: Random
     ) -> None:
         """Record one finished attempt, which no longer counts as in flight."""
         if outcome is AttemptOutcome.OK:
-            self._succeed(latency_ms)
+            self._record_answer(latency_ms)
         elif outcome is AttemptOutcome.SHED:
-            self._shed(now, random)
+            self._record_shed(now, random)
         elif outcome in _FAILURE_OUTCOMES:
-            self._fail(outcome, latency_ms, now, random)
+            self._record_failure(outcome, latency_ms, now, random)
         elif outcome is AttemptOutcome.CANCELLED and latency_ms > self.latency_ms:
             # The true latency is greater than the time until the cancellation.
-            self._sample(latency_ms * CENSORED_LATENCY_FACTOR)
+            self._record_latency(latency_ms * CENSORED_LATENCY_FACTOR)
 
-    def _succeed(self, latency_ms: float) -> None:
-        self._sample(latency_ms)
-        self.failures = 0
-        self.sheds = 0
-        if self.in_flight + 2 > self.limit and self.limit < self.cap:
-            self.limit = min(self.cap, self.limit + _LIMIT_INCREASE)
+    def _record_answer(self, latency_ms: float) -> None:
+        self._record_latency(latency_ms)
+        self.consecutive_failures = 0
+        self.consecutive_sheds = 0
+        if self.in_flight + 2 > self.limit and self.limit < self.max_limit:
+            self.limit = min(self.max_limit, self.limit + _LIMIT_INCREASE)
 
-    def _shed(self, now: float, random: Random) -> None:
+    def _record_shed(self, now: float, random: Random) -> None:
         self.limit = max(1.0, self.limit * _LIMIT_DECREASE)
-        doubled = self.latency_ms / 1_000 * 2.0 ** min(self.sheds, _MAX_DOUBLINGS)
-        self.sheds += 1
+        doubled = (
+            self.latency_ms / 1_000 * 2.0 ** min(self.consecutive_sheds, _MAX_DOUBLINGS)
+        )
+        self.consecutive_sheds += 1
         self._back_off(doubled / self.slots, now, random)
 
-    def _fail(
+    def _record_failure(
         self, outcome: AttemptOutcome, latency_ms: float, now: float, random: Random
     ) -> None:
         self.limit = max(1.0, self.limit * _LIMIT_DECREASE)
         if latency_ms > self.latency_ms:
-            self._sample(latency_ms)
+            self._record_latency(latency_ms)
         doubled = _CONNECTION_LOST_BACK_OFF_S * 2.0 ** min(
-            self.failures, _MAX_DOUBLINGS
+            self.consecutive_failures, _MAX_DOUBLINGS
         )
-        self.failures += 1
+        self.consecutive_failures += 1
         if outcome is AttemptOutcome.CONNECTION_LOST:
             self._back_off(doubled, now, random)
 
@@ -144,22 +146,27 @@
         max_back_off_s = self.policy.back_off_longest_s
         self.back_off_until = now + min(max_back_off_s, duration_s)
 
-    def _sample(self, latency_ms: float) -> None:
-        self.samples += 1
+    def _record_latency(self, latency_ms: float) -> None:
+        self.sample_count += 1
         # The first samples form a plain mean, which drops the assumed latency.
-        weight = max(self.policy.latency_weight, 1.0 / self.samples)
+        weight = max(self.policy.latency_weight, 1.0 / self.sample_count)
         self.latency_ms += weight * (latency_ms - self.latency_ms)
 
     def expected_wait_ms(self, priority: Priority) -> float:
         """Return the expected wait of a new request for capacity."""
         if self.in_flight + 1 <= self.limit:
             return 0.0
-        ahead = self.waiting.ahead(priority) if self.waiting.entries else 0.0
+        ahead = self.waiting.cost_ahead(priority) if self.waiting.entry_count else 0.0
         return (ahead + 1) * self.latency_ms / self.limit
 
-    def eject_for(self, now: float) -> float | None:
+    def ejection_duration_s(self, now: float) -> float | None:
         """Return the duration for which to eject the server, or None."""
-        if self.failures < self.policy.ejection_failures or now < self.ejected_until:
+        if (
+            self.consecutive_failures < self.policy.ejection_failures
+            or now < self.ejected_until
+        ):
             return None
-        doubled = self.policy.ejection_s * 2.0 ** min(self.ejections, _MAX_DOUBLINGS)
+        doubled = self.policy.ejection_s * 2.0 ** min(
+            self.ejection_count, _MAX_DOUBLINGS
+        )
         return float(min(self.policy.ejection_longest_s, doubled))
--- a/packages/routing/src/kingcuplug_routing/_slow_servers.py
+++ b/packages/routing/src/kingcuplug_routing/_slow_servers.py
@@ -28,31 +28,31 @@
 
 
 @dataclass(slots=True)
-class _Mean:
+class _DecayingMean:
     weight: float
-    total: float
-    at: float
+    weighted_sum: float
+    updated_at: float
 
     def decay(self, now: float) -> None:
-        factor = math.exp2(-max(0.0, now - self.at) / _HALF_LIFE_S)
+        factor = math.exp2(-max(0.0, now - self.updated_at) / _HALF_LIFE_S)
         self.weight *= factor
-        self.total *= factor
-        self.at = now
+        self.weighted_sum *= factor
+        self.updated_at = now
 
 
 class PaceBoard:
     """Exponentially decaying means of all hosts' latency ratios by server."""
 
     def __init__(self) -> None:
-        self._means: dict[str, _Mean] = {}
+        self._means: dict[str, _DecayingMean] = {}
 
     def add(self, samples: Samples, now: float) -> None:
         """Add the samples that a host has reported."""
         for server, (count, ratio_sum) in samples.items():
-            mean = self._means.setdefault(server, _Mean(0.0, 0.0, now))
+            mean = self._means.setdefault(server, _DecayingMean(0.0, 0.0, now))
             mean.decay(now)
             mean.weight += count
-            mean.total += ratio_sum
+            mean.weighted_sum += ratio_sum
 
     def slow(self, now: float) -> dict[str, float]:
         """Return the latency ratios of the slow servers, rounded to steps."""
@@ -62,7 +62,7 @@
             if mean.weight < _MIN_KEPT_WEIGHT:
                 del self._means[server]
                 continue
-            ratio = mean.total / mean.weight
+            ratio = mean.weighted_sum / mean.weight
             # A slow server gets no requests, so it stays slow until its samples have
             # decayed below the minimum weight.
             if mean.weight >= _MIN_WEIGHT and ratio >= _SLOW_RATIO:
--- a/packages/routing/src/kingcuplug_routing/_statistics.py
+++ b/packages/routing/src/kingcuplug_routing/_statistics.py
@@ -21,10 +21,10 @@
 
     Attributes
     ----------
-    busy_ms : float
+    mean_occupancy_ms : float
         Mean time for which an attempt occupies its server, whatever its outcome; 0
         before the first attempt.
-    occupied_ms : float
+    total_occupancy_ms : float
         Sum of these times.
     answered, answered_ms : int, float
         Number of answers and the sum of their latencies.
@@ -35,18 +35,18 @@
         "_shard_ms",
         "answered",
         "answered_ms",
-        "busy_ms",
         "finished",
         "mean_ms",
-        "occupied_ms",
+        "mean_occupancy_ms",
         "shed",
+        "total_occupancy_ms",
     )
 
     def __init__(self, policy: RoutingPolicy) -> None:
         self._ratios = LatencyDistribution(policy.hedge_quantile)
         self._shard_ms: dict[int, float] = {}
-        self.busy_ms = 0.0
-        self.occupied_ms = 0.0
+        self.mean_occupancy_ms = 0.0
+        self.total_occupancy_ms = 0.0
         self.mean_ms = 1.0
         self.answered = 0
         self.answered_ms = 0.0
@@ -56,13 +56,13 @@
     def record(self, shard: int, outcome: AttemptOutcome, latency_ms: float) -> None:
         """Record one finished attempt."""
         self.finished += 1
-        self.occupied_ms += latency_ms
+        self.total_occupancy_ms += latency_ms
         finished = self.finished
         # The first observations form a plain mean.
         weight = _OCCUPANCY_WEIGHT if finished > _PLAIN_MEAN_COUNT else 1.0 / finished
-        self.busy_ms += weight * (latency_ms - self.busy_ms)
+        self.mean_occupancy_ms += weight * (latency_ms - self.mean_occupancy_ms)
         if outcome is AttemptOutcome.OK:
-            self._answer(shard, latency_ms)
+            self._record_answer(shard, latency_ms)
         elif outcome is AttemptOutcome.SHED:
             self.shed += 1
         elif outcome is AttemptOutcome.CANCELLED:
@@ -81,7 +81,7 @@
         """Return the approximate median latency of a shard, or 0 if it is unknown."""
         return _MEDIAN_SHARE_OF_MEAN * self._shard_ms.get(shard, 0.0)
 
-    def doubt(self, shard: int) -> None:
+    def lower_mean(self, shard: int) -> None:
         """Lower a mean that led to a refusal.
 
         Otherwise a mean that once exceeds all deadlines would lead to the refusal of
@@ -90,7 +90,7 @@
         if shard in self._shard_ms:
             self._shard_ms[shard] *= _REFUSAL_DECAY
 
-    def _answer(self, shard: int, latency_ms: float) -> None:
+    def _record_answer(self, shard: int, latency_ms: float) -> None:
         mean_ms = self._shard_ms.get(shard)
         if mean_ms is None or mean_ms <= 0:
             mean_ms = latency_ms
--- a/packages/routing/src/kingcuplug_routing/_ticket.py
+++ b/packages/routing/src/kingcuplug_routing/_ticket.py
@@ -22,8 +22,8 @@
     """
 
     __slots__ = (
-        "_chosen",
-        "_finished",
+        "_on_finish",
+        "_reserved_server",
         "address",
         "availability_zone",
         "incarnation",
@@ -41,8 +41,8 @@
         started: float,
         on_finish: Callable[["Ticket", Server, AttemptOutcome, float], None],
     ) -> None:
-        self._chosen: Server | None = server
-        self._finished = on_finish
+        self._reserved_server: Server | None = server
+        self._on_finish = on_finish
         self.server = server.server
         self.address = server.address
         self.availability_zone = server.zone
@@ -61,7 +61,7 @@
         latency_ms : float
             Time from sending to the end of the attempt, also without an answer.
         """
-        server = self._chosen
+        server = self._reserved_server
         if server is not None:
-            self._chosen = None
-            self._finished(self, server, outcome, latency_ms)
+            self._reserved_server = None
+            self._on_finish(self, server, outcome, latency_ms)
--- a/packages/routing/src/kingcuplug_routing/_token_bucket.py
+++ b/packages/routing/src/kingcuplug_routing/_token_bucket.py
@@ -9,65 +9,75 @@
 
 import asyncio
 
-__all__ = ["Budget"]
+__all__ = ["TokenBucket"]
 
 
-class Budget:
+class TokenBucket:
     """Limit on extra sub-requests as a fraction of the first ones.
 
     Parameters
     ----------
-    share : float
+    tokens_per_request : float
         Tokens added per first sub-request.
-    burst : float
+    capacity : float
         Greatest number of tokens.
-    start : float
+    initial_tokens : float
         Initial number of tokens.
-    floor_per_s : float
+    min_refill_per_s : float
         Tokens added per second whatever the traffic, unless the fraction is 0.
     """
 
-    __slots__ = ("_burst", "_filled_at", "_floor_per_s", "_share", "tokens")
+    __slots__ = (
+        "_capacity",
+        "_min_refill_per_s",
+        "_refilled_at",
+        "_tokens_per_request",
+        "tokens",
+    )
 
     def __init__(
-        self, share: float, burst: float, start: float, floor_per_s: float = 0.0
+        self,
+        tokens_per_request: float,
+        capacity: float,
+        initial_tokens: float,
+        min_refill_per_s: float = 0.0,
     ) -> None:
-        self._share = share
-        self._burst = burst
-        self._floor_per_s = floor_per_s if share > 0 else 0.0
-        self._filled_at: float | None = None
-        self.tokens = start if share > 0 else 0.0
+        self._tokens_per_request = tokens_per_request
+        self._capacity = capacity
+        self._min_refill_per_s = min_refill_per_s if tokens_per_request > 0 else 0.0
+        self._refilled_at: float | None = None
+        self.tokens = initial_tokens if tokens_per_request > 0 else 0.0
 
-    def widen(self, burst: float) -> None:
+    def raise_capacity(self, capacity: float) -> None:
         """Raise the capacity and add as many tokens."""
-        if burst > self._burst:
-            self.tokens += burst - self._burst
-            self._burst = burst
+        if capacity > self._capacity:
+            self.tokens += capacity - self._capacity
+            self._capacity = capacity
 
-    def earn(self) -> None:
+    def add_for_request(self) -> None:
         """Add the fraction of a token for one first sub-request."""
-        tokens = self.tokens + self._share
-        self.tokens = tokens if tokens < self._burst else self._burst
+        tokens = self.tokens + self._tokens_per_request
+        self.tokens = tokens if tokens < self._capacity else self._capacity
 
-    def available(self) -> bool:
+    def has_token(self) -> bool:
         """Return whether there is a whole token."""
-        if self._floor_per_s > 0:
-            self._fill()
+        if self._min_refill_per_s > 0:
+            self._refill()
         return self.tokens >= 1.0
 
-    def spend(self) -> bool:
+    def try_acquire(self) -> bool:
         """Take a token if there is one, and return whether there was."""
-        if not self.available():
+        if not self.has_token():
             return False
         self.tokens -= 1.0
         return True
 
-    def credit(self, tokens: float = 1.0) -> None:
+    def add_tokens(self, tokens: float = 1.0) -> None:
         """Add tokens, by default one, for an attempt that was not sent."""
-        self.tokens = min(self._burst, self.tokens + tokens)
+        self.tokens = min(self._capacity, self.tokens + tokens)
 
-    def _fill(self) -> None:
+    def _refill(self) -> None:
         now = asyncio.get_running_loop().time()
-        if self._filled_at is not None:
-            self.credit((now - self._filled_at) * self._floor_per_s)
-        self._filled_at = now
+        if self._refilled_at is not None:
+            self.add_tokens((now - self._refilled_at) * self._min_refill_per_s)
+        self._refilled_at = now
--- a/packages/routing/src/kingcuplug_routing/_waiting.py
+++ b/packages/routing/src/kingcuplug_routing/_waiting.py
@@ -54,27 +54,27 @@
 class WaitingQueue:
     """Waiting requests in the order in which they are served."""
 
-    __slots__ = ("_classes", "_passed", "_turn_after", "entries")
+    __slots__ = ("_queues", "_times_passed_over", "_turn_after", "entry_count")
 
     def __init__(self, turn_after: int) -> None:
-        self.entries = 0  # with obsolete entries, so 0 means that no request waits
+        self.entry_count = 0  # with obsolete entries, so 0 means that no request waits
         self._turn_after = turn_after
-        self._classes = {priority: deque[Waiter]() for priority in Priority}
-        self._passed = dict.fromkeys(Priority, 0)
+        self._queues = {priority: deque[Waiter]() for priority in Priority}
+        self._times_passed_over = dict.fromkeys(Priority, 0)
 
     def push(self, waiter: Waiter) -> None:
         """Append a request to the queue of its priority class."""
-        queue = self._classes[waiter.priority]
+        queue = self._queues[waiter.priority]
         if len(queue) >= _COMPACTION_LENGTH and queue[len(queue) // 2].future.done():
             self._compact(waiter.priority)
-            queue = self._classes[waiter.priority]
+            queue = self._queues[waiter.priority]
         queue.append(waiter)
-        self.entries += 1
+        self.entry_count += 1
 
     def peek(self) -> Waiter | None:
         """Return the request that is served next."""
         priority = self._next_class()
-        return None if priority is None else self._classes[priority][0]
+        return None if priority is None else self._queues[priority][0]
 
     def pop(self) -> Waiter | None:
         """Remove and return the request that is served next."""
@@ -82,18 +82,18 @@
         if chosen is None:
             return None
         after_chosen = False
-        for priority, queue in self._classes.items():
+        for priority, queue in self._queues.items():
             if after_chosen and queue:
-                self._passed[priority] += 1
+                self._times_passed_over[priority] += 1
             after_chosen = after_chosen or priority is chosen
-        self._passed[chosen] = 0
-        self.entries -= 1
-        return self._classes[chosen].popleft()
+        self._times_passed_over[chosen] = 0
+        self.entry_count -= 1
+        return self._queues[chosen].popleft()
 
-    def ahead(self, priority: Priority) -> float:
+    def cost_ahead(self, priority: Priority) -> float:
         """Return the cost of the requests served before a new one of `priority`."""
         cost = 0.0
-        for other, queue in self._classes.items():
+        for other, queue in self._queues.items():
             cost += sum(each.cost for each in queue if not each.future.done())
             if other == priority:
                 break
@@ -101,25 +101,25 @@
 
     def __iter__(self) -> Iterator[Waiter]:
         """Yield the waiting requests by priority class."""
-        for queue in self._classes.values():
+        for queue in self._queues.values():
             yield from (each for each in queue if not each.future.done())
 
     def _next_class(self) -> Priority | None:
         first = None
-        for priority, queue in self._classes.items():
+        for priority, queue in self._queues.items():
             while queue and queue[0].future.done():
                 queue.popleft()
-                self.entries -= 1
+                self.entry_count -= 1
             if not queue:
-                self._passed[priority] = 0
+                self._times_passed_over[priority] = 0
             elif first is None:
                 first = priority
-            elif self._passed[priority] >= self._turn_after:
+            elif self._times_passed_over[priority] >= self._turn_after:
                 return priority
         return first
 
     def _compact(self, priority: Priority) -> None:
-        queue = self._classes[priority]
+        queue = self._queues[priority]
         live = deque(each for each in queue if not each.future.done())
-        self.entries -= len(queue) - len(live)
-        self._classes[priority] = live
+        self.entry_count -= len(queue) - len(live)
+        self._queues[priority] = live
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -77,7 +77,7 @@
         router = make_router(greatest_share=1.0)
         offered = {Priority.NORMAL: 0.005}
         await _offer_load(router, offered, 20.0)
-        slots = router.statistics.occupied_ms / 1_000 / 20.0
+        slots = router.statistics.total_occupancy_ms / 1_000 / 20.0
         share = router.policy.utilisation * 6 / 10
         assert 0.9 * share < slots < 1.15 * share  # the burst is used once
 
@@ -91,7 +91,7 @@
     share = AdaptiveShare(10.0)
     factors = []
     for window in range(120):
-        share.bound = True
+        share.was_limiting = True
         for attempt in range(250):
             shed = window >= 60 and attempt % 4 == 0
             outcome = AttemptOutcome.SHED if shed else AttemptOutcome.OK
@@ -107,7 +107,7 @@
     statistics = ServiceStatistics(RoutingPolicy())
     share = AdaptiveShare(10.0)
     for window in range(120):
-        share.bound = True
+        share.was_limiting = True
         for _ in range(250):
             latency_ms = 10.0 if window < 60 else 25.0
             statistics.record(0, AttemptOutcome.OK, latency_ms)
@@ -225,13 +225,13 @@
         large = admission.admit(Priority.NORMAL, sub_requests=100)
         await large.__aenter__()
         waiting = asyncio.create_task(
-            admission.enter(Priority.NORMAL, float("inf"), sub_requests=1)
+            admission.acquire(Priority.NORMAL, float("inf"), sub_requests=1)
         )
         await asyncio.sleep(0)
         await large.__aexit__(None, None, None)
-        granted_level_s = admission._level_s
+        granted_level_s = admission._budget_s
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
-        assert admission._level_s > granted_level_s
+        assert admission._budget_s > granted_level_s
 
     run_virtual(main())
--- a/tests/routing/test_crash_guard.py
+++ b/tests/routing/test_crash_guard.py
@@ -178,7 +178,7 @@
         attempts.crash("server-3", (sent[3],), zone="zone-0")
         # A request that completed before is sent as a canary until the suspects of
         # other entry hosts have arrived.
-        assert not attempts.guard.proven(CRASHING)
+        assert not attempts.guard.has_completed(CRASHING)
         await asyncio.sleep(0.5)
         assert _is_quarantined(attempts.guard, CRASHING)
 
@@ -327,7 +327,7 @@
 def test_memory_is_bounded() -> None:
     # Guards against a guard that grows with the number of different requests.
     async def main() -> None:
-        attempts = Attempts(CrashGuard(CrashGuardSettings(most_entries=20)))
+        attempts = Attempts(CrashGuard(CrashGuardSettings(max_entries=20)))
         for index in range(200):
             attempts.complete(f"completed-{index}", "server-0")
             server = f"server-{index}"
--- a/tests/routing/test_slow_servers.py
+++ b/tests/routing/test_slow_servers.py
@@ -87,4 +87,4 @@
     assert state.take_samples() == (0, 0.0)
     state.answer(attempt, 0.056)
     assert state.take_samples() == (0, pytest.approx(0.8))
-    assert state.shared == {}
+    assert state.reported_ratios == {}
--- a/tests/routing/test_waiting.py
+++ b/tests/routing/test_waiting.py
@@ -57,5 +57,5 @@
         waiter = Waiter(loop.create_future(), Priority.NORMAL)
         queue.push(waiter)
         waiter.future.cancel()
-    assert queue.entries <= 64
+    assert queue.entry_count <= 64
     loop.close()
