--- a/packages/routing/src/kingcuplug_routing/__init__.py
+++ b/packages/routing/src/kingcuplug_routing/__init__.py
@@ -1,14 +1,14 @@
 """Replica choice, limits, hedging, retry budgets and the crash guard."""
 
 from kingcuplug_routing._admission import Admission, AdmissionContext
+from kingcuplug_routing._blames import Blame, CrashGuardSettings
+from kingcuplug_routing._completeness import AnswerRule
 from kingcuplug_routing._concurrency_limiter import Turnstile, places
 from kingcuplug_routing._crash_guard import CrashGuard
-from kingcuplug_routing._crash_history import Blame, CrashGuardSettings
 from kingcuplug_routing._delegation import Delegation, delegate
-from kingcuplug_routing._latency_estimator import Timing
-from kingcuplug_routing._partial_answer import AnswerRule
+from kingcuplug_routing._paces import PaceBoard, Samples
 from kingcuplug_routing._policy import RoutingPolicy, baseline_policy
-from kingcuplug_routing._replica_scoring import ReplicaState, choose_replica
+from kingcuplug_routing._replicas import ReplicaState, choose_replica
 from kingcuplug_routing._retry_budget import (
     AllowanceSettings,
     RetryAllowance,
@@ -22,8 +22,8 @@
     power_of_two_choices,
     random_replica,
 )
-from kingcuplug_routing._slow_servers import PaceBoard, Samples
 from kingcuplug_routing._ticket import Ticket
+from kingcuplug_routing._timing import Timing
 from kingcuplug_routing._types import (
     Attempt,
     AttemptOutcome,
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -73,12 +73,12 @@
     unused.
     """
     common = AllowanceSettings(ratio=0.2, fixed=180, window_s=10.0)
-    budget = RetryAllowance(common, random.Random(1))
+    busy_host = RetryAllowance(common, random.Random(1))
     share = fixed_part(own=20, total=400, hosts=90)
     granted = 0
     for step in range(20):
-        budget.request(step * 0.5)
-        granted += budget.take(step * 0.5, share, hedge=True)
+        busy_host.request(step * 0.5)
+        granted += busy_host.take(step * 0.5, share, hedge=True)
     assert granted >= 8
 
 
