--- a/packages/routing/src/kingcuplug_routing/__init__.py
+++ b/packages/routing/src/kingcuplug_routing/__init__.py
@@ -3,7 +3,6 @@
 from kingcuplug_routing._admission import Admission, AdmissionContext
 from kingcuplug_routing._blames import Blame, CrashGuardSettings
 from kingcuplug_routing._completeness import AnswerRule
-from kingcuplug_routing._concurrency_limiter import Turnstile, places
 from kingcuplug_routing._crash_guard import CrashGuard
 from kingcuplug_routing._delegation import Delegation, delegate
 from kingcuplug_routing._paces import PaceBoard, Samples
@@ -24,6 +23,7 @@
 )
 from kingcuplug_routing._ticket import Ticket
 from kingcuplug_routing._timing import Timing
+from kingcuplug_routing._turnstile import Turnstile, places
 from kingcuplug_routing._types import (
     Attempt,
     AttemptOutcome,
