--- a/packages/routing/src/kingcuplug_routing/_completeness.py
+++ b/packages/routing/src/kingcuplug_routing/_completeness.py
@@ -51,7 +51,7 @@
 
     @property
     def stragglers(self) -> int:
-        """Number of pending shards from which these count as stragglers."""
+        """Greatest number of pending shards that count as stragglers."""
         return max(1, int(self.total * _STRAGGLER_SHARE))
 
     def hurry_at(self, now: float) -> float:
--- a/tests/routing/conftest.py
+++ b/tests/routing/conftest.py
@@ -10,7 +10,9 @@
 MakeRouter = Callable[..., Router]
 
 
-def _view(index: int, shards: tuple[int, ...] = (0, 1), **fields: object) -> ServerView:
+def _server_view(
+    index: int, shards: tuple[int, ...] = (0, 1), **fields: object
+) -> ServerView:
     """Return a server with 2 slots in one of three zones."""
     view = ServerView(
         f"server-{index}",
@@ -26,7 +28,7 @@
 
 @pytest.fixture
 def make_view() -> Callable[..., ServerView]:
-    return _view
+    return _server_view
 
 
 @pytest.fixture
@@ -35,7 +37,7 @@
         """Return a router without slow start; call this inside the event loop."""
         policy = RoutingPolicy(**({"slow_start_s": 0.0} | fields))  # type: ignore[arg-type]
         router = Router("stock", policy, Random(7))
-        router.update([_view(i) for i in range(servers)], hosts)
+        router.update([_server_view(i) for i in range(servers)], hosts)
         return router
 
     return make
--- a/tests/routing/test_crash_guard.py
+++ b/tests/routing/test_crash_guard.py
@@ -331,9 +331,9 @@
         for index in range(200):
             attempts.complete(f"completed-{index}", "server-0")
             server = f"server-{index}"
-            sent = attempts.start(f"blamed-{index}", server)
+            sent = attempts.start(f"suspect-{index}", server)
             attempts.crash(server, (sent,))
-            sent = attempts.start(f"blamed-{index}", f"other-{index}")
+            sent = attempts.start(f"suspect-{index}", f"other-{index}")
             attempts.crash(f"other-{index}", (sent,), zone="zone-1")
             await asyncio.sleep(3.0)
         assert 5 <= len(attempts.guard.condemned()) <= 20
