--- a/packages/routing/src/kingcuplug_routing/__init__.py
+++ b/packages/routing/src/kingcuplug_routing/__init__.py
@@ -1,12 +1,6 @@
 """Replica choice, limits, hedging, retry budgets and the crash guard."""
 
-from kingcuplug_routing._admission import Admission, Admitted
-from kingcuplug_routing._allowance import (
-    AllowanceSettings,
-    RetryAllowance,
-    WindowCount,
-    fixed_part,
-)
+from kingcuplug_routing._admission import Admission, AdmissionContext
 from kingcuplug_routing._blames import Blame, CrashGuardSettings
 from kingcuplug_routing._completeness import AnswerRule
 from kingcuplug_routing._crash_guard import CrashGuard
@@ -14,12 +8,18 @@
 from kingcuplug_routing._paces import PaceBoard, Samples
 from kingcuplug_routing._policy import RoutingPolicy, baseline_policy
 from kingcuplug_routing._replicas import ReplicaState, choose_replica
+from kingcuplug_routing._retry_budget import (
+    AllowanceSettings,
+    RetryAllowance,
+    WindowCount,
+    fixed_part,
+)
 from kingcuplug_routing._router import Router
 from kingcuplug_routing._selection import (
     least_expected_time,
     least_in_flight,
+    power_of_two_choices,
     random_replica,
-    two_choices,
 )
 from kingcuplug_routing._ticket import Ticket
 from kingcuplug_routing._timing import Timing
@@ -37,7 +37,7 @@
 
 __all__ = [
     "Admission",
-    "Admitted",
+    "AdmissionContext",
     "AllowanceSettings",
     "AnswerRule",
     "Attempt",
@@ -68,7 +68,7 @@
     "least_expected_time",
     "least_in_flight",
     "places",
+    "power_of_two_choices",
     "random_replica",
-    "two_choices",
     "wait_until",
 ]
--- a/packages/routing/src/kingcuplug_routing/_budget.py
+++ b/packages/routing/src/kingcuplug_routing/_budget.py
@@ -1,73 +1,83 @@
 """Token bucket for extra sub-requests.
 
-Every first sub-request earns a share of a token and every extra one spends a whole
-token, so extra load stays within the share whatever the delays are.
+Every first sub-request adds a fraction of a token and every extra one takes a whole
+token, so extra load stays within that fraction whatever the delays are.
 
-A floor keeps some tokens coming where traffic is so low that the share earns next to
-none.
+A minimum refill rate adds tokens where traffic is too low for the fraction to add any
+worth mentioning.
 """
 
 import asyncio
 
-__all__ = ["Budget"]
+__all__ = ["TokenBucket"]
 
 
-class Budget:
-    """Extra sub-requests as a share of the first ones.
+class TokenBucket:
+    """Limit on extra sub-requests as a fraction of the first ones.
 
     Parameters
     ----------
-    share : float
-        Tokens earned per first sub-request.
-    burst : float
-        Most tokens kept.
-    start : float
-        Tokens at the start.
-    floor_per_s : float
-        Tokens earned per second without any traffic, unless the share is 0.
+    tokens_per_request : float
+        Tokens added per first sub-request.
+    capacity : float
+        Greatest number of tokens.
+    initial_tokens : float
+        Initial number of tokens.
+    min_refill_per_s : float
+        Tokens added per second whatever the traffic, unless the fraction is 0.
     """
 
-    __slots__ = ("_burst", "_filled_at", "_floor_per_s", "_share", "tokens")
+    __slots__ = (
+        "_capacity",
+        "_min_refill_per_s",
+        "_refilled_at",
+        "_tokens_per_request",
+        "tokens",
+    )
 
     def __init__(
-        self, share: float, burst: float, start: float, floor_per_s: float = 0.0
+        self,
+        tokens_per_request: float,
+        capacity: float,
+        initial_tokens: float,
+        min_refill_per_s: float = 0.0,
     ) -> None:
-        self._share = share
-        self._burst = burst
-        self._floor_per_s = floor_per_s if share > 0 else 0.0
-        self._filled_at: float | None = None
-        self.tokens = start if share > 0 else 0.0
+        self._tokens_per_request = tokens_per_request
+        self._capacity = capacity
+        self._min_refill_per_s = min_refill_per_s if tokens_per_request > 0 else 0.0
+        self._refilled_at: float | None = None
+        self.tokens = initial_tokens if tokens_per_request > 0 else 0.0
 
-    def widen(self, burst: float) -> None:
-        """Raise the burst and fill the tokens that it adds."""
-        if burst > self._burst:
-            self.tokens += burst - self._burst
-            self._burst = burst
+    def raise_capacity(self, capacity: float) -> None:
+        """Raise the capacity and add as many tokens."""
+        if capacity > self._capacity:
+            self.tokens += capacity - self._capacity
+            self._capacity = capacity
 
-    def earn(self) -> None:
-        """Add the share for one first sub-request."""
-        tokens = self.tokens + self._share
-        self.tokens = tokens if tokens < self._burst else self._burst
+    def add_for_request(self) -> None:
+        """Add the fraction of a token for one first sub-request."""
+        tokens = self.tokens + self._tokens_per_request
+        self.tokens = tokens if tokens < self._capacity else self._capacity
 
-    def available(self) -> bool:
-        """Return whether a whole token is there."""
-        if self._floor_per_s > 0:
-            self._fill()
+    def has_token(self) -> bool:
+        """Return whether there is a whole token."""
+        if self._min_refill_per_s > 0:
+            self._refill()
         return self.tokens >= 1.0
 
-    def spend(self) -> bool:
-        """Take a token; return whether there was one."""
-        if not self.available():
+    def try_acquire(self) -> bool:
+        """Take a token if there is one, and return whether there was."""
+        if not self.has_token():
             return False
         self.tokens -= 1.0
         return True
 
-    def credit(self, tokens: float = 1.0) -> None:
-        """Give back tokens, one for an attempt that was not sent after all."""
-        self.tokens = min(self._burst, self.tokens + tokens)
+    def add_tokens(self, tokens: float = 1.0) -> None:
+        """Add tokens, by default one, for an attempt that was not sent."""
+        self.tokens = min(self._capacity, self.tokens + tokens)
 
-    def _fill(self) -> None:
+    def _refill(self) -> None:
         now = asyncio.get_running_loop().time()
-        if self._filled_at is not None:
-            self.credit((now - self._filled_at) * self._floor_per_s)
-        self._filled_at = now
+        if self._refilled_at is not None:
+            self.add_tokens((now - self._refilled_at) * self._min_refill_per_s)
+        self._refilled_at = now
--- a/packages/routing/src/kingcuplug_routing/_completeness.py
+++ b/packages/routing/src/kingcuplug_routing/_completeness.py
@@ -1,39 +1,40 @@
-"""When a query over many shards is answered without its missing parts.
+"""When a query over many shards is answered without its missing shards.
 
-Answers this load pattern: one shard stalls or is down while all others have
-answered. Callers value an answer within the target time far above a late one, and an
-answer by the square of the share of its shards; so a query is answered at its target
-if the shards that are in reach the minimum, and otherwise waits for the rest.
+Handles this load pattern: one shard stalls or is down while all others have
+answered. An answer within the target time is worth far more to callers than a late
+one, and its worth grows with the square of its coverage. So a query is answered at its
+target if its coverage suffices, and otherwise waits for further shards.
 """
 
 from dataclasses import dataclass
 
 __all__ = ["AnswerRule"]
 
-# Once the target is missed, a whole answer is worth more than a sooner one, but
-# not for ever: the caller still waits.
-_LATE_TARGETS = 2.0
-# The last shards of a query are compared with the others of the same query, which
-# met the same links and load: beyond this factor they wait for a server that stalls.
-_STRAGGLING_SHARE = 0.15
-_STRAGGLING_FACTOR = 1.25
+# Multiple of the target time for which a late query waits for its last shards: once
+# the target is missed, a complete answer is worth more than an earlier one, but the
+# caller still waits.
+_MAX_LATENESS_TARGETS = 2.0
+# The last shards of a query are compared with its other shards, which had the same
+# links and load: beyond this factor they are waiting for a server that stalls.
+_STRAGGLER_SHARE = 0.15
+_STRAGGLER_FACTOR = 1.25
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerRule:
-    """The moments that decide when one query is answered.
+    """Decides when one query is answered.
 
     Attributes
     ----------
     total : int
-        Shards of the query.
+        Number of shards of the query.
     minimum : float
-        Smallest share of shards that makes an answer.
+        Smallest share of the shards that an answer must cover.
     target_at, final_at : float
-        Times by which an answer must leave here to be on time, and to be of use at
-        all, in event loop time.
+        Event loop times by which an answer must be sent to be on time, and to reach
+        the caller before its deadline.
     begun_at : float
-        When the query was received.
+        Event loop time at which the query was received.
     """
 
     total: int
@@ -44,41 +45,45 @@
 
     @property
     def needed(self) -> int:
-        """Number of shards without which there is no answer."""
-        whole, rest = divmod(self.total * self.minimum, 1)
-        return max(1, int(whole) + (rest > 1e-9))
+        """Least number of shards that an answer must cover."""
+        whole, fraction = divmod(self.total * self.minimum, 1)
+        return max(1, int(whole) + (fraction > 1e-9))
 
     @property
     def stragglers(self) -> int:
-        """Number of shards that are still open when most have answered."""
-        return max(1, int(self.total * _STRAGGLING_SHARE))
+        """Greatest number of pending shards that count as stragglers."""
+        return max(1, int(self.total * _STRAGGLER_SHARE))
 
     def hurry_at(self, now: float) -> float:
-        """Return when stragglers are asked again, if most have answered by now."""
-        return self.begun_at + (now - self.begun_at) * _STRAGGLING_FACTOR
+        """Return when to hedge the stragglers if all others have answered by `now`."""
+        return self.begun_at + (now - self.begun_at) * _STRAGGLER_FACTOR
 
     @property
     def late_at(self) -> float:
-        """Time after which a late query no longer waits for its last shards."""
+        """Time from which a late query is answered without its last shards."""
         target_s = self.target_at - self.begun_at
-        return min(self.target_at + target_s * _LATE_TARGETS, self.final_at)
+        return min(self.target_at + target_s * _MAX_LATENESS_TARGETS, self.final_at)
 
     def ready(
-        self, included: int, open_parts: int, now: float, at_target: bool = False
+        self,
+        answered_shards: int,
+        pending_shards: int,
+        now: float,
+        at_target: bool = False,
     ) -> bool:
-        """Return whether the query is to be answered now.
+        """Return whether the query should be answered now.
 
         Parameters
         ----------
-        included : int
-            Shards that have answered.
-        open_parts : int
-            Shards that may still answer.
+        answered_shards : int
+            Number of shards that have answered.
+        pending_shards : int
+            Number of shards that may still answer.
         at_target : bool
-            Whether this is the last moment for an answer on time.
+            Whether the target time has come.
         """
-        if open_parts == 0 or now >= self.final_at:
+        if pending_shards == 0 or now >= self.final_at:
             return True
-        if included < self.needed:
-            return included + open_parts < self.needed
+        if answered_shards < self.needed:
+            return answered_shards + pending_shards < self.needed
         return at_target or now >= self.late_at
--- a/packages/routing/src/kingcuplug_routing/_paces.py
+++ b/packages/routing/src/kingcuplug_routing/_paces.py
@@ -1,10 +1,10 @@
-"""Which servers all hosts together find slow.
+"""Detection of slow servers from the latency samples of all hosts.
 
-Answers this load pattern: ninety hosts share some hundred servers, so each host sees
-one server only every few seconds, and a server that has turned slow delays a query of
-every host before all of them have learnt it. Hosts report their samples; a server
-counts as slow by the mean of all samples of the last second or two, so that neither a
-pause of 200 ms nor one unlucky host is enough.
+Handles this load pattern: ninety hosts share some hundred servers, so each host sends
+a server a request only every few seconds, and a server that becomes slow delays a
+query of every host before each has detected it. Hosts report their samples; a server
+is slow by the mean of all samples of the last second or two, so that neither a pause
+of 200 ms nor the samples of a single host suffice.
 """
 
 import math
@@ -12,57 +12,59 @@
 
 __all__ = ["PaceBoard", "Samples"]
 
-# Number and sum of samples by server: duration relative to the typical one.
+# Number and sum of latency ratios by server; a ratio is the duration of an attempt
+# relative to the typical one.
 Samples = dict[str, tuple[int, float]]
 
 _HALF_LIFE_S = 1.0
-# Fewer samples than this, faded by a second or two, may all come from one pause.
-_FEWEST_SAMPLES = 0.8
-# A pause of 200 ms in every 4.5 s makes at most 1.4 of a second's mean; a server
-# that works three times as long is well beyond.
-_SLOW_MEAN = 1.7
-# Hosts need not learn of smaller changes.
-_STEP = 0.5
-_FORGOTTEN_WEIGHT = 0.2
+# Fewer samples than this, decayed for a second or two, may all come from one pause.
+_MIN_WEIGHT = 0.8
+# A pause of 200 ms in every 4.5 s raises the mean of one second to 1.4 at most; a
+# server that takes three times as long is well above.
+_SLOW_RATIO = 1.7
+# Smaller changes are not worth sending to the hosts.
+_RATIO_STEP = 0.5
+_MIN_KEPT_WEIGHT = 0.2
 
 
 @dataclass(slots=True)
-class _Mean:
+class _DecayingMean:
     weight: float
-    total: float
-    at: float
+    weighted_sum: float
+    updated_at: float
 
     def decay(self, now: float) -> None:
-        factor = math.exp2(-max(0.0, now - self.at) / _HALF_LIFE_S)
+        factor = math.exp2(-max(0.0, now - self.updated_at) / _HALF_LIFE_S)
         self.weight *= factor
-        self.total *= factor
-        self.at = now
+        self.weighted_sum *= factor
+        self.updated_at = now
 
 
 class PaceBoard:
-    """Means of all hosts' samples, recent ones counting most."""
+    """Exponentially decaying means of all hosts' latency ratios by server."""
 
     def __init__(self) -> None:
-        self._means: dict[str, _Mean] = {}
+        self._means: dict[str, _DecayingMean] = {}
 
     def add(self, samples: Samples, now: float) -> None:
-        """Take samples that a host has reported."""
-        for server, (count, total) in samples.items():
-            mean = self._means.setdefault(server, _Mean(0.0, 0.0, now))
+        """Add the samples that a host has reported."""
+        for server, (count, ratio_sum) in samples.items():
+            mean = self._means.setdefault(server, _DecayingMean(0.0, 0.0, now))
             mean.decay(now)
             mean.weight += count
-            mean.total += total
+            mean.weighted_sum += ratio_sum
 
     def slow(self, now: float) -> dict[str, float]:
-        """Return the pace of the servers that are slow, in coarse steps."""
-        slow = {}
+        """Return the latency ratios of the slow servers, rounded to steps."""
+        slow_servers = {}
         for server, mean in tuple(self._means.items()):
             mean.decay(now)
-            if mean.weight < _FORGOTTEN_WEIGHT:
+            if mean.weight < _MIN_KEPT_WEIGHT:
                 del self._means[server]
                 continue
-            pace = mean.total / mean.weight
-            # What was slow stays so while its samples fade, as nobody asks it.
-            if mean.weight >= _FEWEST_SAMPLES and pace >= _SLOW_MEAN:
-                slow[server] = round(pace / _STEP) * _STEP
-        return slow
+            ratio = mean.weighted_sum / mean.weight
+            # A slow server gets no requests, so it stays slow until its samples have
+            # decayed below the minimum weight.
+            if mean.weight >= _MIN_WEIGHT and ratio >= _SLOW_RATIO:
+                slow_servers[server] = round(ratio / _RATIO_STEP) * _RATIO_STEP
+        return slow_servers
--- a/packages/routing/src/kingcuplug_routing/_refusals.py
+++ b/packages/routing/src/kingcuplug_routing/_refusals.py
@@ -1,14 +1,14 @@
-"""Refusals of the routing package; nothing was sent, so each says ``not_run``."""
+"""Refusals of the routing package; each is ``not_run``, as nothing was sent."""
 
 from kingcuplug_common import Refusal, RefusalReason, not_run
 
 __all__ = [
-    "budget_spent",
-    "condemned",
+    "deadline_unreachable",
+    "fingerprint_quarantined",
     "no_replica",
     "overloaded",
     "replicas_excluded",
-    "too_late",
+    "retry_budget_exhausted",
 ]
 
 
@@ -22,7 +22,7 @@
 
 
 def replicas_excluded(service: str, shard: int, exclude: frozenset[str]) -> Refusal:
-    """Refuse because all replicas were tried already."""
+    """Refuse because every replica has been tried."""
     return not_run(
         RefusalReason.BACKEND_SERVER_FAILED,
         f"all replicas of shard {shard} of {service} were tried: {sorted(exclude)}",
@@ -30,8 +30,8 @@
     )
 
 
-def budget_spent(service: str) -> Refusal:
-    """Refuse a retry that would exceed the budget."""
+def retry_budget_exhausted(service: str) -> Refusal:
+    """Refuse a retry that would exceed the retry budget."""
     return not_run(
         RefusalReason.OVERLOADED,
         f"the retry budget of {service} is spent",
@@ -39,7 +39,9 @@
     )
 
 
-def too_late(service: str, remaining_ms: float, needed_ms: float) -> Refusal:
+def deadline_unreachable(
+    service: str, remaining_ms: float, needed_ms: float
+) -> Refusal:
     """Refuse work that can no longer finish in time."""
     return not_run(
         RefusalReason.DEADLINE_EXCEEDED,
@@ -58,7 +60,7 @@
     )
 
 
-def condemned(fingerprint: str, remaining_ms: float) -> Refusal:
+def fingerprint_quarantined(fingerprint: str, remaining_ms: float) -> Refusal:
     """Refuse a request that crashed backend servers."""
     return not_run(
         RefusalReason.CRASHING_REQUEST,
--- a/packages/routing/src/kingcuplug_routing/_table.py
+++ b/packages/routing/src/kingcuplug_routing/_replica_table.py
@@ -1,7 +1,7 @@
 """Replica lists per snapshot and shard.
 
-They are built when the directory, an ejection or a holding changes, so that a
-choice only indexes a list.
+They are rebuilt when the directory, an ejection or a holding changes, so that a choice
+is only a list index.
 """
 
 from collections.abc import Iterable, Mapping
@@ -9,14 +9,14 @@
 from kingcuplug_routing._server import Server
 from kingcuplug_routing._types import HoldingView, SnapshotView
 
-__all__ = ["ReplicaTable", "most_ejected"]
+__all__ = ["ReplicaTable", "max_ejected"]
 
 Replicas = list[tuple[Server, ...]]
 
 
-def most_ejected(replicas: int) -> int:
+def max_ejected(replica_count: int) -> int:
     """Return how many of a shard's replicas may be ejected at once."""
-    return min(max(1, replicas // 3), replicas - 1)
+    return min(max(1, replica_count // 3), replica_count - 1)
 
 
 class ReplicaTable:
@@ -25,9 +25,14 @@
     Parameters
     ----------
     holdings : mapping
-        Servers and what each of them holds.
+        Holdings of each server.
     now : float
-        Time of the loop, against which ejections are compared.
+        Current event loop time, to which the ends of ejections are compared.
+
+    Attributes
+    ----------
+    every, usable : dict
+        By snapshot, the replicas of each shard: all of them, and all but the ejected.
     """
 
     def __init__(
@@ -67,5 +72,5 @@
     if not ejected:
         return replicas
     ejected.sort(key=lambda each: each.ejected_until, reverse=True)
-    removed = ejected[: most_ejected(len(replicas))]
+    removed = ejected[: max_ejected(len(replicas))]
     return tuple(each for each in replicas if each not in removed)
--- a/packages/routing/src/kingcuplug_routing/_replicas.py
+++ b/packages/routing/src/kingcuplug_routing/_replicas.py
@@ -1,10 +1,10 @@
-"""Choice of one replica by what this host alone has seen lately.
+"""Choice of one replica by this host's own recent observations.
 
-Answers these load patterns: replicas of unequal speed, a server that pauses for
-some hundred milliseconds while its queue grows, a server that fails fast and so
-looks idle, cold starts, and many hosts that choose blind. Each host scores replicas
-by the time at which it expects an answer; a random factor keeps the hosts from all
-taking the same one.
+Handles these load patterns: replicas of unequal speed, a server that pauses for some
+hundred milliseconds while its queue grows, a server that fails fast and so looks idle,
+cold starts, and many hosts that choose without knowing each other's choices. Each host
+scores replicas by expected latency; a random factor keeps the hosts from all choosing
+the same one.
 """
 
 import math
@@ -14,108 +14,108 @@
 
 __all__ = ["ReplicaState", "choose_replica"]
 
-# Weight of a new sample in a replica's pace: about the last three answers count,
-# because a host sees each replica only about once a second.
-_PACE_WEIGHT = 0.3
-# One answer that met a pause must not condemn a replica for long; a replica that is
-# really slow gives several such answers.
-_PACE_RANGE = (0.3, 3.0)
-# A pace that was not confirmed for this long counts half, so that a replica that
-# was slow is tried again.
-_PACE_HALF_LIFE_S = 5.0
-# An attempt open for this many times its expected duration shows a stalled server.
+# Weight of a new sample in a replica's latency ratio: about the last three answers
+# count, because a host uses each replica only about once a second.
+_RATIO_WEIGHT = 0.3
+# Bounds of a sample: one answer delayed by a pause must not keep a replica unused for
+# long; a slow replica gives several such answers.
+_RATIO_RANGE = (0.3, 3.0)
+# Without new samples, estimates return to normal with this half-life, so that a replica
+# that was slow is tried again.
+_ESTIMATE_HALF_LIFE_S = 5.0
+# An attempt open for this many times its expected duration indicates a stalled server.
 _STALL_FACTOR = 3.0
-_STALL_FLOOR_S = 0.03  # Shorter waits are within the spread of a healthy server.
+_MIN_STALL_S = 0.03  # Shorter waits are within the spread of a healthy server.
 _ERROR_WEIGHT = 0.3
-# Expected cost of a failed attempt, as seconds that a caller loses by it.
+# Expected cost of a failed attempt, as time that the caller loses.
 _ERROR_COST_S = 0.5
-# A server that refused a connection is tried again after this long, doubled by
-# each further failure.
-_FIRST_PAUSE_S = 0.2
-_LONGEST_PAUSE_S = 3.0
-_PAUSE_COST_S = 2.0
-_SILENT_COST_S = 1.0
-# Bytes between availability zones are priced, so a replica there has to be
-# faster by this share.
+# A server that refused a connection is avoided for this long, doubled by each further
+# failure.
+_FIRST_UNREACHABLE_S = 0.2
+_MAX_UNREACHABLE_S = 3.0
+_UNREACHABLE_COST_S = 2.0
+_NO_HEARTBEAT_COST_S = 1.0
+# Traffic between availability zones is billed, so a replica in another zone has to be
+# faster by this factor.
 _REMOTE_FACTOR = 1.8
-_REMOTE_S = 0.002  # A round trip between availability zones.
-_COLD_FACTOR = 1.6  # Servers that have just started work this much slower.
+_REMOTE_ROUND_TRIP_S = 0.002  # between availability zones
+_COLD_START_FACTOR = 1.6  # slowdown of a server that has just started
 _JITTER = (0.85, 1.15)
 
 
 @dataclass(slots=True)
 class ReplicaState:
-    """What this host has seen of one replica.
+    """Observations of one replica by this host.
 
     Attributes
     ----------
     slots : int
-        Requests that the server runs at once.
+        Number of requests that the server runs concurrently.
     remote : bool
         Whether it is in another availability zone.
-    pace : float
-        Duration of its answers relative to the route's typical one.
-    errors : float
+    latency_ratio : float
+        Latency ratio: duration of its answers relative to the route's typical one.
+    error_rate : float
         Recent share of failed attempts.
     paused_until : float
-        Until when it is taken for unreachable, in event loop time.
+        Event loop time until which it counts as unreachable.
     cold_until : float
-        Until when it is slow after its start.
+        Event loop time until which it is slow after its start.
     silent : bool
         Whether its heartbeats have stopped.
     shared_pace : float
-        The pace that all hosts together find, 1 unless it is slow.
-    shared : dict
-        The sample that was counted of an attempt that is still open.
+        Latency ratio from the samples of all hosts; 1 unless the server is slow.
+    reported_ratios : dict
+        Latency ratios that were reported for attempts that are still open.
     """
 
     slots: int
     remote: bool = False
-    pace: float = 1.0
-    pace_at: float = 0.0
-    errors: float = 0.0
-    errors_at: float = 0.0
-    failures_in_row: int = 0
+    latency_ratio: float = 1.0
+    latency_ratio_at: float = 0.0
+    error_rate: float = 0.0
+    error_rate_at: float = 0.0
+    consecutive_failures: int = 0
     paused_until: float = 0.0
     cold_until: float = 0.0
     silent: bool = False
     shared_pace: float = 1.0
-    samples: int = 0
-    samples_total: float = 0.0
-    open: dict[object, tuple[float, float]] = field(default_factory=dict)
-    shared: dict[object, float] = field(default_factory=dict)
+    sample_count: int = 0
+    sample_sum: float = 0.0
+    open_attempts: dict[object, tuple[float, float]] = field(default_factory=dict)
+    reported_ratios: dict[object, float] = field(default_factory=dict)
 
     def begin(self, attempt: object, now: float, typical_s: float) -> None:
         """Record that an attempt was sent."""
-        self.open[attempt] = (now, typical_s)
+        self.open_attempts[attempt] = (now, typical_s)
 
     def answer(self, attempt: object, now: float) -> float:
-        """Record a good answer and return its duration in seconds."""
-        begun_at, typical_s = self.open.pop(attempt, (now, 0.0))
-        duration_s = now - begun_at
+        """Record a successful answer and return its duration in seconds."""
+        started_at, typical_s = self.open_attempts.pop(attempt, (now, 0.0))
+        duration_s = now - started_at
         if typical_s > 0:
-            self._sample(attempt, duration_s / typical_s, now)
-        self.errors = self._errors(now) * (1 - _ERROR_WEIGHT)
-        self.errors_at = now
-        self.failures_in_row = 0
+            self._add_sample(attempt, duration_s / typical_s, now)
+        self.error_rate = self._current_error_rate(now) * (1 - _ERROR_WEIGHT)
+        self.error_rate_at = now
+        self.consecutive_failures = 0
         self.paused_until = 0.0
         return duration_s
 
     def late(self, attempt: object, now: float) -> None:
-        """Share at once that an attempt is late, before it has ended.
+        """Report the latency ratio of a late attempt before it has ended.
 
-        When a server turns slow its answers come too late to warn other hosts.
+        When a server becomes slow, its answers arrive too late to warn other hosts.
         """
-        begun_at, typical_s = self.open.get(attempt, (now, 0.0))
-        if typical_s > 0 and attempt not in self.shared:
-            self._share(attempt, (now - begun_at) / typical_s)
+        started_at, typical_s = self.open_attempts.get(attempt, (now, 0.0))
+        if typical_s > 0 and attempt not in self.reported_ratios:
+            self._report_ratio(attempt, (now - started_at) / typical_s)
 
     def reject(self, attempt: object, now: float) -> None:
-        """Record that the server had no room; it is alive, but busy."""
-        self.open.pop(attempt, None)
-        self.shared.pop(attempt, None)
-        self.pace = min(self._own_pace(now) + 1.0, _PACE_RANGE[1])
-        self.pace_at = now
+        """Record that the server, running but busy, shed an attempt."""
+        self.open_attempts.pop(attempt, None)
+        self.reported_ratios.pop(attempt, None)
+        self.latency_ratio = min(self._own_ratio(now) + 1.0, _RATIO_RANGE[1])
+        self.latency_ratio_at = now
 
     def fail(self, attempt: object, now: float, unreachable: bool) -> None:
         """Record a failure.
@@ -123,84 +123,91 @@
         Parameters
         ----------
         unreachable : bool
-            No connection could be made, so every other attempt would fail too.
+            Whether no connection could be made, so that every other attempt would fail
+            too.
         """
-        self.open.pop(attempt, None)
-        self._share(attempt, _PACE_RANGE[1])
-        self.shared.pop(attempt, None)
-        self.errors = self._errors(now) * (1 - _ERROR_WEIGHT) + _ERROR_WEIGHT
-        self.errors_at = now
+        self.open_attempts.pop(attempt, None)
+        self._report_ratio(attempt, _RATIO_RANGE[1])
+        self.reported_ratios.pop(attempt, None)
+        self.error_rate = (
+            self._current_error_rate(now) * (1 - _ERROR_WEIGHT) + _ERROR_WEIGHT
+        )
+        self.error_rate_at = now
         if unreachable:
-            pause_s = min(_FIRST_PAUSE_S * 2**self.failures_in_row, _LONGEST_PAUSE_S)
-            self.failures_in_row += 1
-            self.paused_until = max(self.paused_until, now + pause_s)
+            unreachable_s = min(
+                _FIRST_UNREACHABLE_S * 2**self.consecutive_failures, _MAX_UNREACHABLE_S
+            )
+            self.consecutive_failures += 1
+            self.paused_until = max(self.paused_until, now + unreachable_s)
 
     def forget(self, attempt: object, now: float) -> None:
-        """Record that an attempt was abandoned; its age so far is a sample."""
-        begun_at, typical_s = self.open.pop(attempt, (now, 0.0))
-        if typical_s > 0 and now - begun_at > typical_s * self._pace(now):
-            self._sample(attempt, (now - begun_at) / typical_s, now)
-        self.shared.pop(attempt, None)
+        """Record that an attempt was abandoned, with its age as a sample."""
+        started_at, typical_s = self.open_attempts.pop(attempt, (now, 0.0))
+        if typical_s > 0 and now - started_at > typical_s * self._current_ratio(now):
+            self._add_sample(attempt, (now - started_at) / typical_s, now)
+        self.reported_ratios.pop(attempt, None)
 
     def take_samples(self) -> tuple[int, float]:
-        """Return number and sum of the samples since the last call."""
-        taken = (self.samples, self.samples_total)
-        self.samples, self.samples_total = 0, 0.0
-        return taken
+        """Return and reset the number and sum of the samples since the last call."""
+        drained = (self.sample_count, self.sample_sum)
+        self.sample_count, self.sample_sum = 0, 0.0
+        return drained
 
     def expected_s(self, now: float, typical_s: float) -> float:
-        """Return the time in which an answer is expected, penalties included."""
-        pace = self._pace(now)
+        """Return the expected latency of an answer, with penalties."""
+        ratio = self._current_ratio(now)
         if now < self.cold_until:
-            pace *= _COLD_FACTOR
-        expected_s = typical_s * pace * (1 + len(self.open) / self.slots)
+            ratio *= _COLD_START_FACTOR
+        expected_s = typical_s * ratio * (1 + len(self.open_attempts) / self.slots)
         if self.remote:
-            expected_s = expected_s * _REMOTE_FACTOR + _REMOTE_S
-        expected_s += self._stalled_s(now, pace)
-        expected_s += self._errors(now) * _ERROR_COST_S
+            expected_s = expected_s * _REMOTE_FACTOR + _REMOTE_ROUND_TRIP_S
+        expected_s += self._overdue_s(now, ratio)
+        expected_s += self._current_error_rate(now) * _ERROR_COST_S
         if now < self.paused_until:
-            expected_s += _PAUSE_COST_S
+            expected_s += _UNREACHABLE_COST_S
         if self.silent:
-            expected_s += _SILENT_COST_S
+            expected_s += _NO_HEARTBEAT_COST_S
         return expected_s
 
-    def _sample(self, attempt: object, ratio: float, now: float) -> None:
-        sample = min(max(ratio, _PACE_RANGE[0]), _PACE_RANGE[1])
-        self.pace = self._own_pace(now) * (1 - _PACE_WEIGHT) + sample * _PACE_WEIGHT
-        self.pace_at = now
-        self._share(attempt, ratio)
-        self.shared.pop(attempt, None)
-
-    def _share(self, attempt: object, ratio: float) -> None:
-        """Count an attempt once, and later only by what it has become slower."""
-        sample = min(max(ratio, _PACE_RANGE[0]), _PACE_RANGE[1])
-        before = self.shared.get(attempt)
-        self.samples += before is None
-        self.samples_total += sample - (before or 0.0)
-        self.shared[attempt] = sample
-
-    def _pace(self, now: float) -> float:
-        return max(self._own_pace(now), self.shared_pace)
-
-    def _own_pace(self, now: float) -> float:
-        return 1 + (self.pace - 1) * _decay(now - self.pace_at)
-
-    def _errors(self, now: float) -> float:
-        return self.errors * _decay(now - self.errors_at)
-
-    def _stalled_s(self, now: float, pace: float) -> float:
-        """Return how long the oldest open attempt is overdue."""
-        if not self.open:
+    def _add_sample(self, attempt: object, ratio: float, now: float) -> None:
+        sample = min(max(ratio, _RATIO_RANGE[0]), _RATIO_RANGE[1])
+        self.latency_ratio = (
+            self._own_ratio(now) * (1 - _RATIO_WEIGHT) + sample * _RATIO_WEIGHT
+        )
+        self.latency_ratio_at = now
+        self._report_ratio(attempt, ratio)
+        self.reported_ratios.pop(attempt, None)
+
+    def _report_ratio(self, attempt: object, ratio: float) -> None:
+        """Add the sample of an attempt, or only its growth if one was added before."""
+        sample = min(max(ratio, _RATIO_RANGE[0]), _RATIO_RANGE[1])
+        previous = self.reported_ratios.get(attempt)
+        self.sample_count += previous is None
+        self.sample_sum += sample - (previous or 0.0)
+        self.reported_ratios[attempt] = sample
+
+    def _current_ratio(self, now: float) -> float:
+        return max(self._own_ratio(now), self.shared_pace)
+
+    def _own_ratio(self, now: float) -> float:
+        return 1 + (self.latency_ratio - 1) * _decay_factor(now - self.latency_ratio_at)
+
+    def _current_error_rate(self, now: float) -> float:
+        return self.error_rate * _decay_factor(now - self.error_rate_at)
+
+    def _overdue_s(self, now: float, ratio: float) -> float:
+        """Return the age of the oldest open attempt if it is overdue, else 0."""
+        if not self.open_attempts:
             return 0.0
-        begun_at, typical_s = next(iter(self.open.values()))
-        age_s = now - begun_at
-        if age_s < max(_STALL_FACTOR * typical_s * pace, _STALL_FLOOR_S):
+        started_at, typical_s = next(iter(self.open_attempts.values()))
+        age_s = now - started_at
+        if age_s < max(_STALL_FACTOR * typical_s * ratio, _MIN_STALL_S):
             return 0.0
         return age_s
 
 
-def _decay(age_s: float) -> float:
-    return math.exp2(-age_s / _PACE_HALF_LIFE_S)
+def _decay_factor(age_s: float) -> float:
+    return math.exp2(-age_s / _ESTIMATE_HALF_LIFE_S)
 
 
 def choose_replica(
@@ -209,16 +216,16 @@
     typical_s: float,
     random: random_module.Random,
 ) -> int:
-    """Return the position of the replica that is expected to answer first.
+    """Return the index of the replica with the lowest expected latency.
 
     Parameters
     ----------
     typical_s : float
-        Usual duration of this kind of request.
+        Typical duration of this kind of request.
     """
 
-    def score(position: int) -> float:
+    def score(index: int) -> float:
         jitter = random.uniform(*_JITTER)
-        return replicas[position].expected_s(now, typical_s) * jitter
+        return replicas[index].expected_s(now, typical_s) * jitter
 
     return min(range(len(replicas)), key=score)
--- a/packages/routing/src/kingcuplug_routing/_server.py
+++ b/packages/routing/src/kingcuplug_routing/_server.py
@@ -1,9 +1,9 @@
-"""What an entry host knows about one backend server from its own attempts.
+"""State of one backend server, from the attempts of this entry host.
 
-The concurrency limit follows additive increase and multiplicative decrease between
-1 and the server's cap. The floor of 1 keeps every entry host able to observe the
-server; the share below 1 that ten entry hosts need at a server with three slots is
-kept by `Admission`.
+The concurrency limit follows additive increase and multiplicative decrease (AIMD)
+between 1 and the server's maximum. The minimum of 1 lets every entry host observe the
+server; `Admission` enforces the share below 1 that ten entry hosts need at a server
+with three slots.
 """
 
 import asyncio
@@ -16,12 +16,15 @@
 
 __all__ = ["Server"]
 
-_INCREASE = 0.1  # per answer at the limit; it grows by 1 in about ten such answers
-_DECREASE = 0.7
-_LOST_BACK_OFF_S = 0.1  # a refused connection costs a round trip; leases end in 2 s
-_MOST_DOUBLINGS = 6
-CENSORED = 2.0  # the rest of an exponential latency is as long as what passed
-_FAULTS = frozenset(
+_LIMIT_INCREASE = 0.1  # per answer at the limit: adds 1 in about ten such answers
+_LIMIT_DECREASE = 0.7
+# A refused connection costs a round trip; leases expire after 2 s.
+_CONNECTION_LOST_BACK_OFF_S = 0.1
+_MAX_DOUBLINGS = 6
+# A cancelled attempt is a censored observation. The expected remainder of an
+# exponential latency is as long as the time that has passed.
+CENSORED_LATENCY_FACTOR = 2.0
+_FAILURE_OUTCOMES = frozenset(
     {AttemptOutcome.FAILED, AttemptOutcome.TIMEOUT, AttemptOutcome.CONNECTION_LOST}
 )
 
@@ -32,32 +35,32 @@
     Parameters
     ----------
     view : ServerView
-        The directory's entry.
+        Entry of the server in the directory.
     latency_ms : float
         Latency to assume until one is observed.
     now : float
-        Time of the loop, from which the slow start counts.
+        Event loop time at which the slow start begins.
     """
 
     __slots__ = (
         "address",
+        "back_off_timer",
         "back_off_until",
-        "cap",
+        "consecutive_failures",
+        "consecutive_sheds",
         "ejected_until",
-        "ejections",
-        "failures",
+        "ejection_count",
         "in_flight",
         "incarnation",
         "latency_ms",
         "limit",
+        "max_limit",
         "policy",
-        "ramp_end",
         "reported_load",
-        "samples",
+        "sample_count",
         "server",
-        "sheds",
         "slots",
-        "timer",
+        "slow_start_end",
         "waiting",
         "zone",
         "zone_factor",
@@ -71,90 +74,99 @@
         self.incarnation = view.incarnation
         self.in_flight = 0
         self.latency_ms = latency_ms
-        self.samples = 0
-        self.failures = 0
-        self.sheds = 0
+        self.sample_count = 0
+        self.consecutive_failures = 0
+        self.consecutive_sheds = 0
         self.back_off_until = 0.0
         self.ejected_until = 0.0
-        self.ejections = 0
-        self.ramp_end = now + policy.slow_start_s
+        self.ejection_count = 0
+        self.slow_start_end = now + policy.slow_start_s
         self.zone_factor = 1.0
         self.waiting = WaitingQueue(policy.turn_after)
-        self.timer: asyncio.TimerHandle | None = None
+        self.back_off_timer: asyncio.TimerHandle | None = None
         self.limit = 1.0 if policy.limited else inf
-        self.cap = inf
+        self.max_limit = inf
 
     def refresh(self, view: ServerView, live_entry_hosts: int) -> None:
-        """Take over what the directory says about the same incarnation."""
+        """Update from the directory's entry of the same incarnation."""
         self.address = view.address
         self.zone = view.availability_zone
         self.slots = view.slots
         self.reported_load = view.reported_load
         if self.policy.limited:
             connections = view.connections // max(1, live_entry_hosts)
-            self.cap = float(max(1, min(view.slots, connections)))
-            self.limit = min(self.limit, self.cap)
+            self.max_limit = float(max(1, min(view.slots, connections)))
+            self.limit = min(self.limit, self.max_limit)
 
-    def observe(
+    def record_outcome(
         self, outcome: AttemptOutcome, latency_ms: float, now: float, random: Random
     ) -> None:
-        """Learn from one finished attempt, no longer counted in flight."""
+        """Record one finished attempt, which no longer counts as in flight."""
         if outcome is AttemptOutcome.OK:
-            self._succeed(latency_ms)
+            self._record_answer(latency_ms)
         elif outcome is AttemptOutcome.SHED:
-            self._shed(now, random)
-        elif outcome in _FAULTS:
-            self._fail(outcome, latency_ms, now, random)
+            self._record_shed(now, random)
+        elif outcome in _FAILURE_OUTCOMES:
+            self._record_failure(outcome, latency_ms, now, random)
         elif outcome is AttemptOutcome.CANCELLED and latency_ms > self.latency_ms:
             # The true latency is greater than the time until the cancellation.
-            self._sample(latency_ms * CENSORED)
-
-    def _succeed(self, latency_ms: float) -> None:
-        self._sample(latency_ms)
-        self.failures = 0
-        self.sheds = 0
-        if self.in_flight + 2 > self.limit and self.limit < self.cap:
-            self.limit = min(self.cap, self.limit + _INCREASE)
-
-    def _shed(self, now: float, random: Random) -> None:
-        self.limit = max(1.0, self.limit * _DECREASE)
-        doubled = self.latency_ms / 1_000 * 2.0 ** min(self.sheds, _MOST_DOUBLINGS)
-        self.sheds += 1
+            self._record_latency(latency_ms * CENSORED_LATENCY_FACTOR)
+
+    def _record_answer(self, latency_ms: float) -> None:
+        self._record_latency(latency_ms)
+        self.consecutive_failures = 0
+        self.consecutive_sheds = 0
+        if self.in_flight + 2 > self.limit and self.limit < self.max_limit:
+            self.limit = min(self.max_limit, self.limit + _LIMIT_INCREASE)
+
+    def _record_shed(self, now: float, random: Random) -> None:
+        self.limit = max(1.0, self.limit * _LIMIT_DECREASE)
+        doubled = (
+            self.latency_ms / 1_000 * 2.0 ** min(self.consecutive_sheds, _MAX_DOUBLINGS)
+        )
+        self.consecutive_sheds += 1
         self._back_off(doubled / self.slots, now, random)
 
-    def _fail(
+    def _record_failure(
         self, outcome: AttemptOutcome, latency_ms: float, now: float, random: Random
     ) -> None:
-        self.limit = max(1.0, self.limit * _DECREASE)
+        self.limit = max(1.0, self.limit * _LIMIT_DECREASE)
         if latency_ms > self.latency_ms:
-            self._sample(latency_ms)
-        doubled = _LOST_BACK_OFF_S * 2.0 ** min(self.failures, _MOST_DOUBLINGS)
-        self.failures += 1
+            self._record_latency(latency_ms)
+        doubled = _CONNECTION_LOST_BACK_OFF_S * 2.0 ** min(
+            self.consecutive_failures, _MAX_DOUBLINGS
+        )
+        self.consecutive_failures += 1
         if outcome is AttemptOutcome.CONNECTION_LOST:
             self._back_off(doubled, now, random)
 
     def _back_off(self, duration_s: float, now: float, random: Random) -> None:
-        # A random factor keeps the entry hosts from returning all at once.
+        # Jitter keeps the entry hosts from retrying all at once.
         duration_s *= 0.5 + random.random()
-        longest_s = self.policy.back_off_longest_s
-        self.back_off_until = now + min(longest_s, duration_s)
+        max_back_off_s = self.policy.back_off_longest_s
+        self.back_off_until = now + min(max_back_off_s, duration_s)
 
-    def _sample(self, latency_ms: float) -> None:
-        self.samples += 1
-        # The first samples count fully; the assumed latency is only a placeholder.
-        weight = max(self.policy.latency_weight, 1.0 / self.samples)
+    def _record_latency(self, latency_ms: float) -> None:
+        self.sample_count += 1
+        # The first samples form a plain mean, which drops the assumed latency.
+        weight = max(self.policy.latency_weight, 1.0 / self.sample_count)
         self.latency_ms += weight * (latency_ms - self.latency_ms)
 
     def expected_wait_ms(self, priority: Priority) -> float:
-        """Return how long a new request would wait for a place."""
+        """Return the expected wait of a new request for capacity."""
         if self.in_flight + 1 <= self.limit:
             return 0.0
-        ahead = self.waiting.ahead(priority) if self.waiting.entries else 0.0
+        ahead = self.waiting.cost_ahead(priority) if self.waiting.entry_count else 0.0
         return (ahead + 1) * self.latency_ms / self.limit
 
-    def eject_for(self, now: float) -> float | None:
-        """Return for how long the server should be ejected, if at all."""
-        if self.failures < self.policy.ejection_failures or now < self.ejected_until:
+    def ejection_duration_s(self, now: float) -> float | None:
+        """Return the duration for which to eject the server, or None."""
+        if (
+            self.consecutive_failures < self.policy.ejection_failures
+            or now < self.ejected_until
+        ):
             return None
-        doubled = self.policy.ejection_s * 2.0 ** min(self.ejections, _MOST_DOUBLINGS)
+        doubled = self.policy.ejection_s * 2.0 ** min(
+            self.ejection_count, _MAX_DOUBLINGS
+        )
         return float(min(self.policy.ejection_longest_s, doubled))
--- a/packages/routing/src/kingcuplug_routing/_waiting.py
+++ b/packages/routing/src/kingcuplug_routing/_waiting.py
@@ -1,8 +1,8 @@
-"""Priority queue of waiting requests in which no class starves.
+"""Priority queue of waiting requests without starvation.
 
-Classes are served in strict order, but a class that was passed over `turn_after`
-times while it waited gets the next turn. A fixed number of turns, unlike aging,
-keeps a flood of bulk requests from delaying urgent ones by more than a known share.
+Priority classes are served in strict order, but a class that was passed over
+`turn_after` times while it waited is served next. A fixed count, unlike aging, keeps
+a flood of bulk requests from delaying urgent ones by more than a known share.
 """
 
 import asyncio
@@ -14,20 +14,20 @@
 
 __all__ = ["Waiter", "WaitingQueue"]
 
-_SLACK = 16  # dead entries tolerated before a queue is compacted
+_COMPACTION_LENGTH = 16  # shorter queues are not compacted
 
 
 class Waiter:
-    """One waiting request; it is dead once its future is done.
+    """One waiting request; its entry is obsolete once its future is done.
 
     Parameters
     ----------
     future : asyncio.Future
-        Gets what the owner of the queue grants.
+        Receives the result that the owner of the queue grants.
     cost : float
-        Work that the request brings, in the unit of the owner.
+        Work that the request requires, in a unit of the queue's owner.
     snapshot, shard : int
-        What is wanted, for requests that wait for a server.
+        Requested snapshot and shard, for requests that wait for a server.
     replicas : sequence of Server
         Servers that may serve it.
     """
@@ -52,74 +52,74 @@
 
 
 class WaitingQueue:
-    """Waiting requests in the order in which they are to be served."""
+    """Waiting requests in the order in which they are served."""
 
-    __slots__ = ("_classes", "_passed", "_turn_after", "entries")
+    __slots__ = ("_queues", "_times_passed_over", "_turn_after", "entry_count")
 
     def __init__(self, turn_after: int) -> None:
-        self.entries = 0  # including dead ones, so 0 means that nothing waits
+        self.entry_count = 0  # with obsolete entries, so 0 means that no request waits
         self._turn_after = turn_after
-        self._classes = {priority: deque[Waiter]() for priority in Priority}
-        self._passed = dict.fromkeys(Priority, 0)
+        self._queues = {priority: deque[Waiter]() for priority in Priority}
+        self._times_passed_over = dict.fromkeys(Priority, 0)
 
     def push(self, waiter: Waiter) -> None:
-        """Append a request to its class."""
-        queue = self._classes[waiter.priority]
-        if len(queue) >= _SLACK and queue[len(queue) // 2].future.done():
+        """Append a request to the queue of its priority class."""
+        queue = self._queues[waiter.priority]
+        if len(queue) >= _COMPACTION_LENGTH and queue[len(queue) // 2].future.done():
             self._compact(waiter.priority)
-            queue = self._classes[waiter.priority]
+            queue = self._queues[waiter.priority]
         queue.append(waiter)
-        self.entries += 1
+        self.entry_count += 1
 
     def peek(self) -> Waiter | None:
         """Return the request that is served next."""
         priority = self._next_class()
-        return None if priority is None else self._classes[priority][0]
+        return None if priority is None else self._queues[priority][0]
 
     def pop(self) -> Waiter | None:
         """Remove and return the request that is served next."""
         chosen = self._next_class()
         if chosen is None:
             return None
-        lower = False
-        for priority, queue in self._classes.items():
-            if lower and queue:
-                self._passed[priority] += 1
-            lower = lower or priority is chosen
-        self._passed[chosen] = 0
-        self.entries -= 1
-        return self._classes[chosen].popleft()
-
-    def ahead(self, priority: Priority) -> float:
+        after_chosen = False
+        for priority, queue in self._queues.items():
+            if after_chosen and queue:
+                self._times_passed_over[priority] += 1
+            after_chosen = after_chosen or priority is chosen
+        self._times_passed_over[chosen] = 0
+        self.entry_count -= 1
+        return self._queues[chosen].popleft()
+
+    def cost_ahead(self, priority: Priority) -> float:
         """Return the cost of the requests served before a new one of `priority`."""
         cost = 0.0
-        for other, queue in self._classes.items():
+        for other, queue in self._queues.items():
             cost += sum(each.cost for each in queue if not each.future.done())
             if other == priority:
                 break
         return cost
 
     def __iter__(self) -> Iterator[Waiter]:
-        """Yield the waiting requests by class."""
-        for queue in self._classes.values():
+        """Yield the waiting requests by priority class."""
+        for queue in self._queues.values():
             yield from (each for each in queue if not each.future.done())
 
     def _next_class(self) -> Priority | None:
         first = None
-        for priority, queue in self._classes.items():
+        for priority, queue in self._queues.items():
             while queue and queue[0].future.done():
                 queue.popleft()
-                self.entries -= 1
+                self.entry_count -= 1
             if not queue:
-                self._passed[priority] = 0
+                self._times_passed_over[priority] = 0
             elif first is None:
                 first = priority
-            elif self._passed[priority] >= self._turn_after:
+            elif self._times_passed_over[priority] >= self._turn_after:
                 return priority
         return first
 
     def _compact(self, priority: Priority) -> None:
-        queue = self._classes[priority]
+        queue = self._queues[priority]
         live = deque(each for each in queue if not each.future.done())
-        self.entries -= len(queue) - len(live)
-        self._classes[priority] = live
+        self.entry_count -= len(queue) - len(live)
+        self._queues[priority] = live
--- a/packages/routing/src/kingcuplug_routing/_warm_up.py
+++ b/packages/routing/src/kingcuplug_routing/_warm_up.py
@@ -1,30 +1,30 @@
-"""How long a request waits at a host that has just started.
+"""Time for which a request waits at a host that has just started.
 
-Answers this load pattern: all hosts lose power at once and are back within a second
-or two, but know neither routes nor servers until the control hosts have elected a
-leader and the servers have spoken. Callers come at once; most of them have time to
-wait, and a refusal would only bring them back while nothing has changed.
+Handles this load pattern: all hosts lose power at once and restart within a second or
+two, but have neither routes nor servers until the control hosts have elected a leader
+and the servers have announced themselves. Callers send requests at once; most have time
+to wait, and a refusal would only make them resend before anything has changed.
 """
 
 __all__ = ["wait_until"]
 
-# An election after a start of all hosts takes 1.2 s, a round of the servers'
-# statements about as long. An older host without routes is cut off, and its callers
-# are better served elsewhere.
-WARM_UP_S = 4.0
-# A caller that is refused in the end needs the rest of its time for another host.
-_SHARE_OF_TIME = 0.45
+# An election after a restart of all hosts takes 1.2 s, a round of the servers'
+# announcements about as long. A host that has run for longer without routes is
+# partitioned, and its callers are better served by other hosts.
+MAX_STARTUP_WAIT_S = 4.0
+# A caller that is refused after the wait needs the remaining time for another host.
+_WAIT_SHARE_OF_TIMEOUT = 0.45
 
 
 def wait_until(received_at: float, deadline_at: float, started_at: float) -> float:
-    """Return until when a request may wait for routes or servers.
+    """Return the event loop time until which a request may wait for routes or servers.
 
     Parameters
     ----------
     received_at, deadline_at : float
-        Of the request, in event loop time.
+        Event loop times of the request's arrival and deadline.
     started_at : float
-        When the host started.
+        Event loop time at which the host started.
     """
-    patience_at = received_at + (deadline_at - received_at) * _SHARE_OF_TIME
-    return min(patience_at, started_at + WARM_UP_S)
+    wait_until_at = received_at + (deadline_at - received_at) * _WAIT_SHARE_OF_TIMEOUT
+    return min(wait_until_at, started_at + MAX_STARTUP_WAIT_S)
--- a/tests/routing/conftest.py
+++ b/tests/routing/conftest.py
@@ -1,4 +1,4 @@
-"""Servers and routers shared by the routing tests."""
+"""Fixtures for servers and routers of the routing tests."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -10,8 +10,10 @@
 MakeRouter = Callable[..., Router]
 
 
-def _view(index: int, shards: tuple[int, ...] = (0, 1), **fields: object) -> ServerView:
-    """Return a server with 2 slots; its zone is one of three."""
+def _server_view(
+    index: int, shards: tuple[int, ...] = (0, 1), **fields: object
+) -> ServerView:
+    """Return a server with 2 slots in one of three zones."""
     view = ServerView(
         f"server-{index}",
         f"127.0.0.1:{9_000 + index}",
@@ -26,16 +28,16 @@
 
 @pytest.fixture
 def make_view() -> Callable[..., ServerView]:
-    return _view
+    return _server_view
 
 
 @pytest.fixture
 def make_router() -> MakeRouter:
     def make(servers: int = 3, hosts: int = 10, **fields: object) -> Router:
-        """Return a router without slow start, to be made inside the loop."""
+        """Return a router without slow start; call this inside the event loop."""
         policy = RoutingPolicy(**({"slow_start_s": 0.0} | fields))  # type: ignore[arg-type]
         router = Router("stock", policy, Random(7))
-        router.update([_view(i) for i in range(servers)], hosts)
+        router.update([_server_view(i) for i in range(servers)], hosts)
         return router
 
     return make
--- a/tests/routing/test_turnstile.py
+++ b/tests/routing/test_turnstile.py
@@ -1,55 +1,55 @@
-"""Replays of bursts against the number of requests that a host sends at once."""
+"""Limit on the concurrent requests of a host under replayed bursts."""
 
 from kingcuplug_routing import Turnstile, places
 
 
-def _enter(
-    turnstile: Turnstile, limit: int, rank: int, name: str, log: list[str]
+def _send_or_enqueue(
+    limiter: Turnstile, limit: int, rank: int, name: str, admitted: list[str]
 ) -> None:
-    if turnstile.enter(limit):
-        log.append(name)
+    if limiter.enter(limit):
+        admitted.append(name)
         return
 
     def admit() -> bool:
-        log.append(name)
+        admitted.append(name)
         return True
 
-    turnstile.wait(rank, admit)
+    limiter.wait(rank, admit)
 
 
-def test_burst_after_a_start_does_not_overflow_the_servers_queues():
+def test_burst_after_a_restart_does_not_overflow_server_queues():
     """Guards against a hundred queries that reach a shard in the same millisecond.
 
-    Ten hosts, three servers with three slots and room for 18 more each.
+    Ten hosts send to three servers with three slots and a queue of 18 requests each.
     """
     limit = places(slots=9, hosts=10)
-    inside = 0
+    in_flight = 0
     for _ in range(10):
-        turnstile, log = Turnstile(), []
+        limiter, admitted = Turnstile(), []
         for number in range(12):
-            _enter(turnstile, limit, 1, str(number), log)
-        inside += len(log)
-    assert inside <= 9 + 3 * 18
+            _send_or_enqueue(limiter, limit, 1, str(number), admitted)
+        in_flight += len(admitted)
+    assert in_flight <= 9 + 3 * 18
 
 
-def test_urgent_requests_go_first_and_equals_in_order():
-    """Guards against an urgent request behind a queue of others."""
-    turnstile, log = Turnstile(), []
-    _enter(turnstile, 1, 2, "first", log)
+def test_requests_are_admitted_by_rank_and_then_by_arrival():
+    """Guards against an urgent request that waits behind others."""
+    limiter, admitted = Turnstile(), []
+    _send_or_enqueue(limiter, 1, 2, "first", admitted)
     for rank, name in ((2, "a"), (2, "b"), (0, "urgent"), (1, "c")):
-        _enter(turnstile, 1, rank, name, log)
+        _send_or_enqueue(limiter, 1, rank, name, admitted)
     for _ in range(4):
-        turnstile.leave(1)
-    assert log == ["first", "urgent", "c", "a", "b"]
-
-
-def test_request_whose_caller_left_takes_no_place():
-    """Guards against places lost to callers that are gone."""
-    turnstile, log = Turnstile(), []
-    _enter(turnstile, 1, 1, "first", log)
-    turnstile.wait(0, lambda: False)
-    _enter(turnstile, 1, 1, "second", log)
-    turnstile.leave(1)
-    assert log == ["first", "second"]
-    turnstile.leave(1)
-    assert turnstile.enter(1)
+        limiter.leave(1)
+    assert admitted == ["first", "urgent", "c", "a", "b"]
+
+
+def test_abandoned_request_takes_no_capacity():
+    """Guards against capacity that leaks to requests of disconnected callers."""
+    limiter, admitted = Turnstile(), []
+    _send_or_enqueue(limiter, 1, 1, "first", admitted)
+    limiter.wait(0, lambda: False)
+    _send_or_enqueue(limiter, 1, 1, "second", admitted)
+    limiter.leave(1)
+    assert admitted == ["first", "second"]
+    limiter.leave(1)
+    assert limiter.enter(1)
