--- a/packages/gateway/src/kingcuplug_gateway/_pool.py
+++ b/packages/gateway/src/kingcuplug_gateway/_connection_pool.py
@@ -1,7 +1,7 @@
 """Connections of this host to one backend server.
 
-Answers these load patterns: servers bound their connections over all hosts
-together, a new connection costs a server time, and servers close idle connections.
+Designed for servers that limit the number of connections from all hosts together,
+spend time on accepting a new connection, and close idle connections.
 """
 
 import asyncio
@@ -12,33 +12,35 @@
 
 __all__ = ["Pending", "ServerConnections"]
 
-# A server that is up answers in a round trip; a dark one costs the caller this.
+# A running server accepts within a round trip; an unreachable one delays the caller
+# by this timeout.
 CONNECT_TIMEOUT_S = 0.5
-# A request that crosses the server's close is lost, so connections end early.
+# A request sent while the server closes its idle connection is lost, so this host
+# closes connections this much earlier.
 _CLOSE_MARGIN_S = 0.6
-_DEFAULT_KEEP_ALIVE_S = 4.0  # Shorter than the idle time-out of usual servers.
+_DEFAULT_KEEP_ALIVE_S = 4.0  # Below the idle timeout of common servers.
 
 
 class Pending(Exchange, Protocol):
-    """A request that waits for a connection or is on one.
+    """A request that waits for a connection or is in progress on one.
 
     Attributes
     ----------
     wanted : bool
-        Whether it is still to be sent once there is a connection.
+        Whether to send the request once a connection is available.
     bodiless : bool
-        Whether the response has no body whatever its headers say.
+        Whether the response has no body regardless of its headers.
     """
 
     wanted: bool
     bodiless: bool
 
     def encode(self) -> bytes:
-        """Return the bytes of the request, made when they are sent."""
+        """Return the encoded request; called when it is sent."""
         ...
 
     def sent(self, connection: OutboundConnection) -> None:
-        """Take the news that the request is on its way."""
+        """Handle that the request is about to be sent on the connection."""
         ...
 
 
@@ -50,7 +52,7 @@
     address : str
         ``ip:port``.
     limit : int
-        Connections of this host at the same time.
+        Maximum number of simultaneous connections of this host.
     """
 
     def __init__(self, address: str, limit: int) -> None:
@@ -63,13 +65,13 @@
         self._closed = False
 
     def submit(self, pending: Pending, fresh: bool) -> None:
-        """Send a request as soon as there is a connection.
+        """Send a request as soon as a connection is available.
 
         Parameters
         ----------
         fresh : bool
-            Use a new connection: a kept one may have been closed by the server
-            already, and then nobody knows whether the request ran.
+            Use a new connection. The server may already have closed an idle one, and
+            then it is unknown whether the request ran.
         """
         connection = None if fresh else self._take()
         if connection is not None:
@@ -81,7 +83,7 @@
             self._waiting.append((pending, fresh))
 
     def withdraw(self, pending: Pending) -> bool:
-        """Take back a request that waits; return whether it did."""
+        """Remove a waiting request; return whether it was waiting."""
         for entry in self._waiting:
             if entry[0] is pending:
                 self._waiting.remove(entry)
@@ -89,7 +91,7 @@
         return False
 
     def release(self, connection: OutboundConnection) -> None:
-        """Take back the connection of a request that has ended."""
+        """Return the connection of a finished request to the pool."""
         self._busy -= 1
         if not connection.usable or self._closed:
             connection.close()
@@ -105,7 +107,7 @@
         self._idle.clear()
 
     def prune(self, now: float) -> None:
-        """Close connections that have been idle for long."""
+        """Close unusable connections and those idle for too long."""
         kept = []
         for connection in self._idle:
             if connection.usable and now < _expiry(connection):
--- a/packages/gateway/src/kingcuplug_gateway/_gateway.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gateway.py
@@ -1,4 +1,4 @@
-"""The way of one caller's request: route, servers, answer."""
+"""Handling of callers' requests: routing, forwarding and scatter-gather queries."""
 
 import asyncio
 import random as random_module
@@ -25,45 +25,45 @@
     wait_until,
 )
 
-from kingcuplug_gateway._call import Outgoing, ServiceCall
-from kingcuplug_gateway._gatherer import Gatherer
-from kingcuplug_gateway._gathering import (
+from kingcuplug_gateway._gather_client import (
     AskPeer,
     Gatherers,
     GatherNote,
     NotGathering,
     gather,
 )
+from kingcuplug_gateway._gather_server import Gatherer
 from kingcuplug_gateway._request_log import Ended, RequestLog
 from kingcuplug_gateway._routes import Route, RouteTable
 from kingcuplug_gateway._scatter import Scatter
 from kingcuplug_gateway._servers import KnownServer, ServerTable, ServicePool
+from kingcuplug_gateway._service_call import Outgoing, ServiceCall
 from kingcuplug_gateway._settings import GatewaySettings
-from kingcuplug_gateway._split import WeightedTurn
+from kingcuplug_gateway._weighted_round_robin import WeightedTurn
 
 __all__ = ["Gateway"]
 
 _MS_PER_S = 1_000
 _FIRST_ERROR = 400
-_LONGEST_DIGITS = 12  # A longer number of milliseconds is no deadline.
-# One-way trips between a caller's start and its answer if it connects first: the
-# connection's set-up, the request and the answer.
+_LONGEST_DIGITS = 12  # A deadline header with more digits is ignored.
+# One-way network trips of a request on a new connection: two for the TCP handshake,
+# one each for the request and the response.
 _TRIPS = 4
-# A caller that is told to come back should find a server that was restarted or
-# announced meanwhile; the spread keeps callers from returning in step.
+# The delay lets a server restart or be announced before the caller retries. It is
+# drawn at random from this range, so that callers do not retry at the same time.
 _RETRY_AFTER_S = (0.15, 0.45)
-# Bounds the wait of requests that come before the routes, with their timeouts, are
-# known.
+# Bounds the wait of requests that arrive before the first route table, and thus the
+# routes' timeouts, are known.
 _LONGEST_WAIT_MS = 10_000
 
 
 class Gateway:
-    """Serves callers by the newest route table that the host has learnt.
+    """Serves callers according to the newest route table of the host.
 
     Attributes
     ----------
     table : RouteTable or None
-        The routes in force here; ``None`` before the first were learnt.
+        Route table in force; ``None`` until the first one is installed.
     servers : ServerTable
         Backend servers by service.
     """
@@ -115,7 +115,7 @@
         )
 
     def adopt(self, table: RouteTable) -> bool:
-        """Take a route table if it is newer than the one in force."""
+        """Install a route table if it is newer than the one in force."""
         if self.table is not None and table.version <= self.table.version:
             return False
         self.table = table
@@ -133,16 +133,16 @@
         requests_of_all: int = 0,
         gatherers: Mapping[str, Sequence[str]] = MappingProxyType({}),
     ) -> None:
-        """Take what is known of the fleet.
+        """Update the state of the fleet.
 
         Parameters
         ----------
         servers : list of KnownServer
-            Those that may be used.
+            Servers that requests may be sent to.
         hosts, requests_of_all : int
             Live hosts and their requests in the last window; 0 if unknown.
         gatherers : mapping
-            Addresses of hosts that gather parts of queries, by availability zone.
+            Addresses of the hosts that gather parts of queries, by availability zone.
         """
         if gatherers != self._gatherers.zones:
             self._gatherers.zones = gatherers
@@ -155,7 +155,7 @@
         self._changed.notify()
 
     def limits(self) -> Limits:
-        """Return what callers may send."""
+        """Return the size limits and timeouts of callers' requests."""
         table = self.table
         if table is None:
             return Limits()
@@ -167,19 +167,27 @@
         )
 
     async def gather(self, value: Any, begins: bool = True) -> Any:
-        """Answer another host for which this one gathers parts.
+        """Handle the message of a host that has this one gather parts.
 
         Parameters
         ----------
+        value : Any
+            JSON value of the message.
         begins : bool
-            Whether new gatherings are taken; those in progress always go on.
+            Whether new gather operations are accepted; those in progress continue in
+            any case.
+
+        Returns
+        -------
+        Any
+            JSON value of the reply.
 
         Raises
         ------
         NotGathering
-            If no new gatherings are taken, or this host's link is narrow, too.
+            If no new operations are accepted, or this host's own link is narrow.
         ValueError
-            If the question cannot be read or comes too late.
+            If the message cannot be decoded, or its operation has ended.
         """
         if self._settings.narrow:
             raise NotGathering(f"the link has {self._settings.link_mbps} Mbit/s")
@@ -189,7 +197,7 @@
         return await self._gatherer.answer(value, begins)
 
     async def handle(self, request: Request) -> Response:
-        """Answer one caller's request."""
+        """Return the response to a caller's request."""
         await self._warm(request, _LONGEST_WAIT_MS, lambda: self.table is not None)
         table = self.table
         if table is None:
@@ -215,18 +223,18 @@
         loop = asyncio.get_running_loop()
         finished: asyncio.Future[None] = loop.create_future()
 
-        def done(call: ServiceCall) -> None:
+        def on_finished(call: ServiceCall) -> None:
             if not finished.done():
                 finished.set_result(None)
 
-        outgoing = self._outgoing(request, route)
+        outbound = self._outgoing(request, route)
         timing = self._timing(route.name, route.target_ms)
-        call = self._call(service, outgoing, timing, route.max_attempts, done)
-        if not await self._enter(pool, route, outgoing):
+        call = self._call(service, outbound, timing, route.max_attempts, on_finished)
+        if not await self._enter(pool, route, outbound):
             return self._refuse(request, route, "no_turn")
         call.start()
         try:
-            async with asyncio.timeout_at(self._final_at(outgoing)):
+            async with asyncio.timeout_at(self._final_at(outbound)):
                 await finished
         except TimeoutError:
             call.cancel()
@@ -237,17 +245,17 @@
             raise
         finally:
             pool.turnstile.leave(places(pool.slots, self._hosts))
-        ending = call.ending
-        if ending.response is not None:
-            return self._end(request, route, _relayed(ending.response), call)
-        if not ending.may_have_run:
+        result = call.ending
+        if result.response is not None:
+            return self._end(request, route, _relayed(result.response), call)
+        if not result.may_have_run:
             return self._refuse(request, route, "no_room", call)
         return self._end(request, route, error_response(502, "no answer"), call)
 
     async def _query(self, request: Request, route: Route) -> Response:
-        """Send a request to one server of each shard and merge the parts."""
-        outgoing = self._outgoing(request, route)
-        rule = self._rule(request, route, outgoing)
+        """Send a request to one server of each shard and merge their responses."""
+        outbound = self._outgoing(request, route)
+        rule = self._rule(request, route, outbound)
         pools = [self.servers.pool(shard) for shard in route.shards]
         await self._warm(
             request, route.timeout_ms, lambda: all(pool.servers for pool in pools)
@@ -256,30 +264,34 @@
         reachable = sum(pool.reachable(now) for pool in pools)
         if reachable < rule.needed:
             return self._refuse(request, route, "shards_unreachable")
-        if not await self._enter(pools[0], route, outgoing):
+        if not await self._enter(pools[0], route, outbound):
             return self._refuse(request, route, "no_turn")
         scatter = Scatter(rule, self._names.seal.lower())
-        notes: list[GatherNote] = []
+        gather_records: list[GatherNote] = []
         try:
-            await scatter.run(lambda: self._ask(route, outgoing, scatter, rule, notes))
+            await scatter.run(
+                lambda: self._ask(route, outbound, scatter, rule, gather_records)
+            )
         except asyncio.CancelledError:
-            self._gone(request, route, *scatter.calls, notes=notes)
+            self._gone(request, route, *scatter.calls, notes=gather_records)
             raise
         finally:
             pools[0].turnstile.leave(places(pools[0].slots, self._hosts))
         merged = scatter.merged(route.top_records)
         if merged is None:
-            late = asyncio.get_running_loop().time() >= rule.final_at
-            status = 504 if late else 502
+            past_deadline = asyncio.get_running_loop().time() >= rule.final_at
+            status = 504 if past_deadline else 502
             response = error_response(status, "too few shards answered")
-            return self._end(request, route, response, *scatter.calls, notes=notes)
+            return self._end(
+                request, route, response, *scatter.calls, notes=gather_records
+            )
         headers: Headers = [
             (self._names.part_seals, b", ".join(merged.seals)),
             (self._names.missing_parts, b"%d" % merged.missing),
             (b"Content-Type", b"application/octet-stream"),
         ]
         response = Response(200, headers, merged.body)
-        return self._end(request, route, response, *scatter.calls, notes=notes)
+        return self._end(request, route, response, *scatter.calls, notes=gather_records)
 
     def _ask(
         self,
@@ -289,31 +301,33 @@
         rule: AnswerRule,
         notes: list[GatherNote],
     ) -> list[Coroutine[Any, Any, None]]:
-        """Ask shards, and return what has other hosts gather parts."""
+        """Start calls to shards, and return the coroutines that delegate the others."""
         delegations = self._delegations(route)
-        delegated = {shard for d in delegations for shard in d.shards}
+        delegated_shards = {shard for d in delegations for shard in d.shards}
         now = asyncio.get_running_loop().time()
-        for shard in delegated:
+        for shard in delegated_shards:
             self.servers.pool(shard).allowance.request(now)
 
         timing = self._timing(route.name, route.target_ms)
 
-        def ask(shard: str) -> ServiceCall:
+        def make_call(shard: str) -> ServiceCall:
             return self._call(
                 shard, outgoing, timing, route.max_attempts, scatter.part_done
             )
 
-        def ask_again(shard: str) -> ServiceCall:
-            # The gatherer may have sent a first attempt.
-            attempts = max(1, route.max_attempts - 1)
+        def make_fallback_call(shard: str) -> ServiceCall:
+            # The gatherer may have sent a first attempt, which counts as one.
+            max_attempts = max(1, route.max_attempts - 1)
             return self._call(
-                shard, outgoing, timing, attempts, scatter.part_done, "fallback"
+                shard, outgoing, timing, max_attempts, scatter.part_done, "fallback"
             )
 
-        def fall_back(shards: Sequence[str], sent: bool) -> None:
-            scatter.ask_shards(ask_again if sent else ask, shards)
+        def call_shards_directly(shards: Sequence[str], maybe_sent: bool) -> None:
+            scatter.ask_shards(make_fallback_call if maybe_sent else make_call, shards)
 
-        scatter.ask_shards(ask, [s for s in route.shards if s not in delegated])
+        scatter.ask_shards(
+            make_call, [s for s in route.shards if s not in delegated_shards]
+        )
         notes += [GatherNote(d.gatherer, len(d.shards), now) for d in delegations]
         if self._ask_peer is None:
             return []
@@ -327,10 +341,10 @@
                 timing,
                 scatter,
                 rule,
-                note,
-                fall_back,
+                record,
+                call_shards_directly,
             )
-            for delegation, note in zip(delegations, notes, strict=True)
+            for delegation, record in zip(delegations, notes, strict=True)
         ]
 
     def _delegations(self, route: Route) -> list[Delegation]:
@@ -345,7 +359,7 @@
     async def _warm(
         self, request: Request, wait_ms: int, known: Callable[[], bool]
     ) -> None:
-        """Wait while the host has just started and does not know enough yet."""
+        """Wait until the host is ready, if it has only just started."""
         if known():
             return
         now = asyncio.get_running_loop().time()
@@ -355,43 +369,49 @@
             await self._changed.until(known, until - now)
 
     async def _enter(self, pool: ServicePool, route: Route, outgoing: Outgoing) -> bool:
-        """Wait for the request's turn; return whether it came in time."""
+        """Wait for admission by the limiter; return whether it came in time."""
         if pool.turnstile.enter(places(pool.slots, self._hosts)):
             return True
-        turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        admission: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
         def admit() -> bool:
-            if turn.done():
+            if admission.done():
                 return False
-            turn.set_result(None)
+            admission.set_result(None)
             return True
 
         pool.turnstile.wait(route.rank, admit)
         try:
             async with asyncio.timeout_at(self._final_at(outgoing)):
-                await turn
+                await admission
         except TimeoutError:
             return False
         except asyncio.CancelledError:
-            if turn.done() and not turn.cancelled():
+            if admission.done() and not admission.cancelled():
                 pool.turnstile.leave(places(pool.slots, self._hosts))
             raise
         return True
 
     def _deadline_at(self, request: Request, wait_ms: int) -> float:
-        """Return when the caller or the route's time is over."""
-        given = request.header(self._names.deadline_ms.lower())
-        if given is not None and given.isdigit() and len(given) <= _LONGEST_DIGITS:
-            wait_ms = min(wait_ms, int(given))
+        """Return the caller's deadline, bounded by the time limit `wait_ms`."""
+        header_value = request.header(self._names.deadline_ms.lower())
+        if (
+            header_value is not None
+            and header_value.isdigit()
+            and len(header_value) <= _LONGEST_DIGITS
+        ):
+            wait_ms = min(wait_ms, int(header_value))
         return request.received_at + wait_ms / _MS_PER_S
 
     def _service(self, route: Route) -> str:
         if len(route.services) == 1:
             return route.services[0].service
-        turn = self._turns.get(route.name)
-        if turn is None:
-            turn = self._turns[route.name] = WeightedTurn(route.services, self._random)
-        return turn.next()
+        round_robin = self._turns.get(route.name)
+        if round_robin is None:
+            round_robin = self._turns[route.name] = WeightedTurn(
+                route.services, self._random
+            )
+        return round_robin.next()
 
     def _call(
         self,
@@ -424,10 +444,11 @@
         return timing
 
     def _rule(self, request: Request, route: Route, outgoing: Outgoing) -> AnswerRule:
-        # A caller's clock runs from before its connection was made.
+        # The caller measures from before it connects, so the first request on a
+        # connection includes the TCP handshake.
         trips = _TRIPS if request.first else 2
-        lost_ms = trips * self._settings.caller_delay_ms
-        target_ms = route.target_ms - lost_ms - self._settings.answer_margin_ms
+        network_ms = trips * self._settings.caller_delay_ms
+        target_ms = route.target_ms - network_ms - self._settings.answer_margin_ms
         final_at = self._final_at(outgoing)
         target_at = request.received_at + max(target_ms, 1.0) / _MS_PER_S
         return AnswerRule(
@@ -464,10 +485,10 @@
         )
 
     def _final_at(self, outgoing: Outgoing) -> float:
-        """Return when the final answer must leave to reach the caller in time."""
+        """Return when the response must be sent to reach the caller in time."""
         settings = self._settings
-        kept_ms = _TRIPS * settings.caller_delay_ms + settings.answer_margin_ms
-        return outgoing.deadline_at - kept_ms / _MS_PER_S
+        reserved_ms = _TRIPS * settings.caller_delay_ms + settings.answer_margin_ms
+        return outgoing.deadline_at - reserved_ms / _MS_PER_S
 
     def _limit_connections(self) -> None:
         if self.table is not None:
@@ -481,9 +502,9 @@
     def _refuse(
         self, request: Request, route: Route | None, reason: str, *calls: ServiceCall
     ) -> Response:
-        """Refuse a request that has not run and never will."""
-        pause_s = self._random.uniform(*_RETRY_AFTER_S)
-        response = error_response(503, reason, retry_after_s=pause_s)
+        """Refuse a request that has run at no server, and ask for a later retry."""
+        retry_after_s = self._random.uniform(*_RETRY_AFTER_S)
+        response = error_response(503, reason, retry_after_s=retry_after_s)
         return self._end(request, route, response, *calls)
 
     def _gone(
@@ -503,8 +524,12 @@
         *calls: ServiceCall,
         notes: Sequence[GatherNote] = (),
     ) -> Response:
-        own = response.header(self._names.seal.lower()) is None
-        reason = response.body if own and response.status >= _FIRST_ERROR else b""
+        is_own_response = response.header(self._names.seal.lower()) is None
+        reason = (
+            response.body
+            if is_own_response and response.status >= _FIRST_ERROR
+            else b""
+        )
         self._observe(request, route, str(response.status), reason, calls, notes)
         return response
 
@@ -518,8 +543,8 @@
         notes: Sequence[GatherNote],
     ) -> None:
         version = self.table.version if self.table else None
-        ended = Ended(outcome, reason, version, self._hosts, calls, notes)
-        self._request_log.write(request, route, ended)
+        result = Ended(outcome, reason, version, self._hosts, calls, notes)
+        self._request_log.write(request, route, result)
 
 
 def _place(request: Request) -> tuple[str | None, str | None]:
@@ -533,6 +558,6 @@
 
 
 def _relayed(response: Response) -> Response:
-    """Return a server's response as it goes to the caller."""
+    """Return a server's response without its hop-by-hop headers."""
     headers = end_to_end(response.headers)
     return Response(response.status, headers, response.body, response.fields)
--- a/packages/gateway/src/kingcuplug_gateway/_gathering.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gather_client.py
@@ -1,4 +1,4 @@
-"""Has other hosts gather parts of a query for this one."""
+"""Client side of gathering: has other hosts query shards for this one."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Mapping, Sequence
@@ -8,35 +8,36 @@
 from kingcuplug_common import EventLog, KingcuplugError, identifier
 from kingcuplug_routing import AnswerRule, Delegation, Timing
 
-from kingcuplug_gateway._call import Outgoing
 from kingcuplug_gateway._gather_messages import Begin, Gathered, Rest
 from kingcuplug_gateway._routes import Route
 from kingcuplug_gateway._scatter import Scatter
+from kingcuplug_gateway._service_call import Outgoing
 
 __all__ = ["AskPeer", "GatherNote", "Gatherers", "NotGathering", "gather"]
 
 _MS_PER_S = 1_000
-# A round trip between availability zones, and the time of a busy gatherer, beyond the
-# latest moment at which it answers a first question.
+# Covers a round trip between availability zones and the delay of a busy gatherer, on
+# top of the latest time at which it replies to a first request.
 _ANSWER_S = 0.01
-# An answer leaves a gatherer so much before this host's own is due.
+# A gatherer replies this long before the response of this host is due.
 _MARGIN_S = 0.004
-# A gatherer that did not answer is left out for this long, doubled by each further
-# failure.
+# A gatherer that did not reply is excluded for this long, doubled by each further
+# failure up to the maximum.
 _FIRST_PAUSE_S = 1.0
 _LONGEST_PAUSE_S = 8.0
 
-# The host answers its caller in time whatever the gatherer does after its first answer,
-# so a gatherer that is a moment late then is not left.
+# After the first reply, this host answers its caller in time whatever the gatherer
+# does, so a gatherer that is slightly late then is not excluded.
 _REST_ANSWER_S = 0.1
 
-# Calls another host: address, value and time limit in seconds. Raises `NotGathering` if
-# that host refuses, and another `KingcuplugError` if it does not answer.
+# Calls another host with an address, a JSON value and a time limit in seconds. Raises
+# `NotGathering` if that host refuses, and another `KingcuplugError` if it does not
+# reply.
 AskPeer = Callable[[str, Any, float], Awaitable[Any]]
 
 
 class NotGathering(KingcuplugError):
-    """A host does not gather parts for others, at least not now."""
+    """The host does not gather parts for others, permanently or for now."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason, "ask another host, or the shards themselves")
@@ -44,14 +45,14 @@
 
 @dataclass(slots=True)
 class GatherNote:
-    """One gathering, for the log.
+    """Log record of one gather operation.
 
     Attributes
     ----------
     parts : int
-        Parts that came in.
+        Number of parts received.
     outcome : str
-        ``open`` until it has ended.
+        ``open`` until the operation has ended.
     """
 
     gatherer: str
@@ -62,11 +63,11 @@
     outcome: str = "open"
 
     def end(self, outcome: str, now: float) -> None:
-        """Note how the gathering ended."""
+        """Record how the operation ended."""
         self.outcome, self.ended_at = outcome, now
 
     def fields(self, begun_at: float) -> dict[str, str | float | None]:
-        """Return what a log line says, with times since `begun_at`."""
+        """Return the log entry, with times relative to `started_at`."""
         took_s = self.ended_at - self.began_at if self.ended_at else None
         return {
             "gatherer": self.gatherer,
@@ -79,7 +80,7 @@
 
 
 class Gatherers:
-    """The hosts that gather for this one, without those that did not answer."""
+    """Addresses of the gatherers, with temporary exclusion of those that failed."""
 
     def __init__(self, log: EventLog) -> None:
         self._log = log
@@ -87,7 +88,7 @@
         self.zones: Mapping[str, Sequence[str]] = {}
 
     def usable(self, now: float) -> dict[str, list[str]]:
-        """Return addresses by availability zone."""
+        """Return the addresses not excluded at the time `now`, by availability zone."""
         usable = {
             zone: [a for a in addresses if self._failures.get(a, (0, 0.0))[1] <= now]
             for zone, addresses in self.zones.items()
@@ -95,11 +96,11 @@
         return {zone: addresses for zone, addresses in usable.items() if addresses}
 
     def succeed(self, address: str) -> None:
-        """Note that a gatherer has answered."""
+        """Record a reply of a gatherer, which clears its earlier failures."""
         self._failures.pop(address, None)
 
     def fail(self, address: str, now: float, reason: str) -> None:
-        """Leave a gatherer out for a while."""
+        """Exclude a gatherer that failed, for longer after each further failure."""
         failures, until = self._failures.get(address, (0, 0.0))
         if until > now:
             return
@@ -122,20 +123,22 @@
     note: GatherNote,
     fall_back: Callable[[Sequence[str], bool], None],
 ) -> None:
-    """Have one host gather some shards' parts, and take them.
+    """Have one host gather the parts of some shards, and add them to the query.
 
-    The gatherer sends no second attempt to save time before it was asked for the
-    rest, so if it does not answer at first, this host may ask each shard once itself.
+    The gatherer sends no hedged attempts before it is asked for the remaining parts.
+    If it does not reply to the first request, this host may therefore still send one
+    attempt to each shard itself.
 
     Parameters
     ----------
-    fall_back : callable
-        Asks shards without the gatherer, which may have sent first attempts or not.
+    call_shards_directly : callable
+        Sends requests to the shards from this host. Its second argument says whether
+        the gatherer may have sent first attempts.
     """
     loop = asyncio.get_running_loop()
-    address, query = delegation.gatherer, identifier()
-    begin = Begin(
-        query,
+    address, gather_id = delegation.gatherer, identifier()
+    request = Begin(
+        gather_id,
         route.name,
         delegation.shards,
         outgoing.head,
@@ -148,7 +151,7 @@
     )
     try:
         value = await ask(
-            address, begin.to_json(), timing.latest_hedge_after_s + _ANSWER_S
+            address, request.to_json(), timing.latest_hedge_after_s + _ANSWER_S
         )
     except KingcuplugError as error:
         refused = isinstance(error, NotGathering)
@@ -157,25 +160,25 @@
         fall_back(delegation.shards, not refused)
         return
     gatherers.succeed(address)
-    gathered = _take(Gathered.from_json(value), scatter, note)
-    lost = 0
-    # At each of these moments the parts that are in may be enough.
+    reply = _take(Gathered.from_json(value), scatter, note)
+    failed_count = 0
+    # At each of these times the parts received by then may be sufficient.
     for due_at in (rule.target_at, rule.late_at, rule.final_at):
-        scatter.lose(len(gathered.failed) - lost)
-        lost = len(gathered.failed)
-        if not gathered.open:
+        scatter.lose(len(reply.failed) - failed_count)
+        failed_count = len(reply.failed)
+        if not reply.open:
             break
         within_s = max(0.0, due_at - _MARGIN_S - loop.time())
         try:
-            rest = Rest(query, within_s * _MS_PER_S)
-            value = await ask(address, rest.to_json(), within_s + _REST_ANSWER_S)
+            remainder = Rest(gather_id, within_s * _MS_PER_S)
+            value = await ask(address, remainder.to_json(), within_s + _REST_ANSWER_S)
         except KingcuplugError as error:
             gatherers.fail(address, loop.time(), str(error))
             note.end("lost", loop.time())
-            scatter.lose(len(gathered.open))
+            scatter.lose(len(reply.open))
             return
-        gathered = _take(Gathered.from_json(value), scatter, note)
-    scatter.lose(len(gathered.failed) - lost + len(gathered.open))
+        reply = _take(Gathered.from_json(value), scatter, note)
+    scatter.lose(len(reply.failed) - failed_count + len(reply.open))
     note.end("gathered", loop.time())
 
 
--- a/packages/gateway/src/kingcuplug_gateway/_gather_messages.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gather_messages.py
@@ -1,4 +1,4 @@
-"""What hosts say when one gathers the parts of a query for another."""
+"""Messages between a host and the peer that gathers parts of a query for it."""
 
 from base64 import b64decode, b64encode
 from dataclasses import dataclass
@@ -9,18 +9,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Begin:
-    """Asks for the parts of some shards.
+    """Request to query some shards and return the parts that arrive in time.
 
     Attributes
     ----------
     id : str
-        Identifies the gathering, for `Rest`.
+        Identifies the gather operation in a later `Rest`.
     head : bytes
-        Request line and headers for the servers.
+        Request line and headers to send to the servers.
     left_ms : float
         Time until the caller's deadline.
     target_ms : int
-        Of the route, in whose time the gatherer learns how long answers take.
+        Target latency of the route, which the gatherer's latency statistics need.
+    top : int
+        Number of records in a merged answer.
     """
 
     id: str
@@ -53,12 +55,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Rest:
-    """Asks for the parts that were not in before, with second attempts.
+    """Request for the parts missing from earlier replies, which allows hedging.
 
     Attributes
     ----------
     within_ms : float
-        Time in which the answer must leave, whatever is in by then.
+        Time limit of the reply, which holds the parts received by then.
     """
 
     id: str
@@ -70,21 +72,21 @@
 
 
 def decode_question(value: list[Any]) -> Begin | Rest:
-    """Return the question described by a JSON array of another host.
+    """Return the request decoded from a JSON array.
 
     Raises
     ------
     ValueError
-        If it is neither of the two.
+        If the array holds neither kind of request.
     """
     kind, *fields = value
     if kind == "rest":
         return Rest(*fields)
     if kind != "begin":
         raise ValueError(f"unknown question {kind!r}")
-    identifier, route, shards, head, body, attempt_id, *numbers = fields
+    gather_id, route, shards, head, body, attempt_id, *numbers = fields
     return Begin(
-        identifier,
+        gather_id,
         route,
         tuple(shards),
         head.encode("latin-1"),
@@ -96,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Gathered:
-    """The parts that have come in since the last answer.
+    """Reply with the parts received since the previous reply.
 
     Attributes
     ----------
@@ -105,9 +107,9 @@
     body : bytes
         The greatest records of these parts.
     failed : tuple of str
-        Shards that will not answer any more.
+        Shards whose calls have failed for good.
     open : tuple of str
-        Shards that may still answer.
+        Shards whose calls are still in progress.
     """
 
     seals: tuple[bytes, ...]
@@ -126,11 +128,11 @@
 
     @classmethod
     def from_json(cls, value: list[Any]) -> "Gathered":
-        """Return the answer described by a JSON array of another host."""
-        seals, body, failed, still_open = value
+        """Return the reply decoded from a JSON array."""
+        signatures, body, failed_shards, pending_shards = value
         return cls(
-            tuple(seal.encode("latin-1") for seal in seals),
+            tuple(seal.encode("latin-1") for seal in signatures),
             b64decode(body),
-            tuple(failed),
-            tuple(still_open),
+            tuple(failed_shards),
+            tuple(pending_shards),
         )
--- a/packages/gateway/src/kingcuplug_gateway/_gatherer.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gather_server.py
@@ -1,4 +1,4 @@
-"""Gathers the parts of other hosts' queries."""
+"""Server side of gathering: queries shards on behalf of other hosts."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,20 +7,21 @@
 from kingcuplug_common import EventLog
 from kingcuplug_routing import AnswerRule, Timing
 
-from kingcuplug_gateway._call import Outgoing, ServiceCall
+from kingcuplug_gateway._gather_client import NotGathering
 from kingcuplug_gateway._gather_messages import Begin, Gathered, Rest, decode_question
-from kingcuplug_gateway._gathering import NotGathering
 from kingcuplug_gateway._scatter import merge_records
+from kingcuplug_gateway._service_call import Outgoing, ServiceCall
 
 __all__ = ["Gatherer", "UnknownGathering"]
 
 _MS_PER_S = 1_000
-# The host that asks comes back for the rest at once, or has answered its caller.
+# The requesting host asks for the remaining parts at once, or else has already
+# answered its caller and needs none.
 _KEPT_S = 0.05
-# After a suspension of this host, the end of the question's connection may have come,
-# too. The loop reads it one round after the question, and cancels in the next.
+# After this host was suspended, the request's connection may be closed already. The
+# event loop reads the close one round after the request, and cancels in the next.
 _WITHDRAWAL_ROUNDS = 3
-_RESOLUTION_S = 0.001  # Timers of the loop may fire early by less than this.
+_RESOLUTION_S = 0.001  # Event loop timers may fire early by less than this.
 
 MakeCall = Callable[
     [str, Outgoing, Timing, int, Callable[[ServiceCall], None]], ServiceCall
@@ -28,21 +29,22 @@
 
 
 class UnknownGathering(ValueError):
-    """The rest is asked of a gathering that has ended, or never began here."""
+    """The gather operation of a request has ended, or never began on this host."""
 
 
 class Gatherer:
-    """Answers the questions of hosts for which this one gathers.
+    """Runs the gather operations that other hosts request.
 
     Parameters
     ----------
     make_call : callable
-        Makes a call to one shard: shard, request, timing, greatest number of
-        attempts, and whom to tell of its end.
-    timing : callable
-        Returns how long answers of a route take, by its name and target.
-    seal_name : bytes
-        Header of a part's signature, in lower case.
+        Makes a call to one shard from the shard, the request, the latency statistics,
+        the maximum number of attempts and the callback for the call's end.
+    route_timing : callable
+        Returns the latency statistics of a route by its name and target in
+        milliseconds.
+    signature_header : bytes
+        Name of the header with a part's signature, in lower case.
     """
 
     def __init__(
@@ -59,70 +61,77 @@
         self._running: dict[str, _Gathering] = {}
 
     async def answer(self, value: Any, begins: bool) -> Any:
-        """Answer one question; leaving it cancels the attempts.
+        """Handle one request; cancelling it cancels the attempts of its operation.
 
         Parameters
         ----------
+        value : Any
+            JSON value of the request.
         begins : bool
-            Whether new gatherings are taken.
+            Whether new operations are accepted.
+
+        Returns
+        -------
+        Any
+            JSON value of the reply.
 
         Raises
         ------
         NotGathering
-            If a new gathering is asked for, and none is taken.
+            If a new operation is requested, and none is accepted.
         UnknownGathering
-            If the rest is asked of a gathering that is over.
+            If the operation of a request for the remaining parts has ended.
         ValueError
-            If the question cannot be read.
+            If the request cannot be decoded.
         """
-        question = decode_question(value)
-        if not begins and isinstance(question, Begin):
+        request = decode_question(value)
+        if not begins and isinstance(request, Begin):
             raise NotGathering("the host is stopping")
         for _ in range(_WITHDRAWAL_ROUNDS):
             await asyncio.sleep(0)
-        gathering = self._begin(question)
+        operation = self._begin(request)
         loop = asyncio.get_running_loop()
         try:
-            if isinstance(question, Rest):
-                gathering.release()
-                until = loop.time() + question.within_ms / _MS_PER_S
-                gathered = await gathering.wait(until, hurries=False)
+            if isinstance(request, Rest):
+                operation.release()
+                until = loop.time() + request.within_ms / _MS_PER_S
+                reply = await operation.wait(until, hurries=False)
             else:
-                until = gathering.begun_at + gathering.timing.hedge_after_s
-                gathered = await gathering.wait(until, hurries=True)
+                until = operation.begun_at + operation.timing.hedge_after_s
+                reply = await operation.wait(until, hurries=True)
         except asyncio.CancelledError:
-            self._end(gathering, "caller_left")
+            self._end(operation, "caller_left")
             raise
-        if gathered.open:
-            gathering.keep(loop.call_later(_KEPT_S, self._end, gathering, "left"))
+        if reply.open:
+            operation.keep(loop.call_later(_KEPT_S, self._end, operation, "left"))
         else:
-            self._end(gathering, "complete")
-        return gathered.to_json()
-
-    def _begin(self, question: Begin | Rest) -> "_Gathering":
-        if isinstance(question, Rest):
-            gathering = self._running.get(question.id)
-            if gathering is None:
-                raise UnknownGathering(f"gathering {question.id} is over")
-            gathering.keep(None)
-            return gathering
-        timing = self._timing(question.route, question.target_ms)
-        gathering = _Gathering(question, timing, self._seal_name)
-        self._running[question.id] = gathering
-        gathering.start(self._make_call)
-        return gathering
-
-    def _end(self, gathering: "_Gathering", why: str) -> None:
-        self._running.pop(gathering.question.id, None)
-        gathering.cancel(linger=why != "caller_left")
+            self._end(operation, "complete")
+        return reply.to_json()
+
+    def _begin(self, request: Begin | Rest) -> "_Gathering":
+        if isinstance(request, Rest):
+            operation = self._running.get(request.id)
+            if operation is None:
+                raise UnknownGathering(f"gathering {request.id} is over")
+            operation.keep(None)
+            return operation
+        timing = self._timing(request.route, request.target_ms)
+        operation = _Gathering(request, timing, self._seal_name)
+        self._running[request.id] = operation
+        operation.start(self._make_call)
+        return operation
+
+    def _end(self, operation: "_Gathering", why: str) -> None:
+        self._running.pop(operation.question.id, None)
+        operation.cancel(linger=why != "caller_left")
         if not self._log.admits("gathered"):
             return
-        question, calls = gathering.question, gathering.calls
+        request, calls = operation.question, operation.calls
         self._log.write(
             "gathered",
             {
-                "id": question.attempt_id.decode("latin-1"),
-                "route": question.route,
+                "id": request.attempt_id.decode("latin-1"),
+                "route": request.route,
                 "shards": len(calls),
                 "ended": why,
                 "missing": [c.service for c in calls if not c.ending.good],
@@ -130,7 +139,7 @@
                     note
                     for call in calls
                     if not call.plain
-                    for note in call.notes(gathering.begun_at)
+                    for note in call.notes(operation.begun_at)
                 ],
             },
             always=True,
@@ -138,7 +147,7 @@
 
 
 class _Gathering:
-    """One query of another host, or a part of its shards.
+    """Calls to some or all shards of another host's query.
 
     Attributes
     ----------
@@ -146,68 +155,71 @@
         In event loop time.
     """
 
-    def __init__(self, question: Begin, timing: Timing, seal_name: bytes) -> None:
+    def __init__(self, request: Begin, timing: Timing, seal_name: bytes) -> None:
         self._loop = asyncio.get_running_loop()
         self._seal_name = seal_name
         self._told: set[str] = set()
-        self._open = len(question.shards)
+        self._open = len(request.shards)
         self._wake: asyncio.Future[None] | None = None
         self._kept: asyncio.TimerHandle | None = None
-        self.question = question
+        self.question = request
         self.timing = timing
         self.begun_at = self._loop.time()
         self.calls: list[ServiceCall] = []
-        deadline_at = self.begun_at + question.left_ms / _MS_PER_S
+        deadline_at = self.begun_at + request.left_ms / _MS_PER_S
         self._outgoing = Outgoing(
-            question.head,
-            question.body,
-            question.attempt_id,
+            request.head,
+            request.body,
+            request.attempt_id,
             deadline_at,
             repeatable=True,
             bodiless=False,
         )
         self._rule = AnswerRule(
-            len(question.shards), 1.0, self.begun_at, deadline_at, deadline_at
+            len(request.shards), 1.0, self.begun_at, deadline_at, deadline_at
         )
 
     def start(self, make_call: MakeCall) -> None:
         """Send the first attempts."""
-        question = self.question
+        request = self.question
         self.calls = [
             make_call(
-                shard, self._outgoing, self.timing, question.max_attempts, self._done
+                shard, self._outgoing, self.timing, request.max_attempts, self._done
             )
-            for shard in question.shards
+            for shard in request.shards
         ]
         for call in self.calls:
             call.start()
 
     def release(self) -> None:
-        """Allow second attempts."""
+        """Allow hedging in all unfinished calls."""
         for call in self.calls:
             if not call.over:
                 call.release()
 
     def keep(self, timer: asyncio.TimerHandle | None) -> None:
-        """Set what ends the gathering if nobody asks for the rest."""
+        """Replace the timer that ends an operation without further requests."""
         if self._kept is not None:
             self._kept.cancel()
         self._kept = timer
 
     def cancel(self, linger: bool) -> None:
-        """Drop what is open, at once or after a moment."""
+        """Cancel the unfinished calls, at once or after a short delay."""
         self.keep(None)
         for call in self.calls:
             if not call.over:
                 call.cancel(linger)
 
     async def wait(self, until: float, hurries: bool) -> Gathered:
-        """Return what has come in, when all has or the time is over.
+        """Wait for all parts or the time `until`, and return the new parts.
 
         Parameters
         ----------
-        hurries : bool
-            Return sooner if only a few shards are late, so that they are asked again.
+        until : float
+            In event loop time.
+        stop_at_stragglers : bool
+            Return earlier once only a few shards are missing, so that the requesting
+            host can ask for hedged attempts to these.
         """
         while self._open:
             now = self._loop.time()
@@ -236,15 +248,15 @@
             self._wake.set_result(None)
 
     def _take(self) -> Gathered:
-        seals, bodies = [], []
+        signatures, bodies = [], []
         for call in self.calls:
             response = call.ending.response
             if call.ending.good and response and call.service not in self._told:
                 self._told.add(call.service)
-                seals.append(response.fields[self._seal_name])
+                signatures.append(response.fields[self._seal_name])
                 bodies.append(response.body)
         return Gathered(
-            tuple(seals),
+            tuple(signatures),
             merge_records(bodies, self.question.top),
             tuple(c.service for c in self.calls if c.over and not c.ending.good),
             tuple(c.service for c in self.calls if not c.over),
--- a/packages/gateway/src/kingcuplug_gateway/_protocol.py
+++ b/packages/gateway/src/kingcuplug_gateway/_header_names.py
@@ -1,4 +1,4 @@
-"""Names of the headers that a deployment uses on the request path."""
+"""Names of the headers that a deployment uses for requests and responses."""
 
 from dataclasses import dataclass
 
@@ -7,24 +7,24 @@
 
 @dataclass(frozen=True, slots=True)
 class HeaderNames:
-    """Header names as they are written; lookups use their lower case.
+    """Header names as sent; lookups use them in lower case.
 
     Attributes
     ----------
     attempt_id : bytes
-        Identifies one caller attempt; servers echo it.
+        Identifies one attempt of a caller; servers echo it.
     deadline_ms : bytes
-        Milliseconds for which the sender will wait.
+        Milliseconds for which the sender waits for the response.
     expected_server : bytes
         Id of the only server that may run the request.
     seal : bytes
-        A server's signature of its answer.
+        Server's signature of its response.
     not_run : bytes
-        Present if the server did not run the request.
+        Present on a response if the server did not run the request.
     part_seals : bytes
         Signatures of the parts of a merged answer.
     missing_parts : bytes
-        Number of shards that are not in a merged answer.
+        Number of shards without a part in a merged answer.
     """
 
     attempt_id: bytes
--- a/packages/gateway/src/kingcuplug_gateway/_request_log.py
+++ b/packages/gateway/src/kingcuplug_gateway/_request_log.py
@@ -1,4 +1,4 @@
-"""One log line and the figures for each request of a caller."""
+"""Log entries and metrics of callers' requests."""
 
 import asyncio
 from collections.abc import Sequence
@@ -7,9 +7,9 @@
 from kingcuplug_common import EventLog, Metrics
 from kingcuplug_http import Request
 
-from kingcuplug_gateway._call import ServiceCall
-from kingcuplug_gateway._gathering import GatherNote
+from kingcuplug_gateway._gather_client import GatherNote
 from kingcuplug_gateway._routes import Route
+from kingcuplug_gateway._service_call import ServiceCall
 
 __all__ = ["Ended", "RequestLog"]
 
@@ -18,18 +18,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """How a request ended, and by which beliefs.
+    """Outcome of a request, and the state of the host that led to it.
 
     Attributes
     ----------
     outcome : str
-        The status, or ``caller_left``.
+        HTTP status, or ``caller_left`` if the caller disconnected.
     reason : bytes
-        Of a refusal or failure of this host's own.
+        Body of an error response made by this host; empty otherwise.
     routes_version : int or None
-        Of the routes in force.
+        Version of the route table in force.
     hosts : int
-        Live hosts, by which limits are divided.
+        Number of live hosts, among which limits are divided.
     """
 
     outcome: str
@@ -41,12 +41,12 @@
 
 
 class RequestLog:
-    """Counts requests, and writes their lines within a rate for each kind.
+    """Counts requests, and logs them within a rate limit for each kind.
 
     Parameters
     ----------
     attempt_id : bytes
-        Header of a request's id, in lower case.
+        Name of the header with a request's id, in lower case.
     """
 
     def __init__(self, attempt_id: bytes, log: EventLog, metrics: Metrics) -> None:
@@ -55,7 +55,7 @@
         self._metrics = metrics
 
     def write(self, request: Request, route: Route | None, ended: Ended) -> None:
-        """Count the request, and write its line if its kind is within its rate."""
+        """Count the request, and log it if its kind is within the rate limit."""
         now = asyncio.get_running_loop().time()
         elapsed_s = now - request.received_at
         rank = route.rank if route else -1
--- a/packages/gateway/src/kingcuplug_gateway/_routes.py
+++ b/packages/gateway/src/kingcuplug_gateway/_routes.py
@@ -1,4 +1,4 @@
-"""The table that says which requests go to which services."""
+"""Route table, which maps requests to services."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -16,33 +16,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of one host name and path prefix go.
+    """Destination and limits of the requests for one host name and path prefix.
 
     Attributes
     ----------
     host : str
-        In lower case, without a port.
+        Host name in lower case, without a port.
     prefix : str
-        Begins and ends with a slash.
+        Path prefix that begins and ends with a slash.
     repeatable : bool
         Whether a request may run more than once.
     services : tuple of WeightedService
-        For requests that go to one server of one of them.
+        Services for requests that are sent to one server.
     shards : tuple of str
-        Services of which each answers with a part; empty unless the route is a
-        query over many shards.
+        Services that each return a part of the answer; empty unless the route is a
+        query over several shards.
     max_attempts : int
-        Servers to which one caller attempt may be sent, for each shard.
+        Maximum number of servers that one attempt of a caller is sent to, per shard.
     timeout_ms : int
-        The longest time that the operator wants a caller kept waiting.
+        Longest time for which a caller may wait.
     target_ms : int
-        The time within which an answer has its full worth.
+        Time within which the answer should reach the caller. Later answers are of
+        less value.
     rank : int
-        0 is the most urgent.
+        Priority of the requests under load; 0 is the highest.
     top_records : int
         Number of records in the merged answer.
     minimum_coverage : float
-        Smallest share of shards that makes an answer.
+        Smallest share of shards for which a partial answer is returned.
     """
 
     name: str
@@ -61,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceSettings:
-    """What the operator says of one service.
+    """Settings of one service.
 
     Attributes
     ----------
@@ -76,7 +77,7 @@
 
 @dataclass(frozen=True)
 class RouteTable:
-    """One version of the routes, the services and the limits for callers."""
+    """One version of the routes, the services and the limits of callers' requests."""
 
     version: int
     routes: tuple[Route, ...]
@@ -92,7 +93,7 @@
         object.__setattr__(self, "_by_place", by_place)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins `path`."""
+        """Return the route of the host name with the longest prefix of `path`."""
         end = path.rfind("/")
         while end >= 0:
             route = self._by_place.get((host, path[: end + 1]))
--- a/packages/gateway/src/kingcuplug_gateway/_scatter.py
+++ b/packages/gateway/src/kingcuplug_gateway/_scatter.py
@@ -1,4 +1,4 @@
-"""One query over all shards of a route, merged into one answer."""
+"""Scatter-gather query over all shards of a route."""
 
 import asyncio
 from collections.abc import Callable, Coroutine, Iterable, Sequence
@@ -8,7 +8,7 @@
 
 from kingcuplug_routing import AnswerRule
 
-from kingcuplug_gateway._call import ServiceCall
+from kingcuplug_gateway._service_call import ServiceCall
 
 __all__ = ["RECORD_BYTES", "Merged", "Scatter", "merge_records"]
 
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Merged:
-    """The parts that are in, and the best of their records.
+    """Merged answer of the parts that were received.
 
     Attributes
     ----------
     seals : list of bytes
         Signatures of the parts.
     missing : int
-        Number of shards that are left out.
+        Number of shards without a part in the answer.
     """
 
     seals: list[bytes]
@@ -35,7 +35,7 @@
 def merge_records(parts: list[bytes], top: int) -> bytes:
     """Return the greatest `top` records of all parts, greatest first.
 
-    A remainder shorter than a record at the end of a part is no record.
+    A remainder at the end of a part that is shorter than a record is ignored.
     """
     records = [
         part[start : start + RECORD_BYTES]
@@ -46,17 +46,17 @@
 
 
 class Scatter:
-    """Takes the parts of one query and decides when the answer is complete enough.
+    """Collects the parts of one query, and decides when the answer is sufficient.
 
     Parameters
     ----------
     seal_name : bytes
-        Header of a part's signature, in lower case.
+        Name of the header with a part's signature, in lower case.
 
     Attributes
     ----------
     calls : list of ServiceCall
-        To the shards that this host asks itself.
+        Calls to the shards that this host queries itself.
     """
 
     def __init__(self, rule: AnswerRule, seal_name: bytes) -> None:
@@ -74,12 +74,13 @@
         self.calls: list[ServiceCall] = []
 
     async def run(self, ask: Callable[[], list[Coroutine[Any, Any, None]]]) -> None:
-        """Return when the query is to be answered with what is in.
+        """Run the query until the received parts are to be returned.
 
         Parameters
         ----------
-        ask : callable
-            Starts the calls of `ask_shards`, and returns what gathers other parts.
+        start_calls : callable
+            Starts calls with `call_shards`, and returns coroutines that have other
+            hosts gather the remaining parts.
         """
         try:
             self._tasks = [asyncio.ensure_future(work) for work in ask()]
@@ -93,14 +94,14 @@
     def ask_shards(
         self, make_call: Callable[[str], ServiceCall], shards: Iterable[str]
     ) -> None:
-        """Ask shards for their parts; the calls' `done` must be `part_done`."""
+        """Start calls to shards; their callback must be `on_call_finished`."""
         calls = [make_call(shard) for shard in shards]
         self.calls += calls
         for call in calls:
             call.start()
 
     def part_done(self, call: ServiceCall) -> None:
-        """Take the end of one shard's call."""
+        """Process the result of one shard's call."""
         response = call.ending.response
         if call.ending.good and response is not None:
             self.add([response.fields[self._seal_name]], response.body)
@@ -110,7 +111,7 @@
             self._hurry()
 
     def add(self, seals: Sequence[bytes], body: bytes) -> None:
-        """Take parts that have come in: their signatures and their best records."""
+        """Add received parts: their signatures and their greatest records."""
         self._seals += seals
         self._bodies.append(body)
         self._included += len(seals)
@@ -118,19 +119,19 @@
         self._check()
 
     def lose(self, shards: int) -> None:
-        """Take the news that some shards will not answer."""
+        """Count shards that will not return a part."""
         self._open -= shards
         self._check()
 
     def merged(self, top: int) -> Merged | None:
-        """Return the merged answer, or ``None`` if too few shards are in."""
+        """Return the merged answer, or ``None`` if too few parts were received."""
         if self._included < self._rule.needed:
             return None
         missing = self._rule.total - self._included
         return Merged(self._seals, missing, merge_records(self._bodies, top))
 
     def _hurry(self) -> None:
-        """Ask the last shards again soon, now that most of them have answered."""
+        """Bring forward hedged attempts to the last shards after most have answered."""
         self._hurried = True
         at = self._rule.hurry_at(self._loop.time())
         for call in self.calls:
--- a/packages/gateway/src/kingcuplug_gateway/_servers.py
+++ b/packages/gateway/src/kingcuplug_gateway/_servers.py
@@ -1,4 +1,4 @@
-"""The backend servers of each service, as this host may use them."""
+"""Backend servers of each service, with this host's state and limits for them."""
 
 import asyncio
 import random as random_module
@@ -15,37 +15,38 @@
     fixed_part,
 )
 
-from kingcuplug_gateway._pool import ServerConnections
+from kingcuplug_gateway._connection_pool import ServerConnections
 
 __all__ = ["KnownServer", "Server", "ServerTable", "ServicePool"]
 
 _MS_PER_S = 1_000
-# Hosts do not get even shares of the callers, so their sum stays below the limit.
+# Callers are not spread evenly over the hosts, so the hosts' shares together stay
+# below the limit.
 _LIMIT_SHARE = 0.95
-# Assumed until a control host says how many there are: too many connections at once
-# are reset by the servers.
+# Assumed until a control host reports the number of hosts. The number is high because
+# servers reset connections above their limit.
 _UNKNOWN_HOSTS = 100
-# Of the common bound on retries, what gatherers use; the hosts that they gather for
-# keep the rest for gatherers that do not answer.
+# Share of the fleet's retry budget that gatherers use. The hosts that they gather for
+# keep the remainder, for the case that gatherers do not reply.
 _GATHER_SHARE = 0.7
-# Of a server's connections, what all gatherers use together; other hosts hold at most
-# one each, and only while gatherers do not answer.
+# Share of a server's connection limit that all gatherers use together. Other hosts
+# hold at most one connection each, and only while gatherers do not reply.
 _GATHER_CONNECTIONS = 0.4
 
 
 @dataclass(frozen=True, slots=True)
 class KnownServer:
-    """One usable backend server.
+    """A backend server that requests may be sent to.
 
     Attributes
     ----------
     cold_ms : int
-        How much longer it is slow after its start, when this was learnt.
+        Remaining time of the server's slow start, when this host was informed.
     silent : bool
-        Whether its heartbeats have stopped.
+        Whether the heartbeats of the server have stopped.
     pace : float
-        Duration of its answers relative to the typical one, if all hosts together
-        find it slow; else 1.
+        Response time of the server relative to the typical one if the samples of all
+        hosts show it as slow; otherwise 1.
     """
 
     id: str
@@ -59,7 +60,7 @@
 
 
 class Server:
-    """One backend server with its connections and what was seen of it."""
+    """One backend server with its connections and its state as observed here."""
 
     def __init__(self, known: KnownServer, remote: bool, limit: int) -> None:
         self.known = known
@@ -68,7 +69,7 @@
 
 
 class ServicePool:
-    """Servers of one service, and the retries that it bears."""
+    """Servers of one service, with its retry budgets and concurrency limiter."""
 
     def __init__(
         self,
@@ -85,7 +86,7 @@
 
     @property
     def slots(self) -> int:
-        """Requests that all servers run at once."""
+        """Number of requests that all servers together run at once."""
         return sum(server.state.slots for server in self.servers.values())
 
     def usable(self, excluded: Iterable[str] = ()) -> list[Server]:
@@ -95,7 +96,7 @@
         ]
 
     def good_zones(self, now: float) -> set[str]:
-        """Return the availability zones in which a server is not known to be bad."""
+        """Return the availability zones with a server not known to be unhealthy."""
         return {
             server.known.availability_zone
             for server in self.servers.values()
@@ -110,21 +111,21 @@
 
 
 class ServerTable:
-    """All services that the host knows servers of.
+    """Server pools of all services.
 
     Parameters
     ----------
     availability_zone : str
-        The host's own.
+        Availability zone of the host.
     delegates : bool
-        Whether other hosts gather the parts of queries for this one.
+        Whether other hosts gather parts of queries for this one.
 
     Attributes
     ----------
     hosts : int
-        Live hosts, 0 if unknown.
+        Number of live hosts; 0 if unknown.
     requests_of_all : int
-        Requests of all hosts in the last window, 0 if unknown.
+        Requests of all hosts in the last window; 0 if unknown.
     """
 
     def __init__(
@@ -153,13 +154,13 @@
         self._reported += 1
 
     def retry_part(self, now: float, gathered: bool = False) -> float:
-        """Return this host's part of the retries that all hosts share.
+        """Return this host's share of the fleet's retry budget.
 
         Parameters
         ----------
         gathered : bool
-            Of the retries for queries of other hosts, which spread evenly over the
-            gatherers.
+            Return the share for queries of other hosts, which are spread evenly over
+            the gatherers.
         """
         if gathered:
             return 1 / self._gatherers if self._gatherers else 0.0
@@ -168,13 +169,13 @@
             self._part = fixed_part(own, self.requests_of_all, self.hosts)
         elif self._part == 0:
             return fixed_part(0, 0, self.hosts)
-        # While the total is unknown, the last parts still add up to the whole.
+        # While the total is unknown, the last shares of all hosts still add up to 1.
         return self._part
 
     def take_requests(self) -> int:
-        """Return the number of requests since the last call."""
-        taken, self._reported = self._reported, 0
-        return taken
+        """Return the number of requests since the previous call."""
+        count, self._reported = self._reported, 0
+        return count
 
     def pool(self, service: str) -> ServicePool:
         """Return the pool of a service, which may have no servers."""
@@ -188,12 +189,12 @@
     def limit_connections(
         self, limits: dict[str, int], hosts: int, gatherers: int = 0
     ) -> None:
-        """Take the services' connection limits and the number of hosts.
+        """Set the services' connection limits and the number of hosts.
 
         Parameters
         ----------
         gatherers : int
-            Number of gatherers if this host is one.
+            Number of gatherers if this host is one; otherwise 0.
         """
         self.hosts = hosts
         self._gatherers = gatherers
@@ -204,26 +205,26 @@
                 server.connections.limit = limit
 
     def replace(self, known: Iterable[KnownServer]) -> None:
-        """Use exactly these servers from now on; requests in progress go on."""
+        """Replace the servers of all services; requests in progress continue."""
         now = asyncio.get_running_loop().time()
-        wanted: dict[str, dict[str, KnownServer]] = {}
-        for entry in known:
-            wanted.setdefault(entry.service, {})[entry.id] = entry
-        for service in wanted.keys() | self._pools.keys():
-            self._replace(self.pool(service), wanted.get(service, {}), now)
+        by_service: dict[str, dict[str, KnownServer]] = {}
+        for server in known:
+            by_service.setdefault(server.service, {})[server.id] = server
+        for service in by_service.keys() | self._pools.keys():
+            self._replace(self.pool(service), by_service.get(service, {}), now)
 
     def take_samples(self) -> Samples:
-        """Return what was seen of the servers' pace since the last call."""
+        """Return the servers' latency samples since the previous call."""
         samples = {}
         for pool in self._pools.values():
             for identifier, server in pool.servers.items():
-                taken = server.state.take_samples()
-                if taken != (0, 0.0):
-                    samples[identifier] = taken
+                observed = server.state.take_samples()
+                if observed != (0, 0.0):
+                    samples[identifier] = observed
         return samples
 
     def prune(self, now: float) -> None:
-        """Close connections that have been idle for long."""
+        """Close connections that have been idle for too long."""
         for pool in self._pools.values():
             for server in pool.servers.values():
                 server.connections.prune(now)
@@ -239,23 +240,23 @@
     ) -> None:
         for identifier in pool.servers.keys() - wanted.keys():
             pool.servers.pop(identifier).connections.close()
-        for identifier, known in wanted.items():
+        for identifier, info in wanted.items():
             server = pool.servers.get(identifier)
-            if server is None or server.known.address != known.address:
+            if server is None or server.known.address != info.address:
                 if server is not None:
                     server.connections.close()
-                remote = known.availability_zone != self._zone
-                server = Server(known, remote, self._limit(pool.name))
-                server.state.cold_until = now + known.cold_ms / _MS_PER_S
+                in_other_zone = info.availability_zone != self._zone
+                server = Server(info, in_other_zone, self._limit(pool.name))
+                server.state.cold_until = now + info.cold_ms / _MS_PER_S
                 pool.servers[identifier] = server
-            server.state.silent = known.silent
-            server.state.shared_pace = known.pace
+            server.state.silent = info.silent
+            server.state.shared_pace = info.pace
 
     def _limit(self, service: str) -> int:
         total = self._limits.get(service)
         if total is None:
             return 1
-        even = int(total * _LIMIT_SHARE / (self.hosts or _UNKNOWN_HOSTS))
+        limit = int(total * _LIMIT_SHARE / (self.hosts or _UNKNOWN_HOSTS))
         if self._gatherers:
-            even = max(even, int(total * _GATHER_CONNECTIONS / self._gatherers))
-        return max(1, even)
+            limit = max(limit, int(total * _GATHER_CONNECTIONS / self._gatherers))
+        return max(1, limit)
--- a/packages/gateway/src/kingcuplug_gateway/_call.py
+++ b/packages/gateway/src/kingcuplug_gateway/_service_call.py
@@ -1,4 +1,4 @@
-"""One request to one service: attempts, second attempts and retries."""
+"""One request to one service: attempts, hedged attempts and retries."""
 
 import asyncio
 import random as random_module
@@ -10,23 +10,23 @@
 from kingcuplug_http import Failure, OutboundConnection, Response
 from kingcuplug_routing import Timing, choose_replica
 
-from kingcuplug_gateway._protocol import HeaderNames
+from kingcuplug_gateway._header_names import HeaderNames
 from kingcuplug_gateway._servers import Server, ServerTable, ServicePool
 
 __all__ = ["AttemptNote", "CallEnding", "Outgoing", "ServiceCall"]
 
 _MS_PER_S = 1_000
-_MISDIRECTED = 421  # The server is not the expected one.
-# Servers that have no room are passed over without counting as attempts, at most
-# this many, so that a full service is not asked server by server.
+_MISDIRECTED = 421  # Another server than the expected one got the request.
+# Rejections by servers without a free slot do not count as attempts. The bound keeps
+# a request from visiting every server of an overloaded service.
 _MAX_REJECTIONS = 2
-# An attempt whose call is over may still finish and tell how fast the server is;
-# a longer one only takes a slot.
+# An attempt that outlives its call may still yield a latency sample of its server;
+# after this time it is cancelled, as it only occupies a slot.
 _LINGER_S = 0.3
 
 
 class Verdict(Enum):
-    """What a server's response means for the request."""
+    """Effect of a server's response on the request."""
 
     GOOD = "good"
     NOT_RUN = "not_run"
@@ -36,16 +36,18 @@
 
 @dataclass(slots=True)
 class Outgoing:
-    """A caller's request as it goes to servers.
+    """A caller's request in the form that is sent to servers.
 
     Attributes
     ----------
     head : bytes
         Request line and headers, without those that differ between attempts.
     deadline_at : float
-        When the caller or the route's time is over, in event loop time.
+        Caller's deadline or end of the route's timeout, in event loop time.
     repeatable : bool
-        Whether it may run more than once.
+        Whether the request may run more than once.
+    bodiless : bool
+        Whether the response has no body, as for ``HEAD``.
     """
 
     head: bytes
@@ -58,14 +60,14 @@
 
 @dataclass(slots=True)
 class AttemptNote:
-    """One attempt, for the log.
+    """Log record of one attempt.
 
     Attributes
     ----------
     why : str
-        ``first``, ``hedge`` or ``retry``.
+        ``first``, ``hedge``, ``retry`` or ``fallback``.
     expected_s : float
-        When the server was expected to answer, on which the choice rested.
+        Response time that was expected of the server when it was chosen.
     outcome : str
         ``open`` until the attempt has ended.
     """
@@ -78,26 +80,26 @@
     outcome: str = "open"
 
     def end(self, outcome: str, now: float) -> None:
-        """Note how the attempt ended."""
+        """Record how the attempt ended."""
         self.outcome, self.ended_at = outcome, now
 
 
 @dataclass(slots=True)
 class CallEnding:
-    """How a call ended.
+    """Result of a call.
 
     Attributes
     ----------
     response : Response or None
-        A good answer, or else a server's own failure.
+        A successful response, or else an error response of a server.
     good : bool
         Whether the response is a success.
     may_have_run : bool
         Whether any server may have run the request.
     attempts : list of AttemptNote
-        For the log.
+        All attempts, in the order in which they were sent.
     denied : list of str
-        Further attempts that the retry allowance did not admit.
+        Kinds of the further attempts that the retry budget did not allow.
     """
 
     response: Response | None = None
@@ -108,17 +110,17 @@
 
 
 class ServiceCall:
-    """Gets one good answer from a service's servers, if there is one.
+    """Sends a request to a service's servers until one attempt succeeds.
 
     Parameters
     ----------
-    done : callable
-        Called once, with this call, when `ending` is final.
-    first : str
-        Why the first attempt goes out; any but ``first`` needs the retry allowance.
-    gathered : bool
-        Whether this host gathers the part for another one, which says when a second
-        attempt may go out to save time.
+    on_finished : callable
+        Called once, with this call, when `result` is final.
+    first_attempt_kind : str
+        Kind of the first attempt; any but ``first`` draws on the retry budget.
+    for_peer : bool
+        Whether this host gathers the part for another one. Hedging is then blocked
+        until that host asks for the remaining parts.
     """
 
     def __init__(
@@ -164,29 +166,31 @@
 
     @property
     def plain(self) -> bool:
-        """Whether the first attempt succeeded and no other one was wanted."""
+        """Whether the first attempt succeeded and no other one was requested."""
         ending = self.ending
         return ending.good and len(ending.attempts) == 1 and not ending.denied
 
     def notes(self, begun_at: float) -> list[dict[str, str | float | None]]:
-        """Return what a log line says of the attempts, with times since `begun_at`."""
-        notes: list[dict[str, str | float | None]] = [
+        """Return log entries of the attempts, with times relative to `started_at`."""
+        entries: list[dict[str, str | float | None]] = [
             {
                 "service": self.service,
-                "server": note.server,
-                "why": note.why,
-                "sent_ms": _ms(note.sent_at - begun_at),
-                "expected_ms": _ms(note.expected_s),
-                "took_ms": _ms(note.ended_at - note.sent_at) if note.ended_at else None,
-                "outcome": note.outcome,
+                "server": record.server,
+                "why": record.why,
+                "sent_ms": _ms(record.sent_at - begun_at),
+                "expected_ms": _ms(record.expected_s),
+                "took_ms": _ms(record.ended_at - record.sent_at)
+                if record.ended_at
+                else None,
+                "outcome": record.outcome,
             }
-            for note in self.ending.attempts
+            for record in self.ending.attempts
         ]
-        for why in self.ending.denied:
-            notes.append(
-                {"service": self.service, "why": why, "outcome": "no_allowance"}
+        for kind in self.ending.denied:
+            entries.append(
+                {"service": self.service, "why": kind, "outcome": "no_allowance"}
             )
-        return notes
+        return entries
 
     def start(self) -> None:
         """Send the first attempt."""
@@ -196,25 +200,26 @@
             self._end()
 
     def hurry(self, at: float) -> None:
-        """Send a second attempt at a time, if one would only go out later."""
+        """Bring a scheduled hedged attempt forward to the time `at` if it is later."""
         if self._timer is not None and at < self._timer.when():
             self._timer.cancel()
             self._timer = self._loop.call_at(at, self._hedge)
 
     def release(self) -> None:
-        """Allow a second attempt, and send it if the first is still open."""
+        """Allow hedging, and send a hedged attempt now if the call is unfinished."""
         if self._held:
             self._held = False
             if not self.over and self._counted < self._max_attempts:
                 self._hedge()
 
     def cancel(self, linger: bool = False) -> None:
-        """Give up; attempts in progress are dropped.
+        """End the call and cancel its attempts in progress.
 
         Parameters
         ----------
         linger : bool
-            Let them finish for a moment, to learn how fast their servers are.
+            Cancel the attempts after a short delay, to collect latency samples of
+            their servers.
         """
         self.over = True
         self._stop_timer()
@@ -224,41 +229,41 @@
             self._drop()
 
     def answered(self, attempt: "_Attempt", response: Response) -> None:
-        """Take the response to an attempt."""
+        """Process the response to an attempt."""
         self._open.remove(attempt)
         now = self._loop.time()
         state = attempt.server.state
-        verdict = _judge(response, self._names)
-        if verdict is Verdict.GOOD:
+        response_class = _judge(response, self._names)
+        if response_class is Verdict.GOOD:
             self._timing.record(state.answer(attempt, now))
         elif response.status == _MISDIRECTED:
-            # Another server has the address now.
+            # Another server now uses this address.
             state.fail(attempt, now, unreachable=True)
-        elif verdict is Verdict.NOT_RUN:
+        elif response_class is Verdict.NOT_RUN:
             state.reject(attempt, now)
         else:
             state.fail(attempt, now, unreachable=False)
-        attempt.note.end(verdict.value, now)
+        attempt.note.end(response_class.value, now)
         self._metrics.observe(
-            "attempt", (self.service, verdict.value), now - attempt.note.sent_at
+            "attempt", (self.service, response_class.value), now - attempt.note.sent_at
         )
         if self.over:
             return
-        if verdict is Verdict.NOT_RUN:
+        if response_class is Verdict.NOT_RUN:
             self._rejections += 1
             self._counted -= 1
         else:
             self.ending.may_have_run = True
-        if verdict is Verdict.GOOD:
+        if response_class is Verdict.GOOD:
             self.ending.response, self.ending.good = response, True
             self._end()
             return
-        if verdict is Verdict.FAILED:
+        if response_class is Verdict.FAILED:
             self.ending.response = response
-        self._retry(may_have_run=verdict is not Verdict.NOT_RUN)
+        self._retry(may_have_run=response_class is not Verdict.NOT_RUN)
 
     def failed(self, attempt: "_Attempt", failure: Failure) -> None:
-        """Take the failure of an attempt."""
+        """Process the failure of an attempt."""
         self._open.remove(attempt)
         unreachable = failure is Failure.CONNECT
         now = self._loop.time()
@@ -273,7 +278,7 @@
         self._retry(may_have_run=not unreachable)
 
     def _retry(self, may_have_run: bool) -> None:
-        """Send the request again if that is allowed, or else wait or end."""
+        """Send another attempt if allowed; otherwise finish once none is open."""
         if may_have_run and not self.outgoing.repeatable:
             self._end()
             return
@@ -295,15 +300,17 @@
         typical_s = self._timing.typical_s
         server = servers[choose_replica(states, now, typical_s, self._random)]
         expected_s = server.state.expected_s(now, typical_s)
-        note = AttemptNote(server.known.id, why, now, expected_s)
-        self.ending.attempts.append(note)
-        attempt = _Attempt(self, server, self._names, note)
+        record = AttemptNote(server.known.id, why, now, expected_s)
+        self.ending.attempts.append(record)
+        attempt = _Attempt(self, server, self._names, record)
         self._tried.add(server.known.id)
         self._open.append(attempt)
         self._counted += 1
         server.state.begin(attempt, now, typical_s)
-        more = self.outgoing.repeatable and self._counted < self._max_attempts
-        if more and not self._held:
+        may_send_another = (
+            self.outgoing.repeatable and self._counted < self._max_attempts
+        )
+        if may_send_another and not self._held:
             self._stop_timer()
             self._timer = self._loop.call_later(self._timing.hedge_after_s, self._hedge)
         server.connections.submit(attempt, fresh=not self.outgoing.repeatable)
@@ -319,8 +326,8 @@
         self._send("hedge")
 
     def _allowed(self, why: str, now: float) -> bool:
-        part = self._table.retry_part(now, self._gathered)
-        if self._allowance.take(now, part, hedge=why == "hedge"):
+        share = self._table.retry_part(now, self._gathered)
+        if self._allowance.take(now, share, hedge=why == "hedge"):
             return True
         self.ending.denied.append(why)
         return False
@@ -341,7 +348,7 @@
 
 
 class _Attempt:
-    """One request at one server."""
+    """One attempt of a call, sent to one server."""
 
     __slots__ = (
         "_call",
@@ -365,24 +372,24 @@
         self.bodiless = call.outgoing.bodiless
 
     def encode(self) -> bytes:
-        outgoing, names = self._call.outgoing, self._names
+        outbound, header_names = self._call.outgoing, self._names
         now = asyncio.get_running_loop().time()
-        left_ms = max(1, int((outgoing.deadline_at - now) * _MS_PER_S))
+        remaining_ms = max(1, int((outbound.deadline_at - now) * _MS_PER_S))
         return b"%s%s: %d\r\n%s: %s\r\n\r\n%s" % (
-            outgoing.head,
-            names.deadline_ms,
-            left_ms,
-            names.expected_server,
+            outbound.head,
+            header_names.deadline_ms,
+            remaining_ms,
+            header_names.expected_server,
             self.server.known.id.encode(),
-            outgoing.body,
+            outbound.body,
         )
 
     def sent(self, connection: OutboundConnection) -> None:
         self._connection = connection
 
     def accepts(self, response: Response) -> bool:
-        echoed = response.header(self._names.attempt_id.lower())
-        return echoed is None or echoed == self._call.outgoing.attempt_id
+        echoed_id = response.header(self._names.attempt_id.lower())
+        return echoed_id is None or echoed_id == self._call.outgoing.attempt_id
 
     def answered(self, response: Response) -> None:
         self._release()
--- a/packages/gateway/src/kingcuplug_gateway/_settings.py
+++ b/packages/gateway/src/kingcuplug_gateway/_settings.py
@@ -1,34 +1,36 @@
-"""Settings of the request path."""
+"""Settings of the gateway."""
 
 import math
 from dataclasses import dataclass
 
 from kingcuplug_routing import AllowanceSettings
 
-from kingcuplug_gateway._protocol import HeaderNames
+from kingcuplug_gateway._header_names import HeaderNames
 
 __all__ = ["GatewaySettings"]
 
 _DEFAULT_ALLOWANCE = AllowanceSettings()
-# Thirty-six parts of 1.2 KB take 7 ms at 50 Mbit/s, about the margin of an answer.
+# At 50 Mbit/s, the 36 parts of a query at 1.2 KB each take 7 ms to receive, about as
+# long as the time reserved before a deadline.
 _NARROW_LINK_MBPS = 50.0
 
 
 @dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """Settings of the request path.
+    """Settings of the gateway.
 
     Attributes
     ----------
     availability_zone : str
-        The host's own.
+        Availability zone of the host.
     caller_delay_ms : float
-        One way between callers and this host; an answer must leave earlier by it.
+        One-way network delay between callers and this host; responses are sent this
+        much earlier.
     answer_margin_ms : float
-        Time to merge and write an answer, kept free before a deadline.
+        Time reserved before a deadline to merge and send a response.
     link_mbps : float
-        Of this host. A narrow link has other hosts gather the parts of queries, a
-        wide one lets this host gather for others.
+        Bandwidth of this host's link. A host with a narrow link has other hosts gather
+        the parts of its queries; a host with a wide link gathers for others.
     """
 
     availability_zone: str
@@ -40,5 +42,5 @@
 
     @property
     def narrow(self) -> bool:
-        """Whether the parts of one query fill the link for long."""
+        """Whether receiving the parts of one query takes too long on this link."""
         return self.link_mbps < _NARROW_LINK_MBPS
--- a/packages/gateway/src/kingcuplug_gateway/_split.py
+++ b/packages/gateway/src/kingcuplug_gateway/_weighted_round_robin.py
@@ -1,8 +1,8 @@
 """Division of a route's requests among services by weight.
 
-Answers this load pattern: a route is moved to another service step by step, and the
-operator wants each step's share kept even over a few hundred requests. Weighted
-round robin from a random start keeps the share within one request on each host.
+Designed for an operator who moves a route to another service in steps, and needs the
+share of each step to hold even over a few hundred requests. Weighted round robin from
+a random start keeps the share within one request on each host.
 """
 
 import random as random_module
@@ -24,9 +24,9 @@
         self._credit = [random.uniform(0, entry.weight) for entry in self._services]
 
     def next(self) -> str:
-        """Return the service of the next request."""
+        """Return the service for the next request."""
         for position, entry in enumerate(self._services):
             self._credit[position] += entry.weight
-        first = max(range(len(self._credit)), key=self._credit.__getitem__)
-        self._credit[first] -= self._total
-        return self._services[first].service
+        selected = max(range(len(self._credit)), key=self._credit.__getitem__)
+        self._credit[selected] -= self._total
+        return self._services[selected].service
--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -1,4 +1,4 @@
-"""Scripted backend servers on loopback, and a gateway that uses them."""
+"""Test backend servers on loopback, and a gateway that uses them."""
 
 import asyncio
 import contextlib
@@ -34,11 +34,11 @@
     part_seals=b"Seals",
     missing_parts=b"Missing",
 )
-ServerScript = Callable[[Request], Awaitable[Response]]
+ServerHandler = Callable[[Request], Awaitable[Response]]
 
 
-def sealed(body: bytes = b"", status: int = 200, **headers: str) -> Response:
-    """Return a server's answer with its signature."""
+def signed_response(body: bytes = b"", status: int = 200, **headers: str) -> Response:
+    """Return a server's response with its signature."""
     pairs = [(k.replace("_", "-").encode(), v.encode()) for k, v in headers.items()]
     return Response(status, [(b"Seal", os.urandom(4).hex().encode()), *pairs], body)
 
@@ -63,45 +63,49 @@
 
 
 @dataclass
-class World:
-    """A gateway and what its servers were asked, by server id."""
+class GatewayHarness:
+    """A gateway, and the requests that its servers received, by server id."""
 
     gateway: Gateway
-    asked: dict[str, list[Request]] = field(default_factory=dict)
+    received: dict[str, list[Request]] = field(default_factory=dict)
     listeners: list[Listener] = field(default_factory=list)
-    known: list[KnownServer] = field(default_factory=list)
+    server_infos: list[KnownServer] = field(default_factory=list)
 
-    async def add(self, service: str, script: ServerScript) -> str:
+    async def add_server(self, service: str, handler: ServerHandler) -> str:
         """Start a server of a service and return its id."""
-        identifier = f"{service}-{len(self.known)}"
-        requests = self.asked[identifier] = []
+        identifier = f"{service}-{len(self.server_infos)}"
+        requests = self.received[identifier] = []
 
         async def answer(request: Request) -> Response:
             requests.append(request)
-            response = await script(request)
+            response = await handler(request)
             response.headers.append((b"Try-Id", request.header(b"try-id") or b""))
             return response
 
         listener = Listener(answer, Limits)
         address = await listener.start("127.0.0.1:0")
         self.listeners.append(listener)
-        self.know(identifier, service, address)
+        self.register_server(identifier, service, address)
         return identifier
 
-    def know(self, identifier: str, service: str, address: str) -> None:
-        """Tell the gateway of a server, running or not."""
-        self.known.append(KnownServer(identifier, service, address, "z", 3, 0, False))
-        self.gateway.use(self.known, hosts=1)
-
-    def adopt(self, *routes: Route, version: int = 1) -> None:
-        """Bring routes into force."""
-        names = {s for r in routes for s in r.shards}
-        names |= {w.service for r in routes for w in r.services}
-        services = {name: ServiceSettings(name, "/health", 32) for name in names}
+    def register_server(self, identifier: str, service: str, address: str) -> None:
+        """Add a server, running or not, to the gateway's servers."""
+        self.server_infos.append(
+            KnownServer(identifier, service, address, "z", 3, 0, False)
+        )
+        self.gateway.use(self.server_infos, hosts=1)
+
+    def set_routes(self, *routes: Route, version: int = 1) -> None:
+        """Install a route table with the routes."""
+        service_names = {s for r in routes for s in r.shards}
+        service_names |= {w.service for r in routes for w in r.services}
+        services = {
+            name: ServiceSettings(name, "/health", 32) for name in service_names
+        }
         table = RouteTable(version, routes, services, 8_192, 65_536, 3_000, 15_000)
         self.gateway.adopt(table)
 
-    async def ask(
+    async def send(
         self,
         target: str = "/x",
         method: str = "GET",
@@ -126,29 +130,29 @@
 
 
 @asynccontextmanager
-async def _world(
-    allowance: AllowanceSettings | None = None,
-    warm: bool = True,
+async def _open_gateway(
+    retry_budget: AllowanceSettings | None = None,
+    startup_over: bool = True,
     link_mbps: float = math.inf,
-) -> AsyncIterator[World]:
+) -> AsyncIterator[GatewayHarness]:
     reader, writer = os.pipe()
     settings = GatewaySettings(
         "z",
         NAMES,
-        allowance or AllowanceSettings(),
+        retry_budget or AllowanceSettings(),
         caller_delay_ms=0,
         link_mbps=link_mbps,
     )
     log = EventLog(writer, "host")
     gateway = Gateway(settings, log, Metrics(), random.Random(3))
-    if warm:
-        gateway._started_at -= 100  # Nothing waits for a start that is long past.
-    world = World(gateway)
+    if startup_over:
+        gateway._started_at -= 100  # Requests no longer wait for startup.
+    harness = GatewayHarness(gateway)
     try:
-        yield world
+        yield harness
     finally:
         gateway.servers.close()
-        for listener in world.listeners:
+        for listener in harness.listeners:
             await listener.stop()
         with contextlib.suppress(OSError):
             os.close(reader)
@@ -156,5 +160,5 @@
 
 
 @pytest.fixture
-def open_world() -> Callable[..., Any]:
-    return _world
+def open_gateway() -> Callable[..., Any]:
+    return _open_gateway
--- a/tests/gateway/test_gathering.py
+++ b/tests/gateway/test_gathering.py
@@ -1,4 +1,4 @@
-"""Queries whose parts another host gathers."""
+"""Queries whose parts are gathered by another host."""
 
 import asyncio
 import json
@@ -11,10 +11,10 @@
 from kingcuplug_gateway._gather_messages import Begin
 from kingcuplug_http import Limits, Listener, Request, Response
 
-from .conftest import make_route, sealed
+from .conftest import make_route, signed_response
 
 SHARDS = ("s0", "s1", "s2", "s3")
-FIELDS = {"services": (), "shards": SHARDS, "target_ms": 400, "timeout_ms": 2_000}
+ROUTE_FIELDS = {"services": (), "shards": SHARDS, "target_ms": 400, "timeout_ms": 2_000}
 
 
 def record(letter: str) -> bytes:
@@ -22,84 +22,89 @@
     return letter.encode() * RECORD_BYTES
 
 
-def _part(*letters: str, delay_s: float = 0.0):
-    async def answer(request: Request) -> Response:
+def _respond_records(*letters: str, delay_s: float = 0.0):
+    async def respond(request: Request) -> Response:
         await asyncio.sleep(delay_s)
-        return sealed(b"".join(map(record, letters)))
+        return signed_response(b"".join(map(record, letters)))
 
-    return answer
+    return respond
 
 
-async def _broken(request: Request) -> Response:
-    return sealed(status=500)
+async def _respond_error(request: Request) -> Response:
+    return signed_response(status=500)
 
 
-class Silent(KingcuplugError):
-    """The gatherer did not answer."""
+class NoReply(KingcuplugError):
+    """The gatherer did not reply."""
 
 
 @asynccontextmanager
-async def _pair(open_world):
+async def _open_gateway_pair(open_gateway):
     """Open a host with a narrow link and one that gathers for it."""
-    async with open_world() as wide, open_world(link_mbps=7.0) as narrow:
-        calls = []
+    async with open_gateway() as wide, open_gateway(link_mbps=7.0) as narrow:
+        message_kinds = []
 
-        async def ask(address, value, timeout_s):
-            calls.append(value[0])
+        async def call_peer(address, value, timeout_s):
+            message_kinds.append(value[0])
             try:
                 async with asyncio.timeout(timeout_s):
                     return await wide.gateway.gather(value)
             except TimeoutError as error:
-                raise Silent("no answer", "ask the shards") from error
+                raise NoReply("no answer", "ask the shards") from error
 
-        narrow.gateway._ask_peer = ask
-        narrow.calls, narrow.wide = calls, wide
+        narrow.gateway._ask_peer = call_peer
+        narrow.message_kinds, narrow.wide = message_kinds, wide
         yield narrow
 
 
-async def _add(narrow, service, script):
-    """Start a server that both hosts know; return its id."""
-    identifier = await narrow.add(service, script)
-    address = narrow.known[-1].address
-    narrow.wide.know(identifier, service, address)
-    for world in (narrow, narrow.wide):
-        world.gateway.use(world.known, hosts=1, gatherers={"z": ["wide"]})
+async def _add_server(narrow, service, handler):
+    """Start a server, register it with both hosts and return its id."""
+    identifier = await narrow.add_server(service, handler)
+    address = narrow.server_infos[-1].address
+    narrow.wide.register_server(identifier, service, address)
+    for harness in (narrow, narrow.wide):
+        harness.gateway.use(harness.server_infos, hosts=1, gatherers={"z": ["wide"]})
     return identifier
 
 
-def _adopt(narrow, **fields):
-    for world in (narrow, narrow.wide):
-        world.adopt(make_route(**(FIELDS | fields)))
+def _set_routes(narrow, **fields):
+    for harness in (narrow, narrow.wide):
+        harness.set_routes(make_route(**(ROUTE_FIELDS | fields)))
 
 
-def test_gathered_answer_is_the_merge_of_all_parts(open_world):
-    """Guards against records or seals that get lost on the way."""
+def test_gathered_answer_merges_all_parts(open_gateway):
+    """Guards against records or signatures that are lost between the hosts."""
 
     async def run() -> None:
-        async with _pair(open_world) as narrow:
-            scripts = [_part("a", "z"), _part("c"), _part("z"), _part("b", "d")]
-            for shard, script in zip(SHARDS, scripts, strict=True):
-                await _add(narrow, shard, script)
-            _adopt(narrow)
-            response = await narrow.ask()
+        async with _open_gateway_pair(open_gateway) as narrow:
+            handlers = [
+                _respond_records("a", "z"),
+                _respond_records("c"),
+                _respond_records("z"),
+                _respond_records("b", "d"),
+            ]
+            for shard, handler in zip(SHARDS, handlers, strict=True):
+                await _add_server(narrow, shard, handler)
+            _set_routes(narrow)
+            response = await narrow.send()
             headers = dict(response.headers)
             assert response.status == 200
             assert response.body == b"".join(map(record, "zzdcb"))
             assert len(set(headers[b"Seals"].split(b", "))) == 4
             assert headers[b"Missing"] == b"0"
-            assert narrow.calls == ["begin"]
-            assert all(len(asked) == 1 for asked in narrow.asked.values())
+            assert narrow.message_kinds == ["begin"]
+            assert all(len(requests) == 1 for requests in narrow.received.values())
 
     asyncio.run(run())
 
 
-def test_stalled_shard_is_asked_again_by_the_gatherer(open_world):
-    """Guards against a gathered query that waits for one server that stalls."""
+def test_gatherer_hedges_the_request_to_a_stalled_shard(open_gateway):
+    """Guards against a gathered query that waits for one stalled server."""
 
     async def run() -> None:
-        async with _pair(open_world) as narrow:
+        async with _open_gateway_pair(open_gateway) as narrow:
             for shard in SHARDS[1:]:
-                await _add(narrow, shard, _part("a"))
+                await _add_server(narrow, shard, _respond_records("a"))
             for _ in range(2):
                 first = True
 
@@ -108,91 +113,93 @@
                     if first:
                         first = False
                         await asyncio.sleep(5.0)
-                    return sealed(record("k"))
+                    return signed_response(record("k"))
 
-                await _add(narrow, "s0", stall_once)
-            _adopt(narrow, minimum_coverage=1.0, timeout_ms=4_000)
-            response = await narrow.ask()
+                await _add_server(narrow, "s0", stall_once)
+            _set_routes(narrow, minimum_coverage=1.0, timeout_ms=4_000)
+            response = await narrow.send()
             assert response.status == 200
             assert dict(response.headers)[b"Missing"] == b"0"
-            assert narrow.calls[:2] == ["begin", "rest"]
-            asked = [len(v) for k, v in narrow.asked.items() if k.startswith("s0")]
-            assert sum(asked) <= 2
+            assert narrow.message_kinds[:2] == ["begin", "rest"]
+            request_counts = [
+                len(v) for k, v in narrow.received.items() if k.startswith("s0")
+            ]
+            assert sum(request_counts) <= 2
 
     asyncio.run(run())
 
 
-def test_host_asks_itself_when_the_gatherer_is_silent(open_world):
-    """Guards against queries that die with their gatherer.
+def test_host_queries_the_shards_if_the_gatherer_does_not_reply(open_gateway):
+    """Guards against queries that fail because their gatherer does not reply.
 
-    The gatherer may have sent first attempts, so each shard is asked once more.
+    The gatherer may have sent first attempts, so each shard gets one more request.
     """
 
     async def run() -> None:
-        async with _pair(open_world) as narrow:
+        async with _open_gateway_pair(open_gateway) as narrow:
             for shard in SHARDS:
-                await _add(narrow, shard, _part("a"))
-            _adopt(narrow)
-            answer = narrow.wide.gateway.gather
+                await _add_server(narrow, shard, _respond_records("a"))
+            _set_routes(narrow)
+            handle_gather = narrow.wide.gateway.gather
 
-            async def frozen(value):
-                await answer(value)
+            async def handle_without_reply(value):
+                await handle_gather(value)
                 await asyncio.sleep(60)
 
-            narrow.wide.gateway.gather = frozen
-            response = await narrow.ask()
+            narrow.wide.gateway.gather = handle_without_reply
+            response = await narrow.send()
             assert response.status == 200
             assert dict(response.headers)[b"Missing"] == b"0"
-            assert [len(asked) for asked in narrow.asked.values()] == [2] * 4
-            # The next query goes around the gatherer at once.
-            assert (await narrow.ask()).status == 200
-            assert narrow.calls == ["begin"]
+            assert [len(requests) for requests in narrow.received.values()] == [2] * 4
+            # The next query bypasses the excluded gatherer.
+            assert (await narrow.send()).status == 200
+            assert narrow.message_kinds == ["begin"]
 
     asyncio.run(run())
 
 
-def test_refusal_of_a_gatherer_costs_no_attempt(open_world):
-    """Guards against a stopping gatherer that leaves each shard one attempt less."""
+def test_refusal_by_a_gatherer_does_not_count_as_an_attempt(open_gateway):
+    """Guards against a stopping gatherer that costs each shard one attempt."""
 
     async def run() -> None:
-        async with _pair(open_world) as narrow:
+        async with _open_gateway_pair(open_gateway) as narrow:
             for shard in SHARDS[1:]:
-                await _add(narrow, shard, _part("a"))
-            await _add(narrow, "s0", _broken)
-            await _add(narrow, "s0", _part("k"))
-            _adopt(narrow, minimum_coverage=1.0)
+                await _add_server(narrow, shard, _respond_records("a"))
+            await _add_server(narrow, "s0", _respond_error)
+            await _add_server(narrow, "s0", _respond_records("k"))
+            _set_routes(narrow, minimum_coverage=1.0)
 
             async def refuse(value):
                 raise NotGathering("the host is stopping")
 
             narrow.wide.gateway.gather = refuse
-            assert (await narrow.ask()).status == 200
-            assert (await narrow.ask()).status == 200
-            assert narrow.calls == ["begin"]
+            assert (await narrow.send()).status == 200
+            assert (await narrow.send()).status == 200
+            assert narrow.message_kinds == ["begin"]
 
     asyncio.run(run())
 
 
-def test_gatherer_that_is_lost_before_the_rest_leaves_a_true_partial_answer(
-    open_world,
+def test_gatherer_lost_after_its_first_reply_leads_to_a_correct_partial_answer(
+    open_gateway,
 ):
-    """Guards against waiting for a gatherer that died between two answers."""
+    """Guards against waiting for a gatherer that failed between two replies."""
 
     async def run() -> None:
-        async with _pair(open_world) as narrow:
+        async with _open_gateway_pair(open_gateway) as narrow:
             for shard in SHARDS[1:]:
-                await _add(narrow, shard, _part("a"))
-            await _add(narrow, "s0", _part("k", delay_s=3.0))
-            _adopt(narrow, minimum_coverage=0.75)
-            answer = narrow.wide.gateway.gather
+                await _add_server(narrow, shard, _respond_records("a"))
+            await _add_server(narrow, "s0", _respond_records("k", delay_s=3.0))
+            _set_routes(narrow, minimum_coverage=0.75)
+            handle_gather = narrow.wide.gateway.gather
 
-            async def lost(value):
+            async def fail_second_request(value):
                 if value[0] == "rest":
                     raise NotGathering("gone")
-                return await answer(value)
+                return await handle_gather(value)
 
-            narrow.wide.gateway.gather = lost
-            response = await narrow.ask()
+            narrow.wide.gateway.gather = fail_second_request
+            response = await narrow.send()
             assert response.status == 200
             assert dict(response.headers)[b"Missing"] == b"1"
             assert response.body == record("a") * 3
@@ -200,118 +207,118 @@
     asyncio.run(run())
 
 
-def test_late_gathered_part_is_waited_for_as_long_as_it_is_of_use(open_world):
-    """Guards against failing a query whose last needed part is only late."""
+def test_late_gathered_part_is_awaited_while_it_is_needed(open_gateway):
+    """Guards against failing a query whose last required part is only late."""
 
     async def run() -> None:
-        async with _pair(open_world) as narrow:
+        async with _open_gateway_pair(open_gateway) as narrow:
             for shard in SHARDS[1:]:
-                await _add(narrow, shard, _part("a"))
-            await _add(narrow, "s0", _part("k", delay_s=0.8))
-            _adopt(narrow, minimum_coverage=1.0, target_ms=100)
-            response = await narrow.ask()
+                await _add_server(narrow, shard, _respond_records("a"))
+            await _add_server(narrow, "s0", _respond_records("k", delay_s=0.8))
+            _set_routes(narrow, minimum_coverage=1.0, target_ms=100)
+            response = await narrow.send()
             assert response.status == 200
             assert response.body.startswith(record("k"))
 
     asyncio.run(run())
 
 
-def test_failed_shards_are_told_and_counted(open_world):
-    """Guards against a gathered answer that hides a shard that failed."""
+def test_failed_shards_are_reported_as_missing(open_gateway):
+    """Guards against a gathered answer that does not report a failed shard."""
 
     async def run() -> None:
-        async with _pair(open_world) as narrow:
+        async with _open_gateway_pair(open_gateway) as narrow:
             for shard in SHARDS[1:]:
-                await _add(narrow, shard, _part("a"))
-            await _add(narrow, "s0", _broken)
-            _adopt(narrow, minimum_coverage=0.75)
-            response = await narrow.ask()
+                await _add_server(narrow, shard, _respond_records("a"))
+            await _add_server(narrow, "s0", _respond_error)
+            _set_routes(narrow, minimum_coverage=0.75)
+            response = await narrow.send()
             assert response.status == 200
             assert dict(response.headers)[b"Missing"] == b"1"
-            _adopt(narrow, minimum_coverage=1.0)
+            _set_routes(narrow, minimum_coverage=1.0)
 
     asyncio.run(run())
 
 
-def test_gatherer_drops_the_work_of_a_caller_that_left(open_world):
-    """Guards against servers that work on for a caller who is gone."""
+def test_gatherer_cancels_its_attempts_after_the_caller_disconnects(open_gateway):
+    """Guards against servers that continue requests after the caller disconnected."""
 
     async def run() -> None:
-        async with _pair(open_world) as narrow:
-            dropped = 0
+        async with _open_gateway_pair(open_gateway) as narrow:
+            cancelled_count = 0
 
             async def slow(request: Request) -> Response:
-                nonlocal dropped
+                nonlocal cancelled_count
                 try:
                     await asyncio.sleep(30)
                 except asyncio.CancelledError:
-                    dropped += 1
+                    cancelled_count += 1
                     raise
-                return sealed()
+                return signed_response()
 
             for shard in SHARDS:
-                await _add(narrow, shard, slow)
-            _adopt(narrow)
-            caller = asyncio.ensure_future(narrow.ask())
+                await _add_server(narrow, shard, slow)
+            _set_routes(narrow)
+            caller = asyncio.ensure_future(narrow.send())
             await asyncio.sleep(0.1)
             caller.cancel()
             await asyncio.sleep(0.2)
-            assert dropped == len(SHARDS)
+            assert cancelled_count == len(SHARDS)
 
     asyncio.run(run())
 
 
-def test_stopping_gatherer_ends_what_it_has_begun(open_world):
-    """Guards against parts that are lost when their gatherer gets SIGTERM."""
+def test_stopping_gatherer_completes_operations_in_progress(open_gateway):
+    """Guards against parts that are lost when their gatherer receives SIGTERM."""
 
     async def run() -> None:
-        async with _pair(open_world) as narrow:
+        async with _open_gateway_pair(open_gateway) as narrow:
             for shard in SHARDS[1:]:
-                await _add(narrow, shard, _part("a"))
-            await _add(narrow, "s0", _part("k", delay_s=0.3))
-            _adopt(narrow, minimum_coverage=1.0)
-            answer = narrow.wide.gateway.gather
+                await _add_server(narrow, shard, _respond_records("a"))
+            await _add_server(narrow, "s0", _respond_records("k", delay_s=0.3))
+            _set_routes(narrow, minimum_coverage=1.0)
+            handle_gather = narrow.wide.gateway.gather
 
-            async def stopping(value):
-                return await answer(value, begins=value[0] == "begin")
+            async def handle_while_stopping(value):
+                return await handle_gather(value, begins=value[0] == "begin")
 
-            narrow.wide.gateway.gather = stopping
-            response = await narrow.ask()
+            narrow.wide.gateway.gather = handle_while_stopping
+            response = await narrow.send()
             assert response.status == 200
             assert dict(response.headers)[b"Missing"] == b"0"
-            assert len(narrow.asked["s0-3"]) == 1
-            begin = Begin("g", "r", SHARDS, b"", b"", b"t1", 900, 400, 2, 5)
+            assert len(narrow.received["s0-3"]) == 1
+            gather_request = Begin("g", "r", SHARDS, b"", b"", b"t1", 900, 400, 2, 5)
             with pytest.raises(NotGathering):
-                await answer(begin.to_json(), begins=False)
+                await handle_gather(gather_request.to_json(), begins=False)
 
     asyncio.run(run())
 
 
-def test_host_with_a_narrow_link_gathers_for_nobody(open_world):
-    """Guards against small hosts that gather for each other."""
+def test_host_with_a_narrow_link_refuses_to_gather(open_gateway):
+    """Guards against hosts with narrow links that are gatherers for each other."""
 
     async def run() -> None:
-        async with open_world(link_mbps=7.0) as narrow:
+        async with open_gateway(link_mbps=7.0) as narrow:
             with pytest.raises(NotGathering):
                 await narrow.gateway.gather(["rest", "x", 1.0])
 
     asyncio.run(run())
 
 
-def test_question_withdrawn_before_it_is_read_reaches_no_server(open_world):
-    """Guards against a gatherer that was suspended and then works for nobody.
+def test_request_cancelled_before_it_is_read_reaches_no_server(open_gateway):
+    """Guards against a resumed gatherer that runs requests without a recipient.
 
-    The question and the end of its connection lie in the socket when the gatherer
-    goes on, as the host that asked gave up long ago.
+    While the gatherer was suspended, the requesting host gave up. The request and the
+    close of its connection are both in the socket buffer when the gatherer resumes.
     """
 
     async def run() -> None:
-        async with open_world() as wide:
+        async with open_gateway() as wide:
             for shard in SHARDS:
-                await wide.add(shard, _part("a"))
-            wide.adopt(make_route(**FIELDS))
-            wide.gateway.use(wide.known, hosts=1, gatherers={"z": ["wide"]})
-            begin = Begin(
+                await wide.add_server(shard, _respond_records("a"))
+            wide.set_routes(make_route(**ROUTE_FIELDS))
+            wide.gateway.use(wide.server_infos, hosts=1, gatherers={"z": ["wide"]})
+            gather_request = Begin(
                 "g", "r", SHARDS, b"GET /x HTTP/1.1\r\n", b"", b"t1", 900, 400, 2, 5
             )
 
@@ -319,16 +326,18 @@
                 reply = await wide.gateway.gather(json.loads(request.body))
                 return Response(200, [], json.dumps(reply).encode())
 
-            made = []
-            wide.gateway._gatherer._make_call = lambda *fields: made.append(fields)
+            calls_made = []
+            wide.gateway._gatherer._make_call = lambda *fields: calls_made.append(
+                fields
+            )
             listener = Listener(answer, Limits)
             host, _, port = (await listener.start("127.0.0.1:0")).rpartition(":")
-            body = json.dumps(begin.to_json()).encode()
-            with socket.create_connection((host, int(port))) as withdrawn:
+            body = json.dumps(gather_request.to_json()).encode()
+            with socket.create_connection((host, int(port))) as connection:
                 head = f"POST /g HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n"
-                withdrawn.sendall(head.encode() + body)
+                connection.sendall(head.encode() + body)
             await asyncio.sleep(0.3)
             await listener.stop()
-            assert made == []
+            assert calls_made == []
 
     asyncio.run(run())
--- a/tests/gateway/test_scatter.py
+++ b/tests/gateway/test_scatter.py
@@ -1,4 +1,4 @@
-"""Queries over many shards: what is merged, what is left out, when it is said."""
+"""Scatter-gather queries: merging, partial answers and response statuses."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 from kingcuplug_gateway import RECORD_BYTES, merge_records
 from kingcuplug_http import Request, Response
 
-from .conftest import make_route, sealed
+from .conftest import make_route, signed_response
 
 SHARDS = ("s0", "s1", "s2", "s3")
 
@@ -18,124 +18,150 @@
     return letter.encode() * RECORD_BYTES
 
 
-def _part(*letters: str, rest: bytes = b""):
-    async def answer(request: Request) -> Response:
-        return sealed(b"".join(map(record, letters)) + rest)
+def _respond_records(*letters: str, trailing: bytes = b""):
+    async def respond(request: Request) -> Response:
+        return signed_response(b"".join(map(record, letters)) + trailing)
 
-    return answer
+    return respond
 
 
-async def _broken(request: Request) -> Response:
-    return sealed(record("z"), status=500)
+async def _respond_error(request: Request) -> Response:
+    return signed_response(record("z"), status=500)
 
 
-async def _silent(request: Request) -> Response:
+async def _never_respond(request: Request) -> Response:
     await asyncio.sleep(60)
-    return sealed()
+    return signed_response()
 
 
 def _headers(response: Response) -> dict[bytes, bytes]:
     return dict(response.headers)
 
 
-def _ask(open_world, scripts, **fields) -> Response:
+def _send_query(open_gateway, handlers, **fields) -> Response:
     async def run() -> Response:
-        async with open_world() as world:
-            for shard, script in zip(SHARDS, scripts, strict=True):
-                await world.add(shard, script)
-            world.adopt(make_route(services=(), shards=SHARDS, **fields))
-            return await world.ask()
+        async with open_gateway() as harness:
+            for shard, handler in zip(SHARDS, handlers, strict=True):
+                await harness.add_server(shard, handler)
+            harness.set_routes(make_route(services=(), shards=SHARDS, **fields))
+            return await harness.send()
 
     return asyncio.run(run())
 
 
-def test_whole_answer_holds_the_greatest_records_of_all_parts(open_world):
-    """Guards against an answer that is not the merge of the parts it names."""
-    scripts = [_part("a", "z"), _part("c", rest=b"odd"), _part("z"), _part("b", "d")]
-    response = _ask(open_world, scripts)
+def test_complete_answer_holds_the_greatest_records_of_all_parts(open_gateway):
+    """Guards against an answer that differs from the merge of the parts it lists."""
+    handlers = [
+        _respond_records("a", "z"),
+        _respond_records("c", trailing=b"odd"),
+        _respond_records("z"),
+        _respond_records("b", "d"),
+    ]
+    response = _send_query(open_gateway, handlers)
     assert response.status == 200
     assert response.body == b"".join(map(record, "zzdcb"))
     assert len(_headers(response)[b"Seals"].split(b",")) == 4
     assert _headers(response)[b"Missing"] == b"0"
 
 
-@pytest.mark.parametrize("bad", [_broken, _silent])
-def test_missing_part_is_stated_and_its_records_left_out(open_world, bad):
-    """Guards against a partial answer that looks whole."""
-    scripts = [_part("a"), bad, _part("b"), _part("c")]
-    response = _ask(open_world, scripts, target_ms=100, timeout_ms=600)
+@pytest.mark.parametrize("bad", [_respond_error, _never_respond])
+def test_missing_part_is_reported_and_its_records_are_excluded(open_gateway, bad):
+    """Guards against a partial answer that is reported as complete."""
+    handlers = [
+        _respond_records("a"),
+        bad,
+        _respond_records("b"),
+        _respond_records("c"),
+    ]
+    response = _send_query(open_gateway, handlers, target_ms=100, timeout_ms=600)
     assert response.status == 200
     assert response.body == b"".join(map(record, "cba"))
     assert len(_headers(response)[b"Seals"].split(b",")) == 3
     assert _headers(response)[b"Missing"] == b"1"
 
 
-def test_too_few_parts_are_no_answer(open_world):
-    """Guards against a success below the route's minimum."""
-    scripts = [_part("a"), _broken, _broken, _part("b")]
-    response = _ask(open_world, scripts, minimum_coverage=0.75)
+def test_too_few_parts_lead_to_502(open_gateway):
+    """Guards against a success status below the route's minimum coverage."""
+    handlers = [
+        _respond_records("a"),
+        _respond_error,
+        _respond_error,
+        _respond_records("b"),
+    ]
+    response = _send_query(open_gateway, handlers, minimum_coverage=0.75)
     assert response.status == 502
 
 
-def test_query_that_ran_out_of_time_ends_in_504(open_world):
-    """Guards against a status that hides whether time or servers were missing."""
-    scripts = [_part("a"), _silent, _silent, _part("b")]
-    response = _ask(open_world, scripts, minimum_coverage=0.75, timeout_ms=150)
+def test_query_past_its_deadline_leads_to_504(open_gateway):
+    """Guards against the same status for a timeout as for failed servers."""
+    handlers = [
+        _respond_records("a"),
+        _never_respond,
+        _never_respond,
+        _respond_records("b"),
+    ]
+    response = _send_query(
+        open_gateway, handlers, minimum_coverage=0.75, timeout_ms=150
+    )
     assert response.status == 504
 
 
-def test_query_is_refused_at_once_if_too_many_shards_have_no_server(open_world):
-    """Guards against work on a query that cannot reach its minimum."""
+def test_query_is_refused_at_once_if_too_many_shards_have_no_server(open_gateway):
+    """Guards against running a query that cannot reach its minimum coverage."""
 
     async def run() -> tuple[Response, int]:
-        async with open_world() as world:
-            server = await world.add("s0", _part("a"))
-            world.adopt(make_route(services=(), shards=SHARDS, minimum_coverage=0.75))
-            return await world.ask(), len(world.asked[server])
+        async with open_gateway() as harness:
+            server = await harness.add_server("s0", _respond_records("a"))
+            harness.set_routes(
+                make_route(services=(), shards=SHARDS, minimum_coverage=0.75)
+            )
+            return await harness.send(), len(harness.received[server])
 
-    response, asked = asyncio.run(run())
+    response, request_count = asyncio.run(run())
     assert response.status == 503
-    assert asked == 0
+    assert request_count == 0
 
 
-def test_all_parts_come_from_the_shards_of_one_version(open_world):
-    """Guards against mixing shards when the routes change under a query."""
-    begun = asyncio.Event()
-    go_on = asyncio.Event()
+def test_all_parts_come_from_one_version_of_the_route(open_gateway):
+    """Guards against mixing shards when the routes change during a query."""
+    started = asyncio.Event()
+    may_respond = asyncio.Event()
 
-    async def held(request: Request) -> Response:
-        begun.set()
-        await go_on.wait()
-        return sealed(record("h"))
+    async def respond_when_allowed(request: Request) -> Response:
+        started.set()
+        await may_respond.wait()
+        return signed_response(record("h"))
 
     async def run() -> tuple[Response, int]:
-        async with open_world() as world:
-            await world.add("s0", held)
-            await world.add("s1", _part("a"))
-            new = await world.add("s2", _part("n"))
-            world.adopt(make_route(services=(), shards=("s0", "s1"), target_ms=5_000))
-            asking = asyncio.ensure_future(world.ask(left_ms="9000"))
-            await begun.wait()
-            world.adopt(make_route(services=(), shards=("s1", "s2")), version=2)
-            go_on.set()
-            return await asking, len(world.asked[new])
-
-    response, asked_new = asyncio.run(run())
+        async with open_gateway() as harness:
+            await harness.add_server("s0", respond_when_allowed)
+            await harness.add_server("s1", _respond_records("a"))
+            new_server = await harness.add_server("s2", _respond_records("n"))
+            harness.set_routes(
+                make_route(services=(), shards=("s0", "s1"), target_ms=5_000)
+            )
+            pending_response = asyncio.ensure_future(harness.send(left_ms="9000"))
+            await started.wait()
+            harness.set_routes(make_route(services=(), shards=("s1", "s2")), version=2)
+            may_respond.set()
+            return await pending_response, len(harness.received[new_server])
+
+    response, new_server_requests = asyncio.run(run())
     assert response.body == record("h") + record("a")
-    assert asked_new == 0
+    assert new_server_requests == 0
 
 
-def test_stalled_part_is_asked_again_at_another_replica(open_world):
-    """Guards against a query that waits for one server's pause."""
+def test_request_to_a_stalled_shard_is_hedged_at_another_replica(open_gateway):
+    """Guards against a query that waits for one stalled server."""
 
     async def run() -> Response:
-        async with open_world() as world:
-            await world.add("s0", _silent)
-            await world.add("s0", _part("a"))
-            world.adopt(
+        async with open_gateway() as harness:
+            await harness.add_server("s0", _never_respond)
+            await harness.add_server("s0", _respond_records("a"))
+            harness.set_routes(
                 make_route(services=(), shards=("s0",), timeout_ms=3_000, target_ms=60)
             )
-            responses = [await world.ask() for _ in range(4)]
+            responses = [await harness.send() for _ in range(4)]
             return responses[-1]
 
     assert asyncio.run(run()).body == record("a")
@@ -148,27 +174,27 @@
 def test_merge_equals_a_full_sort(parts, top):
     """Guards against a merge that drops equal or misplaces unequal records."""
     merged = merge_records([b"".join(part) + b"tail" for part in parts], top)
-    everything = sorted((r for part in parts for r in part), reverse=True)
-    assert merged == b"".join(everything[:top])
+    all_records = sorted((r for part in parts for r in part), reverse=True)
+    assert merged == b"".join(all_records[:top])
 
 
-def test_last_shard_is_asked_again_soon_after_the_others_have_answered(open_world):
-    """Guards against waiting for a fixed time while all other parts are in."""
-    asked_at: list[float] = []
+def test_last_shard_is_hedged_soon_after_the_others_have_responded(open_gateway):
+    """Guards against a fixed hedging delay when all other parts have arrived."""
+    request_times: list[float] = []
 
-    async def stalling(request: Request) -> Response:
-        asked_at.append(asyncio.get_running_loop().time())
-        if len(asked_at) == 1:
+    async def stall_first_request(request: Request) -> Response:
+        request_times.append(asyncio.get_running_loop().time())
+        if len(request_times) == 1:
             await asyncio.sleep(60)
-        return sealed(record("a"))
+        return signed_response(record("a"))
 
     async def run() -> Response:
-        async with open_world() as world:
+        async with open_gateway() as harness:
             for shard in SHARDS[1:]:
-                await world.add(shard, _part("b"))
-            await world.add("s0", stalling)
-            await world.add("s0", stalling)
-            world.adopt(
+                await harness.add_server(shard, _respond_records("b"))
+            await harness.add_server("s0", stall_first_request)
+            await harness.add_server("s0", stall_first_request)
+            harness.set_routes(
                 make_route(
                     services=(),
                     shards=SHARDS,
@@ -177,7 +203,7 @@
                     timeout_ms=90_000,
                 )
             )
-            return await world.ask()
+            return await harness.send()
 
     response = asyncio.run(run())
     assert response.body.startswith(record("b"))
