--- a/packages/gateway/src/kingcuplug_gateway/_connection_pool.py
+++ b/packages/gateway/src/kingcuplug_gateway/_connection_pool.py
@@ -10,41 +10,41 @@
 
 from kingcuplug_http import Exchange, Failure, OutboundConnection, connect
 
-__all__ = ["Pending", "ServerConnections"]
+__all__ = ["ConnectionPool", "PendingRequest"]
 
 # A running server accepts within a round trip; an unreachable one delays the caller
 # by this timeout.
 CONNECT_TIMEOUT_S = 0.5
 # A request sent while the server closes its idle connection is lost, so this host
 # closes connections this much earlier.
-_CLOSE_MARGIN_S = 0.6
+_KEEP_ALIVE_MARGIN_S = 0.6
 _DEFAULT_KEEP_ALIVE_S = 4.0  # Below the idle timeout of common servers.
 
 
-class Pending(Exchange, Protocol):
+class PendingRequest(Exchange, Protocol):
     """A request that waits for a connection or is in progress on one.
 
     Attributes
     ----------
-    wanted : bool
+    active : bool
         Whether to send the request once a connection is available.
-    bodiless : bool
+    no_response_body : bool
         Whether the response has no body regardless of its headers.
     """
 
-    wanted: bool
-    bodiless: bool
+    active: bool
+    no_response_body: bool
 
     def encode(self) -> bytes:
         """Return the encoded request; called when it is sent."""
         ...
 
-    def sent(self, connection: OutboundConnection) -> None:
+    def on_sent(self, connection: OutboundConnection) -> None:
         """Handle that the request is about to be sent on the connection."""
         ...
 
 
-class ServerConnections:
+class ConnectionPool:
     """Idle and busy connections to one server.
 
     Parameters
@@ -59,30 +59,30 @@
         self.address = address
         self.limit = limit
         self._idle: list[OutboundConnection] = []
-        self._busy = 0
-        self._waiting: deque[tuple[Pending, bool]] = deque()
-        self._tasks: set[asyncio.Task[None]] = set()
+        self._busy_count = 0
+        self._waiting: deque[tuple[PendingRequest, bool]] = deque()
+        self._connect_tasks: set[asyncio.Task[None]] = set()
         self._closed = False
 
-    def submit(self, pending: Pending, fresh: bool) -> None:
+    def submit(self, pending: PendingRequest, new_connection: bool) -> None:
         """Send a request as soon as a connection is available.
 
         Parameters
         ----------
-        fresh : bool
+        new_connection : bool
             Use a new connection. The server may already have closed an idle one, and
             then it is unknown whether the request ran.
         """
-        connection = None if fresh else self._take()
+        connection = None if new_connection else self._pop_idle()
         if connection is not None:
-            self._busy += 1
+            self._busy_count += 1
             self._send(connection, pending)
-        elif self._busy < self.limit:
-            self._open(pending)
+        elif self._busy_count < self.limit:
+            self._open_connection(pending)
         else:
-            self._waiting.append((pending, fresh))
+            self._waiting.append((pending, new_connection))
 
-    def withdraw(self, pending: Pending) -> bool:
+    def withdraw(self, pending: PendingRequest) -> bool:
         """Remove a waiting request; return whether it was waiting."""
         for entry in self._waiting:
             if entry[0] is pending:
@@ -92,12 +92,12 @@
 
     def release(self, connection: OutboundConnection) -> None:
         """Return the connection of a finished request to the pool."""
-        self._busy -= 1
+        self._busy_count -= 1
         if not connection.usable or self._closed:
             connection.close()
-            self._serve_waiting(None)
+            self._send_next_waiting(None)
         else:
-            self._serve_waiting(connection)
+            self._send_next_waiting(connection)
 
     def close(self) -> None:
         """Close idle connections, and busy ones as they are released."""
@@ -110,41 +110,41 @@
         """Close unusable connections and those idle for too long."""
         kept = []
         for connection in self._idle:
-            if connection.usable and now < _expiry(connection):
+            if connection.usable and now < _expires_at(connection):
                 kept.append(connection)
             else:
                 connection.close()
         self._idle = kept
 
-    def _take(self) -> OutboundConnection | None:
+    def _pop_idle(self) -> OutboundConnection | None:
         now = asyncio.get_running_loop().time()
         while self._idle:
             connection = self._idle.pop()
-            if connection.usable and now < _expiry(connection):
+            if connection.usable and now < _expires_at(connection):
                 return connection
             connection.close()
         return None
 
-    def _send(self, connection: OutboundConnection, pending: Pending) -> None:
-        if not pending.wanted:
+    def _send(self, connection: OutboundConnection, pending: PendingRequest) -> None:
+        if not pending.active:
             self.release(connection)
             return
-        pending.sent(connection)
-        connection.send(pending.encode(), pending, pending.bodiless)
+        pending.on_sent(connection)
+        connection.send(pending.encode(), pending, pending.no_response_body)
 
-    def _open(self, pending: Pending) -> None:
-        self._busy += 1
-        while self._idle and self._busy + len(self._idle) > self.limit:
+    def _open_connection(self, pending: PendingRequest) -> None:
+        self._busy_count += 1
+        while self._idle and self._busy_count + len(self._idle) > self.limit:
             self._idle.pop(0).close()
         task = asyncio.ensure_future(self._connect(pending))
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
+        self._connect_tasks.add(task)
+        task.add_done_callback(self._connect_tasks.discard)
 
-    async def _connect(self, pending: Pending) -> None:
+    async def _connect(self, pending: PendingRequest) -> None:
         try:
             connection = await connect(self.address, CONNECT_TIMEOUT_S)
         except OSError:
-            self._busy -= 1
+            self._busy_count -= 1
             pending.failed(Failure.CONNECT)
             self._fail_waiting()
             return
@@ -155,13 +155,13 @@
         for pending, _ in waiting:
             pending.failed(Failure.CONNECT)
 
-    def _serve_waiting(self, connection: OutboundConnection | None) -> None:
+    def _send_next_waiting(self, connection: OutboundConnection | None) -> None:
         if connection is not None:
             self._idle.append(connection)
-        if self._waiting and self._busy < self.limit:
+        if self._waiting and self._busy_count < self.limit:
             self.submit(*self._waiting.popleft())
 
 
-def _expiry(connection: OutboundConnection) -> float:
+def _expires_at(connection: OutboundConnection) -> float:
     keep_alive_s = connection.keep_alive_s or _DEFAULT_KEEP_ALIVE_S
-    return connection.idle_since + max(keep_alive_s - _CLOSE_MARGIN_S, 0.3)
+    return connection.idle_since + max(keep_alive_s - _KEEP_ALIVE_MARGIN_S, 0.3)
--- a/packages/gateway/src/kingcuplug_gateway/_gateway.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gateway.py
@@ -26,35 +26,35 @@
 )
 
 from kingcuplug_gateway._gather_client import (
-    AskPeer,
-    Gatherers,
-    GatherNote,
+    CallPeer,
+    GathererDirectory,
+    GatherRecord,
     NotGathering,
-    gather,
+    gather_from_peer,
 )
-from kingcuplug_gateway._gather_server import Gatherer
-from kingcuplug_gateway._request_log import Ended, RequestLog
+from kingcuplug_gateway._gather_server import GatherServer
+from kingcuplug_gateway._request_log import RequestLog, RequestResult
 from kingcuplug_gateway._routes import Route, RouteTable
-from kingcuplug_gateway._scatter import Scatter
+from kingcuplug_gateway._scatter import ScatterQuery
 from kingcuplug_gateway._servers import KnownServer, ServerTable, ServicePool
-from kingcuplug_gateway._service_call import Outgoing, ServiceCall
+from kingcuplug_gateway._service_call import OutboundRequest, ServiceCall
 from kingcuplug_gateway._settings import GatewaySettings
-from kingcuplug_gateway._weighted_round_robin import WeightedTurn
+from kingcuplug_gateway._weighted_round_robin import WeightedRoundRobin
 
 __all__ = ["Gateway"]
 
 _MS_PER_S = 1_000
-_FIRST_ERROR = 400
-_LONGEST_DIGITS = 12  # A deadline header with more digits is ignored.
+_MIN_ERROR_STATUS = 400
+_MAX_DEADLINE_DIGITS = 12  # A deadline header with more digits is ignored.
 # One-way network trips of a request on a new connection: two for the TCP handshake,
 # one each for the request and the response.
-_TRIPS = 4
+_TRIPS_WITH_CONNECT = 4
 # The delay lets a server restart or be announced before the caller retries. It is
 # drawn at random from this range, so that callers do not retry at the same time.
-_RETRY_AFTER_S = (0.15, 0.45)
+_RETRY_AFTER_RANGE_S = (0.15, 0.45)
 # Bounds the wait of requests that arrive before the first route table, and thus the
 # routes' timeouts, are known.
-_LONGEST_WAIT_MS = 10_000
+_MAX_STARTUP_WAIT_MS = 10_000
 
 
 class Gateway:
@@ -74,43 +74,45 @@
         log: EventLog,
         metrics: Metrics,
         random: random_module.Random | None = None,
-        ask_peer: AskPeer | None = None,
+        ask_peer: CallPeer | None = None,
     ) -> None:
         self._settings = settings
-        self._ask_peer = ask_peer if settings.narrow else None
-        self._gatherers = Gatherers(log)
-        self._gathers = False
-        self._names = settings.names
+        self._call_peer = ask_peer if settings.has_narrow_link else None
+        self._gatherer_directory = GathererDirectory(log)
+        self._is_gatherer = False
+        self._header_names = settings.names
         self._metrics = metrics
-        self._request_log = RequestLog(self._names.attempt_id.lower(), log, metrics)
+        self._request_log = RequestLog(
+            self._header_names.attempt_id.lower(), log, metrics
+        )
         self._random = random or random_module.Random()
         self._timings: dict[str, Timing] = {}
-        self._turns: dict[str, WeightedTurn] = {}
-        self._set_here = frozenset(
+        self._round_robins: dict[str, WeightedRoundRobin] = {}
+        self._reserved_headers = frozenset(
             name.lower()
             for name in (
-                self._names.deadline_ms,
-                self._names.expected_server,
-                self._names.not_run,
-                self._names.seal,
-                self._names.part_seals,
-                self._names.missing_parts,
+                self._header_names.deadline_ms,
+                self._header_names.expected_server,
+                self._header_names.not_run,
+                self._header_names.seal,
+                self._header_names.part_seals,
+                self._header_names.missing_parts,
             )
         )
-        self._hosts = 0
+        self._host_count = 0
         self._started_at = asyncio.get_running_loop().time()
-        self._changed = Signal()
+        self._state_changed = Signal()
         self.table: RouteTable | None = None
         self.servers = ServerTable(
             settings.availability_zone,
-            settings.allowance,
+            settings.retry_budget,
             self._random,
-            delegates=self._ask_peer is not None,
+            uses_gatherers=self._call_peer is not None,
         )
-        self._gatherer = Gatherer(
-            partial(self._call, gathered=True),
-            self._timing,
-            self._names.seal.lower(),
+        self._gather_server = GatherServer(
+            partial(self._make_call, for_peer=True),
+            self._route_timing,
+            self._header_names.seal.lower(),
             log,
         )
 
@@ -121,16 +123,16 @@
         self.table = table
         names = {route.name for route in table.routes}
         self._timings = {n: t for n, t in self._timings.items() if n in names}
-        self._turns.clear()
-        self._limit_connections()
-        self._changed.notify()
+        self._round_robins.clear()
+        self._update_connection_limits()
+        self._state_changed.notify()
         return True
 
     def use(
         self,
         servers: list[KnownServer],
         hosts: int,
-        requests_of_all: int = 0,
+        fleet_requests: int = 0,
         gatherers: Mapping[str, Sequence[str]] = MappingProxyType({}),
     ) -> None:
         """Update the state of the fleet.
@@ -139,20 +141,21 @@
         ----------
         servers : list of KnownServer
             Servers that requests may be sent to.
-        hosts, requests_of_all : int
-            Live hosts and their requests in the last window; 0 if unknown.
+        hosts, fleet_requests : int
+            Number of live hosts, and of their requests in the last window; 0 if
+            unknown.
         gatherers : mapping
             Addresses of the hosts that gather parts of queries, by availability zone.
         """
-        if gatherers != self._gatherers.zones:
-            self._gatherers.zones = gatherers
-            self._limit_connections()
-        self.servers.replace(servers)
-        self.servers.requests_of_all = requests_of_all
-        if hosts != self._hosts:
-            self._hosts = hosts
-            self._limit_connections()
-        self._changed.notify()
+        if gatherers != self._gatherer_directory.addresses_by_zone:
+            self._gatherer_directory.addresses_by_zone = gatherers
+            self._update_connection_limits()
+        self.servers.replace_servers(servers)
+        self.servers.fleet_requests = fleet_requests
+        if hosts != self._host_count:
+            self._host_count = hosts
+            self._update_connection_limits()
+        self._state_changed.notify()
 
     def limits(self) -> Limits:
         """Return the size limits and timeouts of callers' requests."""
@@ -166,7 +169,7 @@
             idle_timeout_ms=table.idle_timeout_ms,
         )
 
-    async def gather(self, value: Any, begins: bool = True) -> Any:
+    async def gather(self, message: Any, begins: bool = True) -> Any:
         """Handle the message of a host that has this one gather parts.
 
         Parameters
@@ -189,35 +192,39 @@
         ValueError
             If the message cannot be decoded, or its operation has ended.
         """
-        if self._settings.narrow:
+        if self._settings.has_narrow_link:
             raise NotGathering(f"the link has {self._settings.link_mbps} Mbit/s")
-        if not self._gathers:
-            self._gathers = True
-            self._limit_connections()
-        return await self._gatherer.answer(value, begins)
+        if not self._is_gatherer:
+            self._is_gatherer = True
+            self._update_connection_limits()
+        return await self._gather_server.handle(message, begins)
 
     async def handle(self, request: Request) -> Response:
         """Return the response to a caller's request."""
-        await self._warm(request, _LONGEST_WAIT_MS, lambda: self.table is not None)
+        await self._wait_for_startup(
+            request, _MAX_STARTUP_WAIT_MS, lambda: self.table is not None
+        )
         table = self.table
         if table is None:
             return self._refuse(request, None, "no_routes")
-        host, path = _place(request)
+        host, path = _host_and_path(request)
         if host is None or path is None:
-            return self._end(request, None, error_response(400, "no host or path"))
+            return self._finish(request, None, error_response(400, "no host or path"))
         route = table.find(host, path)
         if route is None:
-            return self._end(request, None, error_response(404, "no such route"))
+            return self._finish(request, None, error_response(404, "no such route"))
         self.servers.count_request(asyncio.get_running_loop().time())
         if route.shards:
-            return await self._query(request, route)
+            return await self._scatter_query(request, route)
         return await self._forward(request, route)
 
     async def _forward(self, request: Request, route: Route) -> Response:
         """Send a request to one server of the route's service."""
-        service = self._service(route)
+        service = self._select_service(route)
         pool = self.servers.pool(service)
-        await self._warm(request, route.timeout_ms, lambda: bool(pool.servers))
+        await self._wait_for_startup(
+            request, route.timeout_ms, lambda: bool(pool.servers)
+        )
         if not pool.servers:
             return self._refuse(request, route, "no_servers")
         loop = asyncio.get_running_loop()
@@ -227,150 +234,169 @@
             if not finished.done():
                 finished.set_result(None)
 
-        outbound = self._outgoing(request, route)
-        timing = self._timing(route.name, route.target_ms)
-        call = self._call(service, outbound, timing, route.max_attempts, on_finished)
-        if not await self._enter(pool, route, outbound):
+        outbound = self._outbound_request(request, route)
+        timing = self._route_timing(route.name, route.target_ms)
+        call = self._make_call(
+            service, outbound, timing, route.max_attempts, on_finished
+        )
+        if not await self._wait_for_admission(pool, route, outbound):
             return self._refuse(request, route, "no_turn")
         call.start()
         try:
-            async with asyncio.timeout_at(self._final_at(outbound)):
+            async with asyncio.timeout_at(self._answer_due_at(outbound)):
                 await finished
         except TimeoutError:
             call.cancel()
-            return self._end(request, route, error_response(504, "timed out"), call)
+            return self._finish(request, route, error_response(504, "timed out"), call)
         except asyncio.CancelledError:
             call.cancel()
-            self._gone(request, route, call)
+            self._record_disconnect(request, route, call)
             raise
         finally:
-            pool.turnstile.leave(places(pool.slots, self._hosts))
-        result = call.ending
+            pool.limiter.leave(places(pool.slots, self._host_count))
+        result = call.result
         if result.response is not None:
-            return self._end(request, route, _relayed(result.response), call)
+            return self._finish(
+                request, route, _relayed_response(result.response), call
+            )
         if not result.may_have_run:
             return self._refuse(request, route, "no_room", call)
-        return self._end(request, route, error_response(502, "no answer"), call)
+        return self._finish(request, route, error_response(502, "no answer"), call)
 
-    async def _query(self, request: Request, route: Route) -> Response:
+    async def _scatter_query(self, request: Request, route: Route) -> Response:
         """Send a request to one server of each shard and merge their responses."""
-        outbound = self._outgoing(request, route)
-        rule = self._rule(request, route, outbound)
+        outbound = self._outbound_request(request, route)
+        rule = self._answer_rule(request, route, outbound)
         pools = [self.servers.pool(shard) for shard in route.shards]
-        await self._warm(
+        await self._wait_for_startup(
             request, route.timeout_ms, lambda: all(pool.servers for pool in pools)
         )
         now = asyncio.get_running_loop().time()
-        reachable = sum(pool.reachable(now) for pool in pools)
+        reachable = sum(pool.has_reachable_server(now) for pool in pools)
         if reachable < rule.needed:
             return self._refuse(request, route, "shards_unreachable")
-        if not await self._enter(pools[0], route, outbound):
+        if not await self._wait_for_admission(pools[0], route, outbound):
             return self._refuse(request, route, "no_turn")
-        scatter = Scatter(rule, self._names.seal.lower())
-        gather_records: list[GatherNote] = []
+        scatter = ScatterQuery(rule, self._header_names.seal.lower())
+        gather_records: list[GatherRecord] = []
         try:
             await scatter.run(
-                lambda: self._ask(route, outbound, scatter, rule, gather_records)
+                lambda: self._start_shard_calls(
+                    route, outbound, scatter, rule, gather_records
+                )
             )
         except asyncio.CancelledError:
-            self._gone(request, route, *scatter.calls, notes=gather_records)
+            self._record_disconnect(
+                request, route, *scatter.calls, gather_records=gather_records
+            )
             raise
         finally:
-            pools[0].turnstile.leave(places(pools[0].slots, self._hosts))
-        merged = scatter.merged(route.top_records)
+            pools[0].limiter.leave(places(pools[0].slots, self._host_count))
+        merged = scatter.merge(route.top_records)
         if merged is None:
             past_deadline = asyncio.get_running_loop().time() >= rule.final_at
             status = 504 if past_deadline else 502
             response = error_response(status, "too few shards answered")
-            return self._end(
-                request, route, response, *scatter.calls, notes=gather_records
+            return self._finish(
+                request, route, response, *scatter.calls, gather_records=gather_records
             )
         headers: Headers = [
-            (self._names.part_seals, b", ".join(merged.seals)),
-            (self._names.missing_parts, b"%d" % merged.missing),
+            (self._header_names.part_seals, b", ".join(merged.signatures)),
+            (self._header_names.missing_parts, b"%d" % merged.missing_count),
             (b"Content-Type", b"application/octet-stream"),
         ]
         response = Response(200, headers, merged.body)
-        return self._end(request, route, response, *scatter.calls, notes=gather_records)
+        return self._finish(
+            request, route, response, *scatter.calls, gather_records=gather_records
+        )
 
-    def _ask(
+    def _start_shard_calls(
         self,
         route: Route,
-        outgoing: Outgoing,
-        scatter: Scatter,
+        outbound: OutboundRequest,
+        scatter: ScatterQuery,
         rule: AnswerRule,
-        notes: list[GatherNote],
+        gather_records: list[GatherRecord],
     ) -> list[Coroutine[Any, Any, None]]:
         """Start calls to shards, and return the coroutines that delegate the others."""
         delegations = self._delegations(route)
         delegated_shards = {shard for d in delegations for shard in d.shards}
         now = asyncio.get_running_loop().time()
         for shard in delegated_shards:
-            self.servers.pool(shard).allowance.request(now)
+            self.servers.pool(shard).caller_retry_budget.request(now)
 
-        timing = self._timing(route.name, route.target_ms)
+        timing = self._route_timing(route.name, route.target_ms)
 
         def make_call(shard: str) -> ServiceCall:
-            return self._call(
-                shard, outgoing, timing, route.max_attempts, scatter.part_done
+            return self._make_call(
+                shard, outbound, timing, route.max_attempts, scatter.on_call_finished
             )
 
         def make_fallback_call(shard: str) -> ServiceCall:
             # The gatherer may have sent a first attempt, which counts as one.
             max_attempts = max(1, route.max_attempts - 1)
-            return self._call(
-                shard, outgoing, timing, max_attempts, scatter.part_done, "fallback"
+            return self._make_call(
+                shard,
+                outbound,
+                timing,
+                max_attempts,
+                scatter.on_call_finished,
+                "fallback",
             )
 
         def call_shards_directly(shards: Sequence[str], maybe_sent: bool) -> None:
-            scatter.ask_shards(make_fallback_call if maybe_sent else make_call, shards)
+            scatter.call_shards(make_fallback_call if maybe_sent else make_call, shards)
 
-        scatter.ask_shards(
+        scatter.call_shards(
             make_call, [s for s in route.shards if s not in delegated_shards]
         )
-        notes += [GatherNote(d.gatherer, len(d.shards), now) for d in delegations]
-        if self._ask_peer is None:
+        gather_records += [
+            GatherRecord(d.gatherer, len(d.shards), now) for d in delegations
+        ]
+        if self._call_peer is None:
             return []
         return [
-            gather(
-                self._ask_peer,
-                self._gatherers,
+            gather_from_peer(
+                self._call_peer,
+                self._gatherer_directory,
                 delegation,
                 route,
-                outgoing,
+                outbound,
                 timing,
                 scatter,
                 rule,
                 record,
                 call_shards_directly,
             )
-            for delegation, record in zip(delegations, notes, strict=True)
+            for delegation, record in zip(delegations, gather_records, strict=True)
         ]
 
     def _delegations(self, route: Route) -> list[Delegation]:
         now = asyncio.get_running_loop().time()
-        gatherers = self._gatherers.usable(now)
-        if self._ask_peer is None or not gatherers:
+        gatherers = self._gatherer_directory.available(now)
+        if self._call_peer is None or not gatherers:
             return []
-        zones = {s: self.servers.pool(s).good_zones(now) for s in route.shards}
+        zones = {s: self.servers.pool(s).healthy_zones(now) for s in route.shards}
         own_zone = self._settings.availability_zone
         return delegate(zones, own_zone, gatherers, self._random)
 
-    async def _warm(
-        self, request: Request, wait_ms: int, known: Callable[[], bool]
+    async def _wait_for_startup(
+        self, request: Request, wait_ms: int, is_ready: Callable[[], bool]
     ) -> None:
         """Wait until the host is ready, if it has only just started."""
-        if known():
+        if is_ready():
             return
         now = asyncio.get_running_loop().time()
         deadline_at = self._deadline_at(request, wait_ms)
         until = wait_until(request.received_at, deadline_at, self._started_at)
         if now < until:
-            await self._changed.until(known, until - now)
+            await self._state_changed.until(is_ready, until - now)
 
-    async def _enter(self, pool: ServicePool, route: Route, outgoing: Outgoing) -> bool:
+    async def _wait_for_admission(
+        self, pool: ServicePool, route: Route, outbound: OutboundRequest
+    ) -> bool:
         """Wait for admission by the limiter; return whether it came in time."""
-        if pool.turnstile.enter(places(pool.slots, self._hosts)):
+        if pool.limiter.enter(places(pool.slots, self._host_count)):
             return True
         admission: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
@@ -380,76 +406,78 @@
             admission.set_result(None)
             return True
 
-        pool.turnstile.wait(route.rank, admit)
+        pool.limiter.wait(route.rank, admit)
         try:
-            async with asyncio.timeout_at(self._final_at(outgoing)):
+            async with asyncio.timeout_at(self._answer_due_at(outbound)):
                 await admission
         except TimeoutError:
             return False
         except asyncio.CancelledError:
             if admission.done() and not admission.cancelled():
-                pool.turnstile.leave(places(pool.slots, self._hosts))
+                pool.limiter.leave(places(pool.slots, self._host_count))
             raise
         return True
 
     def _deadline_at(self, request: Request, wait_ms: int) -> float:
         """Return the caller's deadline, bounded by the time limit `wait_ms`."""
-        header_value = request.header(self._names.deadline_ms.lower())
+        header_value = request.header(self._header_names.deadline_ms.lower())
         if (
             header_value is not None
             and header_value.isdigit()
-            and len(header_value) <= _LONGEST_DIGITS
+            and len(header_value) <= _MAX_DEADLINE_DIGITS
         ):
             wait_ms = min(wait_ms, int(header_value))
         return request.received_at + wait_ms / _MS_PER_S
 
-    def _service(self, route: Route) -> str:
+    def _select_service(self, route: Route) -> str:
         if len(route.services) == 1:
             return route.services[0].service
-        round_robin = self._turns.get(route.name)
+        round_robin = self._round_robins.get(route.name)
         if round_robin is None:
-            round_robin = self._turns[route.name] = WeightedTurn(
+            round_robin = self._round_robins[route.name] = WeightedRoundRobin(
                 route.services, self._random
             )
         return round_robin.next()
 
-    def _call(
+    def _make_call(
         self,
         service: str,
-        outgoing: Outgoing,
+        outbound: OutboundRequest,
         timing: Timing,
         max_attempts: int,
-        done: Callable[[ServiceCall], None],
-        first: str = "first",
-        gathered: bool = False,
+        on_finished: Callable[[ServiceCall], None],
+        first_attempt_kind: str = "first",
+        for_peer: bool = False,
     ) -> ServiceCall:
         return ServiceCall(
-            table=self.servers,
+            server_table=self.servers,
             pool=self.servers.pool(service),
-            outgoing=outgoing,
-            names=self._names,
+            outbound=outbound,
+            header_names=self._header_names,
             timing=timing,
             metrics=self._metrics,
             max_attempts=max_attempts,
             random=self._random,
-            done=done,
-            first=first,
-            gathered=gathered,
+            on_finished=on_finished,
+            first_attempt_kind=first_attempt_kind,
+            for_peer=for_peer,
         )
 
-    def _timing(self, route: str, target_ms: int) -> Timing:
+    def _route_timing(self, route: str, target_ms: int) -> Timing:
         timing = self._timings.get(route)
         if timing is None:
             timing = self._timings[route] = Timing(target_ms)
         return timing
 
-    def _rule(self, request: Request, route: Route, outgoing: Outgoing) -> AnswerRule:
+    def _answer_rule(
+        self, request: Request, route: Route, outbound: OutboundRequest
+    ) -> AnswerRule:
         # The caller measures from before it connects, so the first request on a
         # connection includes the TCP handshake.
-        trips = _TRIPS if request.first else 2
+        trips = _TRIPS_WITH_CONNECT if request.first else 2
         network_ms = trips * self._settings.caller_delay_ms
         target_ms = route.target_ms - network_ms - self._settings.answer_margin_ms
-        final_at = self._final_at(outgoing)
+        final_at = self._answer_due_at(outbound)
         target_at = request.received_at + max(target_ms, 1.0) / _MS_PER_S
         return AnswerRule(
             total=len(route.shards),
@@ -459,10 +487,10 @@
             final_at=final_at,
         )
 
-    def _outgoing(self, request: Request, route: Route) -> Outgoing:
-        names = self._names
+    def _outbound_request(self, request: Request, route: Route) -> OutboundRequest:
+        header_names = self._header_names
         lines = [b"%s %s HTTP/1.1\r\n" % (request.method, request.target)]
-        for name, value in end_to_end(request.headers, self._set_here):
+        for name, value in end_to_end(request.headers, self._reserved_headers):
             lines.append(b"%s: %s\r\n" % (name, value))
         if (
             request.body
@@ -475,79 +503,87 @@
             )
         ):
             lines.append(b"Content-Length: %d\r\n" % len(request.body))
-        return Outgoing(
+        return OutboundRequest(
             head=b"".join(lines),
             body=request.body,
-            attempt_id=request.header(names.attempt_id.lower()) or b"",
+            attempt_id=request.header(header_names.attempt_id.lower()) or b"",
             deadline_at=self._deadline_at(request, route.timeout_ms),
             repeatable=route.repeatable,
-            bodiless=request.method == b"HEAD",
+            no_response_body=request.method == b"HEAD",
         )
 
-    def _final_at(self, outgoing: Outgoing) -> float:
+    def _answer_due_at(self, outbound: OutboundRequest) -> float:
         """Return when the response must be sent to reach the caller in time."""
         settings = self._settings
-        reserved_ms = _TRIPS * settings.caller_delay_ms + settings.answer_margin_ms
-        return outgoing.deadline_at - reserved_ms / _MS_PER_S
+        reserved_ms = (
+            _TRIPS_WITH_CONNECT * settings.caller_delay_ms + settings.answer_margin_ms
+        )
+        return outbound.deadline_at - reserved_ms / _MS_PER_S
 
-    def _limit_connections(self) -> None:
+    def _update_connection_limits(self) -> None:
         if self.table is not None:
             services = self.table.services
             limits = {name: s.connection_limit for name, s in services.items()}
             gatherers = 0
-            if self._gathers:
-                gatherers = sum(map(len, self._gatherers.zones.values()))
-            self.servers.limit_connections(limits, self._hosts, gatherers)
+            if self._is_gatherer:
+                gatherers = sum(
+                    map(len, self._gatherer_directory.addresses_by_zone.values())
+                )
+            self.servers.set_connection_limits(limits, self._host_count, gatherers)
 
     def _refuse(
         self, request: Request, route: Route | None, reason: str, *calls: ServiceCall
     ) -> Response:
         """Refuse a request that has run at no server, and ask for a later retry."""
-        retry_after_s = self._random.uniform(*_RETRY_AFTER_S)
+        retry_after_s = self._random.uniform(*_RETRY_AFTER_RANGE_S)
         response = error_response(503, reason, retry_after_s=retry_after_s)
-        return self._end(request, route, response, *calls)
+        return self._finish(request, route, response, *calls)
 
-    def _gone(
+    def _record_disconnect(
         self,
         request: Request,
         route: Route,
         *calls: ServiceCall,
-        notes: Sequence[GatherNote] = (),
+        gather_records: Sequence[GatherRecord] = (),
     ) -> None:
-        self._observe(request, route, "caller_left", b"", calls, notes)
+        self._record_outcome(request, route, "caller_left", b"", calls, gather_records)
 
-    def _end(
+    def _finish(
         self,
         request: Request,
         route: Route | None,
         response: Response,
         *calls: ServiceCall,
-        notes: Sequence[GatherNote] = (),
+        gather_records: Sequence[GatherRecord] = (),
     ) -> Response:
-        is_own_response = response.header(self._names.seal.lower()) is None
+        is_own_response = response.header(self._header_names.seal.lower()) is None
         reason = (
             response.body
-            if is_own_response and response.status >= _FIRST_ERROR
+            if is_own_response and response.status >= _MIN_ERROR_STATUS
             else b""
         )
-        self._observe(request, route, str(response.status), reason, calls, notes)
+        self._record_outcome(
+            request, route, str(response.status), reason, calls, gather_records
+        )
         return response
 
-    def _observe(
+    def _record_outcome(
         self,
         request: Request,
         route: Route | None,
         outcome: str,
         reason: bytes,
         calls: tuple[ServiceCall, ...],
-        notes: Sequence[GatherNote],
+        gather_records: Sequence[GatherRecord],
     ) -> None:
         version = self.table.version if self.table else None
-        result = Ended(outcome, reason, version, self._hosts, calls, notes)
+        result = RequestResult(
+            outcome, reason, version, self._host_count, calls, gather_records
+        )
         self._request_log.write(request, route, result)
 
 
-def _place(request: Request) -> tuple[str | None, str | None]:
+def _host_and_path(request: Request) -> tuple[str | None, str | None]:
     """Return the host name and the path that select the route."""
     host = request.header(b"host")
     path = request.target.partition(b"?")[0]
@@ -557,7 +593,7 @@
     return name, path.decode("latin-1")
 
 
-def _relayed(response: Response) -> Response:
+def _relayed_response(response: Response) -> Response:
     """Return a server's response without its hop-by-hop headers."""
     headers = end_to_end(response.headers)
     return Response(response.status, headers, response.body, response.fields)
--- a/packages/gateway/src/kingcuplug_gateway/_gather_messages.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gather_messages.py
@@ -4,74 +4,74 @@
 from dataclasses import dataclass
 from typing import Any
 
-__all__ = ["Begin", "Gathered", "Rest", "decode_question"]
+__all__ = ["GatherReply", "GatherRequest", "RemainderRequest", "decode_request"]
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
+class GatherRequest:
     """Request to query some shards and return the parts that arrive in time.
 
     Attributes
     ----------
-    id : str
-        Identifies the gather operation in a later `Rest`.
+    gather_id : str
+        Identifies the gather operation in a later `RemainderRequest`.
     head : bytes
         Request line and headers to send to the servers.
-    left_ms : float
+    remaining_ms : float
         Time until the caller's deadline.
     target_ms : int
         Target latency of the route, which the gatherer's latency statistics need.
-    top : int
+    top_records : int
         Number of records in a merged answer.
     """
 
-    id: str
+    gather_id: str
     route: str
     shards: tuple[str, ...]
     head: bytes
     body: bytes
     attempt_id: bytes
-    left_ms: float
+    remaining_ms: float
     target_ms: int
     max_attempts: int
-    top: int
+    top_records: int
 
     def to_json(self) -> list[Any]:
         """Return the fields as a JSON array."""
         return [
             "begin",
-            self.id,
+            self.gather_id,
             self.route,
             self.shards,
             self.head.decode("latin-1"),
             b64encode(self.body).decode(),
             self.attempt_id.decode("latin-1"),
-            round(self.left_ms, 1),
+            round(self.remaining_ms, 1),
             self.target_ms,
             self.max_attempts,
-            self.top,
+            self.top_records,
         ]
 
 
 @dataclass(frozen=True, slots=True)
-class Rest:
+class RemainderRequest:
     """Request for the parts missing from earlier replies, which allows hedging.
 
     Attributes
     ----------
-    within_ms : float
+    reply_within_ms : float
         Time limit of the reply, which holds the parts received by then.
     """
 
-    id: str
-    within_ms: float
+    gather_id: str
+    reply_within_ms: float
 
     def to_json(self) -> list[Any]:
         """Return the fields as a JSON array."""
-        return ["rest", self.id, round(self.within_ms, 1)]
+        return ["rest", self.gather_id, round(self.reply_within_ms, 1)]
 
 
-def decode_question(value: list[Any]) -> Begin | Rest:
+def decode_request(value: list[Any]) -> GatherRequest | RemainderRequest:
     """Return the request decoded from a JSON array.
 
     Raises
@@ -81,11 +81,11 @@
     """
     kind, *fields = value
     if kind == "rest":
-        return Rest(*fields)
+        return RemainderRequest(*fields)
     if kind != "begin":
-        raise ValueError(f"unknown question {kind!r}")
+        raise ValueError(f"unknown kind of gather request {kind!r}")
     gather_id, route, shards, head, body, attempt_id, *numbers = fields
-    return Begin(
+    return GatherRequest(
         gather_id,
         route,
         tuple(shards),
@@ -97,41 +97,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Gathered:
+class GatherReply:
     """Reply with the parts received since the previous reply.
 
     Attributes
     ----------
-    seals : tuple of bytes
+    signatures : tuple of bytes
         Signatures of the parts.
     body : bytes
         The greatest records of these parts.
-    failed : tuple of str
+    failed_shards : tuple of str
         Shards whose calls have failed for good.
-    open : tuple of str
+    pending_shards : tuple of str
         Shards whose calls are still in progress.
     """
 
-    seals: tuple[bytes, ...]
+    signatures: tuple[bytes, ...]
     body: bytes
-    failed: tuple[str, ...]
-    open: tuple[str, ...]
+    failed_shards: tuple[str, ...]
+    pending_shards: tuple[str, ...]
 
     def to_json(self) -> list[Any]:
         """Return the fields as a JSON array."""
         return [
-            [seal.decode("latin-1") for seal in self.seals],
+            [signature.decode("latin-1") for signature in self.signatures],
             b64encode(self.body).decode(),
-            self.failed,
-            self.open,
+            self.failed_shards,
+            self.pending_shards,
         ]
 
     @classmethod
-    def from_json(cls, value: list[Any]) -> "Gathered":
+    def from_json(cls, value: list[Any]) -> "GatherReply":
         """Return the reply decoded from a JSON array."""
         signatures, body, failed_shards, pending_shards = value
         return cls(
-            tuple(seal.encode("latin-1") for seal in signatures),
+            tuple(signature.encode("latin-1") for signature in signatures),
             b64decode(body),
             tuple(failed_shards),
             tuple(pending_shards),
--- a/packages/gateway/src/kingcuplug_gateway/_gather_server.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gather_server.py
@@ -8,23 +8,28 @@
 from kingcuplug_routing import AnswerRule, Timing
 
 from kingcuplug_gateway._gather_client import NotGathering
-from kingcuplug_gateway._gather_messages import Begin, Gathered, Rest, decode_question
+from kingcuplug_gateway._gather_messages import (
+    GatherReply,
+    GatherRequest,
+    RemainderRequest,
+    decode_request,
+)
 from kingcuplug_gateway._scatter import merge_records
-from kingcuplug_gateway._service_call import Outgoing, ServiceCall
+from kingcuplug_gateway._service_call import OutboundRequest, ServiceCall
 
-__all__ = ["Gatherer", "UnknownGathering"]
+__all__ = ["GatherServer", "UnknownGathering"]
 
 _MS_PER_S = 1_000
 # The requesting host asks for the remaining parts at once, or else has already
 # answered its caller and needs none.
-_KEPT_S = 0.05
+_REMAINDER_WAIT_S = 0.05
 # After this host was suspended, the request's connection may be closed already. The
 # event loop reads the close one round after the request, and cancels in the next.
-_WITHDRAWAL_ROUNDS = 3
-_RESOLUTION_S = 0.001  # Event loop timers may fire early by less than this.
+_DISCONNECT_CHECK_ROUNDS = 3
+_TIMER_RESOLUTION_S = 0.001  # Event loop timers may fire early by less than this.
 
-MakeCall = Callable[
-    [str, Outgoing, Timing, int, Callable[[ServiceCall], None]], ServiceCall
+CallFactory = Callable[
+    [str, OutboundRequest, Timing, int, Callable[[ServiceCall], None]], ServiceCall
 ]
 
 
@@ -32,7 +37,7 @@
     """The gather operation of a request has ended, or never began on this host."""
 
 
-class Gatherer:
+class GatherServer:
     """Runs the gather operations that other hosts request.
 
     Parameters
@@ -49,25 +54,25 @@
 
     def __init__(
         self,
-        make_call: MakeCall,
-        timing: Callable[[str, int], Timing],
-        seal_name: bytes,
+        make_call: CallFactory,
+        route_timing: Callable[[str, int], Timing],
+        signature_header: bytes,
         log: EventLog,
     ) -> None:
         self._make_call = make_call
-        self._timing = timing
-        self._seal_name = seal_name
+        self._route_timing = route_timing
+        self._signature_header = signature_header
         self._log = log
-        self._running: dict[str, _Gathering] = {}
+        self._operations: dict[str, _GatherOperation] = {}
 
-    async def answer(self, value: Any, begins: bool) -> Any:
+    async def handle(self, message: Any, accept_new_operations: bool) -> Any:
         """Handle one request; cancelling it cancels the attempts of its operation.
 
         Parameters
         ----------
-        value : Any
+        message : Any
             JSON value of the request.
-        begins : bool
+        accept_new_operations : bool
             Whether new operations are accepted.
 
         Returns
@@ -84,133 +89,147 @@
         ValueError
             If the request cannot be decoded.
         """
-        request = decode_question(value)
-        if not begins and isinstance(request, Begin):
+        request = decode_request(message)
+        if not accept_new_operations and isinstance(request, GatherRequest):
             raise NotGathering("the host is stopping")
-        for _ in range(_WITHDRAWAL_ROUNDS):
+        for _ in range(_DISCONNECT_CHECK_ROUNDS):
             await asyncio.sleep(0)
-        operation = self._begin(request)
+        operation = self._start_or_resume(request)
         loop = asyncio.get_running_loop()
         try:
-            if isinstance(request, Rest):
-                operation.release()
-                until = loop.time() + request.within_ms / _MS_PER_S
-                reply = await operation.wait(until, hurries=False)
+            if isinstance(request, RemainderRequest):
+                operation.allow_hedging()
+                until = loop.time() + request.reply_within_ms / _MS_PER_S
+                reply = await operation.wait_for_parts(until, stop_at_stragglers=False)
             else:
-                until = operation.begun_at + operation.timing.hedge_after_s
-                reply = await operation.wait(until, hurries=True)
+                until = operation.started_at + operation.timing.hedge_after_s
+                reply = await operation.wait_for_parts(until, stop_at_stragglers=True)
         except asyncio.CancelledError:
-            self._end(operation, "caller_left")
+            self._finish(operation, "caller_left")
             raise
-        if reply.open:
-            operation.keep(loop.call_later(_KEPT_S, self._end, operation, "left"))
+        if reply.pending_shards:
+            operation.set_expiry_timer(
+                loop.call_later(_REMAINDER_WAIT_S, self._finish, operation, "left")
+            )
         else:
-            self._end(operation, "complete")
+            self._finish(operation, "complete")
         return reply.to_json()
 
-    def _begin(self, request: Begin | Rest) -> "_Gathering":
-        if isinstance(request, Rest):
-            operation = self._running.get(request.id)
+    def _start_or_resume(
+        self, request: GatherRequest | RemainderRequest
+    ) -> "_GatherOperation":
+        if isinstance(request, RemainderRequest):
+            operation = self._operations.get(request.gather_id)
             if operation is None:
-                raise UnknownGathering(f"gathering {request.id} is over")
-            operation.keep(None)
+                raise UnknownGathering(
+                    f"gather operation {request.gather_id} has ended"
+                )
+            operation.set_expiry_timer(None)
             return operation
-        timing = self._timing(request.route, request.target_ms)
-        operation = _Gathering(request, timing, self._seal_name)
-        self._running[request.id] = operation
+        timing = self._route_timing(request.route, request.target_ms)
+        operation = _GatherOperation(request, timing, self._signature_header)
+        self._operations[request.gather_id] = operation
         operation.start(self._make_call)
         return operation
 
-    def _end(self, operation: "_Gathering", why: str) -> None:
-        self._running.pop(operation.question.id, None)
-        operation.cancel(linger=why != "caller_left")
+    def _finish(self, operation: "_GatherOperation", reason: str) -> None:
+        self._operations.pop(operation.request.gather_id, None)
+        operation.cancel(linger=reason != "caller_left")
         if not self._log.admits("gathered"):
             return
-        request, calls = operation.question, operation.calls
+        request, calls = operation.request, operation.calls
         self._log.write(
             "gathered",
             {
                 "id": request.attempt_id.decode("latin-1"),
                 "route": request.route,
                 "shards": len(calls),
-                "ended": why,
-                "missing": [c.service for c in calls if not c.ending.good],
+                "ended": reason,
+                "missing": [c.service for c in calls if not c.result.succeeded],
                 "calls": [
-                    note
+                    entry
                     for call in calls
-                    if not call.plain
-                    for note in call.notes(operation.begun_at)
+                    if not call.succeeded_at_first_attempt
+                    for entry in call.log_entries(operation.started_at)
                 ],
             },
             always=True,
         )
 
 
-class _Gathering:
+class _GatherOperation:
     """Calls to some or all shards of another host's query.
 
     Attributes
     ----------
-    begun_at : float
-        In event loop time.
+    started_at : float
+        Start of the operation, in event loop time.
     """
 
-    def __init__(self, request: Begin, timing: Timing, seal_name: bytes) -> None:
+    def __init__(
+        self, request: GatherRequest, timing: Timing, signature_header: bytes
+    ) -> None:
         self._loop = asyncio.get_running_loop()
-        self._seal_name = seal_name
-        self._told: set[str] = set()
-        self._open = len(request.shards)
-        self._wake: asyncio.Future[None] | None = None
-        self._kept: asyncio.TimerHandle | None = None
-        self.question = request
+        self._signature_header = signature_header
+        self._reported_shards: set[str] = set()
+        self._pending_count = len(request.shards)
+        self._waiter: asyncio.Future[None] | None = None
+        self._expiry_timer: asyncio.TimerHandle | None = None
+        self.request = request
         self.timing = timing
-        self.begun_at = self._loop.time()
+        self.started_at = self._loop.time()
         self.calls: list[ServiceCall] = []
-        deadline_at = self.begun_at + request.left_ms / _MS_PER_S
-        self._outgoing = Outgoing(
+        deadline_at = self.started_at + request.remaining_ms / _MS_PER_S
+        self._outbound = OutboundRequest(
             request.head,
             request.body,
             request.attempt_id,
             deadline_at,
             repeatable=True,
-            bodiless=False,
+            no_response_body=False,
         )
         self._rule = AnswerRule(
-            len(request.shards), 1.0, self.begun_at, deadline_at, deadline_at
+            len(request.shards), 1.0, self.started_at, deadline_at, deadline_at
         )
 
-    def start(self, make_call: MakeCall) -> None:
+    def start(self, make_call: CallFactory) -> None:
         """Send the first attempts."""
-        request = self.question
+        request = self.request
         self.calls = [
             make_call(
-                shard, self._outgoing, self.timing, request.max_attempts, self._done
+                shard,
+                self._outbound,
+                self.timing,
+                request.max_attempts,
+                self._on_call_finished,
             )
             for shard in request.shards
         ]
         for call in self.calls:
             call.start()
 
-    def release(self) -> None:
+    def allow_hedging(self) -> None:
         """Allow hedging in all unfinished calls."""
         for call in self.calls:
-            if not call.over:
-                call.release()
+            if not call.finished:
+                call.allow_hedging()
 
-    def keep(self, timer: asyncio.TimerHandle | None) -> None:
+    def set_expiry_timer(self, timer: asyncio.TimerHandle | None) -> None:
         """Replace the timer that ends an operation without further requests."""
-        if self._kept is not None:
-            self._kept.cancel()
-        self._kept = timer
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
+        self._expiry_timer = timer
 
     def cancel(self, linger: bool) -> None:
         """Cancel the unfinished calls, at once or after a short delay."""
-        self.keep(None)
+        self.set_expiry_timer(None)
         for call in self.calls:
-            if not call.over:
+            if not call.finished:
                 call.cancel(linger)
 
-    async def wait(self, until: float, hurries: bool) -> Gathered:
+    async def wait_for_parts(
+        self, until: float, stop_at_stragglers: bool
+    ) -> GatherReply:
         """Wait for all parts or the time `until`, and return the new parts.
 
         Parameters
@@ -221,43 +240,49 @@
             Return earlier once only a few shards are missing, so that the requesting
             host can ask for hedged attempts to these.
         """
-        while self._open:
+        while self._pending_count:
             now = self._loop.time()
-            if hurries and self._open <= self._rule.stragglers:
+            if stop_at_stragglers and self._pending_count <= self._rule.stragglers:
                 until = min(until, self._rule.hurry_at(now))
-                hurries = False
+                stop_at_stragglers = False
             if now >= until:
                 break
-            self._wake = self._loop.create_future()
-            timer = self._loop.call_at(until, self._notify)
+            self._waiter = self._loop.create_future()
+            timer = self._loop.call_at(until, self._wake_waiter)
             try:
-                await self._wake
+                await self._waiter
             finally:
                 timer.cancel()
-                self._wake = None
-            if self._loop.time() + _RESOLUTION_S >= until:
+                self._waiter = None
+            if self._loop.time() + _TIMER_RESOLUTION_S >= until:
                 break
-        return self._take()
+        return self._new_parts()
 
-    def _done(self, call: ServiceCall) -> None:
-        self._open -= 1
-        self._notify()
+    def _on_call_finished(self, call: ServiceCall) -> None:
+        self._pending_count -= 1
+        self._wake_waiter()
 
-    def _notify(self) -> None:
-        if self._wake is not None and not self._wake.done():
-            self._wake.set_result(None)
+    def _wake_waiter(self) -> None:
+        if self._waiter is not None and not self._waiter.done():
+            self._waiter.set_result(None)
 
-    def _take(self) -> Gathered:
+    def _new_parts(self) -> GatherReply:
         signatures, bodies = [], []
         for call in self.calls:
-            response = call.ending.response
-            if call.ending.good and response and call.service not in self._told:
-                self._told.add(call.service)
-                signatures.append(response.fields[self._seal_name])
+            response = call.result.response
+            if (
+                call.result.succeeded
+                and response
+                and call.service not in self._reported_shards
+            ):
+                self._reported_shards.add(call.service)
+                signatures.append(response.fields[self._signature_header])
                 bodies.append(response.body)
-        return Gathered(
+        return GatherReply(
             tuple(signatures),
-            merge_records(bodies, self.question.top),
-            tuple(c.service for c in self.calls if c.over and not c.ending.good),
-            tuple(c.service for c in self.calls if not c.over),
+            merge_records(bodies, self.request.top_records),
+            tuple(
+                c.service for c in self.calls if c.finished and not c.result.succeeded
+            ),
+            tuple(c.service for c in self.calls if not c.finished),
         )
--- a/packages/gateway/src/kingcuplug_gateway/_request_log.py
+++ b/packages/gateway/src/kingcuplug_gateway/_request_log.py
@@ -7,17 +7,17 @@
 from kingcuplug_common import EventLog, Metrics
 from kingcuplug_http import Request
 
-from kingcuplug_gateway._gather_client import GatherNote
+from kingcuplug_gateway._gather_client import GatherRecord
 from kingcuplug_gateway._routes import Route
 from kingcuplug_gateway._service_call import ServiceCall
 
-__all__ = ["Ended", "RequestLog"]
+__all__ = ["RequestLog", "RequestResult"]
 
 _MS_PER_S = 1_000
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class RequestResult:
     """Outcome of a request, and the state of the host that led to it.
 
     Attributes
@@ -28,16 +28,16 @@
         Body of an error response made by this host; empty otherwise.
     routes_version : int or None
         Version of the route table in force.
-    hosts : int
+    host_count : int
         Number of live hosts, among which limits are divided.
     """
 
     outcome: str
     reason: bytes
     routes_version: int | None
-    hosts: int
+    host_count: int
     calls: tuple[ServiceCall, ...]
-    notes: Sequence[GatherNote]
+    gather_records: Sequence[GatherRecord]
 
 
 class RequestLog:
@@ -45,50 +45,57 @@
 
     Parameters
     ----------
-    attempt_id : bytes
+    attempt_id_header : bytes
         Name of the header with a request's id, in lower case.
     """
 
-    def __init__(self, attempt_id: bytes, log: EventLog, metrics: Metrics) -> None:
-        self._attempt_id = attempt_id
+    def __init__(
+        self, attempt_id_header: bytes, log: EventLog, metrics: Metrics
+    ) -> None:
+        self._attempt_id_header = attempt_id_header
         self._log = log
         self._metrics = metrics
 
-    def write(self, request: Request, route: Route | None, ended: Ended) -> None:
+    def write(
+        self, request: Request, route: Route | None, result: RequestResult
+    ) -> None:
         """Count the request, and log it if its kind is within the rate limit."""
         now = asyncio.get_running_loop().time()
         elapsed_s = now - request.received_at
         rank = route.rank if route else -1
-        self._metrics.count(f"requests.{ended.outcome}")
-        self._metrics.observe("request", (str(rank), ended.outcome), elapsed_s)
-        failed = not ended.outcome.startswith("2")
+        self._metrics.count(f"requests.{result.outcome}")
+        self._metrics.observe("request", (str(rank), result.outcome), elapsed_s)
+        failed = not result.outcome.startswith("2")
         kind = "request_failed" if failed else "request"
         if not self._log.admits(kind):
             return
-        attempt_id = request.header(self._attempt_id) or b""
-        last = max(ended.calls, key=_ended_at, default=None)
+        attempt_id = request.header(self._attempt_id_header) or b""
+        last = max(result.calls, key=_ended_at, default=None)
         self._log.write(
             kind,
             {
                 "id": attempt_id.decode("latin-1"),
                 "route": route.name if route else None,
-                "routes_version": ended.routes_version,
-                "outcome": ended.outcome,
-                "reason": ended.reason.decode("latin-1"),
+                "routes_version": result.routes_version,
+                "outcome": result.outcome,
+                "reason": result.reason.decode("latin-1"),
                 "elapsed_ms": round(elapsed_s * _MS_PER_S, 1),
-                "hosts": ended.hosts,
-                "missing": [c.service for c in ended.calls if not c.ending.good],
+                "hosts": result.host_count,
+                "missing": [c.service for c in result.calls if not c.result.succeeded],
                 "calls": [
-                    note
-                    for call in ended.calls
-                    if failed or call is last or not call.plain
-                    for note in call.notes(request.received_at)
+                    entry
+                    for call in result.calls
+                    if failed or call is last or not call.succeeded_at_first_attempt
+                    for entry in call.log_entries(request.received_at)
+                ],
+                "gathered": [
+                    record.log_entry(request.received_at)
+                    for record in result.gather_records
                 ],
-                "gathered": [note.fields(request.received_at) for note in ended.notes],
             },
             always=True,
         )
 
 
 def _ended_at(call: ServiceCall) -> float:
-    return max((note.ended_at for note in call.ending.attempts), default=0.0)
+    return max((attempt.ended_at for attempt in call.result.attempts), default=0.0)
--- a/packages/gateway/src/kingcuplug_gateway/_routes.py
+++ b/packages/gateway/src/kingcuplug_gateway/_routes.py
@@ -86,17 +86,19 @@
     max_body_bytes: int
     header_timeout_ms: int
     idle_timeout_ms: int
-    _by_place: dict[tuple[str, str], Route] = field(init=False, repr=False)
+    _by_host_and_prefix: dict[tuple[str, str], Route] = field(init=False, repr=False)
 
     def __post_init__(self) -> None:
-        by_place = {(route.host, route.prefix): route for route in self.routes}
-        object.__setattr__(self, "_by_place", by_place)
+        by_host_and_prefix = {
+            (route.host, route.prefix): route for route in self.routes
+        }
+        object.__setattr__(self, "_by_host_and_prefix", by_host_and_prefix)
 
     def find(self, host: str, path: str) -> Route | None:
         """Return the route of the host name with the longest prefix of `path`."""
         end = path.rfind("/")
         while end >= 0:
-            route = self._by_place.get((host, path[: end + 1]))
+            route = self._by_host_and_prefix.get((host, path[: end + 1]))
             if route is not None:
                 return route
             end = path.rfind("/", 0, end)
--- a/packages/gateway/src/kingcuplug_gateway/_scatter.py
+++ b/packages/gateway/src/kingcuplug_gateway/_scatter.py
@@ -10,25 +10,25 @@
 
 from kingcuplug_gateway._service_call import ServiceCall
 
-__all__ = ["RECORD_BYTES", "Merged", "Scatter", "merge_records"]
+__all__ = ["RECORD_BYTES", "MergedAnswer", "ScatterQuery", "merge_records"]
 
 RECORD_BYTES = 16
 
 
 @dataclass(frozen=True, slots=True)
-class Merged:
+class MergedAnswer:
     """Merged answer of the parts that were received.
 
     Attributes
     ----------
-    seals : list of bytes
+    signatures : list of bytes
         Signatures of the parts.
-    missing : int
+    missing_count : int
         Number of shards without a part in the answer.
     """
 
-    seals: list[bytes]
-    missing: int
+    signatures: list[bytes]
+    missing_count: int
     body: bytes
 
 
@@ -45,12 +45,12 @@
     return b"".join(nlargest(top, records))
 
 
-class Scatter:
+class ScatterQuery:
     """Collects the parts of one query, and decides when the answer is sufficient.
 
     Parameters
     ----------
-    seal_name : bytes
+    signature_header : bytes
         Name of the header with a part's signature, in lower case.
 
     Attributes
@@ -59,21 +59,23 @@
         Calls to the shards that this host queries itself.
     """
 
-    def __init__(self, rule: AnswerRule, seal_name: bytes) -> None:
-        self._seal_name = seal_name
+    def __init__(self, rule: AnswerRule, signature_header: bytes) -> None:
+        self._signature_header = signature_header
         self._loop = asyncio.get_running_loop()
         self._rule = rule
         self._finished: asyncio.Future[None] = self._loop.create_future()
         self._timers: list[asyncio.TimerHandle] = []
-        self._tasks: list[asyncio.Task[None]] = []
-        self._open = rule.total
-        self._included = 0
-        self._seals: list[bytes] = []
+        self._gather_tasks: list[asyncio.Task[None]] = []
+        self._pending_count = rule.total
+        self._received_count = 0
+        self._signatures: list[bytes] = []
         self._bodies: list[bytes] = []
-        self._hurried = False
+        self._hedged_stragglers = False
         self.calls: list[ServiceCall] = []
 
-    async def run(self, ask: Callable[[], list[Coroutine[Any, Any, None]]]) -> None:
+    async def run(
+        self, start_calls: Callable[[], list[Coroutine[Any, Any, None]]]
+    ) -> None:
         """Run the query until the received parts are to be returned.
 
         Parameters
@@ -83,15 +85,15 @@
             hosts gather the remaining parts.
         """
         try:
-            self._tasks = [asyncio.ensure_future(work) for work in ask()]
-            self._arm()
+            self._gather_tasks = [asyncio.ensure_future(work) for work in start_calls()]
+            self._start_timers()
             await self._finished
         finally:
-            self._stop(
+            self._cancel_outstanding(
                 cancelled=not self._finished.done() or self._finished.cancelled()
             )
 
-    def ask_shards(
+    def call_shards(
         self, make_call: Callable[[str], ServiceCall], shards: Iterable[str]
     ) -> None:
         """Start calls to shards; their callback must be `on_call_finished`."""
@@ -100,64 +102,69 @@
         for call in calls:
             call.start()
 
-    def part_done(self, call: ServiceCall) -> None:
+    def on_call_finished(self, call: ServiceCall) -> None:
         """Process the result of one shard's call."""
-        response = call.ending.response
-        if call.ending.good and response is not None:
-            self.add([response.fields[self._seal_name]], response.body)
+        response = call.result.response
+        if call.result.succeeded and response is not None:
+            self.add_parts([response.fields[self._signature_header]], response.body)
         else:
-            self.lose(1)
-        if not self._hurried and 0 < self._open <= self._rule.stragglers:
-            self._hurry()
-
-    def add(self, seals: Sequence[bytes], body: bytes) -> None:
+            self.mark_missing(1)
+        if (
+            not self._hedged_stragglers
+            and 0 < self._pending_count <= self._rule.stragglers
+        ):
+            self._hedge_stragglers()
+
+    def add_parts(self, signatures: Sequence[bytes], body: bytes) -> None:
         """Add received parts: their signatures and their greatest records."""
-        self._seals += seals
+        self._signatures += signatures
         self._bodies.append(body)
-        self._included += len(seals)
-        self._open -= len(seals)
-        self._check()
+        self._received_count += len(signatures)
+        self._pending_count -= len(signatures)
+        self._finish_if_ready()
 
-    def lose(self, shards: int) -> None:
+    def mark_missing(self, shard_count: int) -> None:
         """Count shards that will not return a part."""
-        self._open -= shards
-        self._check()
+        self._pending_count -= shard_count
+        self._finish_if_ready()
 
-    def merged(self, top: int) -> Merged | None:
+    def merge(self, record_count: int) -> MergedAnswer | None:
         """Return the merged answer, or ``None`` if too few parts were received."""
-        if self._included < self._rule.needed:
+        if self._received_count < self._rule.needed:
             return None
-        missing = self._rule.total - self._included
-        return Merged(self._seals, missing, merge_records(self._bodies, top))
+        missing = self._rule.total - self._received_count
+        return MergedAnswer(
+            self._signatures, missing, merge_records(self._bodies, record_count)
+        )
 
-    def _hurry(self) -> None:
+    def _hedge_stragglers(self) -> None:
         """Bring forward hedged attempts to the last shards after most have answered."""
-        self._hurried = True
+        self._hedged_stragglers = True
         at = self._rule.hurry_at(self._loop.time())
         for call in self.calls:
-            if not call.over:
-                call.hurry(at)
+            if not call.finished:
+                call.hedge_by(at)
 
-    def _arm(self) -> None:
+    def _start_timers(self) -> None:
         rule = self._rule
         self._timers = [
-            self._loop.call_at(rule.target_at, self._check, True),
-            self._loop.call_at(rule.late_at, self._check),
-            self._loop.call_at(rule.final_at, self._check),
+            self._loop.call_at(rule.target_at, self._finish_if_ready, True),
+            self._loop.call_at(rule.late_at, self._finish_if_ready),
+            self._loop.call_at(rule.final_at, self._finish_if_ready),
         ]
 
-    def _check(self, at_target: bool = False) -> None:
+    def _finish_if_ready(self, at_target: bool = False) -> None:
         now = self._loop.time()
         if self._finished.done():
             return
-        if self._rule.ready(self._included, self._open, now, at_target):
+        if self._rule.ready(self._received_count, self._pending_count, now, at_target):
             self._finished.set_result(None)
 
-    def _stop(self, cancelled: bool) -> None:
+    def _cancel_outstanding(self, cancelled: bool) -> None:
         for timer in self._timers:
             timer.cancel()
-        for task in self._tasks:
+        for task in self._gather_tasks:
             task.cancel()
         for call in self.calls:
-            if not call.over:
+            if not call.finished:
                 call.cancel(linger=not cancelled)
--- a/packages/gateway/src/kingcuplug_gateway/_service_call.py
+++ b/packages/gateway/src/kingcuplug_gateway/_service_call.py
@@ -13,10 +13,10 @@
 from kingcuplug_gateway._header_names import HeaderNames
 from kingcuplug_gateway._servers import Server, ServerTable, ServicePool
 
-__all__ = ["AttemptNote", "CallEnding", "Outgoing", "ServiceCall"]
+__all__ = ["AttemptRecord", "CallResult", "OutboundRequest", "ServiceCall"]
 
 _MS_PER_S = 1_000
-_MISDIRECTED = 421  # Another server than the expected one got the request.
+_MISDIRECTED_STATUS = 421  # Another server than the expected one got the request.
 # Rejections by servers without a free slot do not count as attempts. The bound keeps
 # a request from visiting every server of an overloaded service.
 _MAX_REJECTIONS = 2
@@ -25,17 +25,17 @@
 _LINGER_S = 0.3
 
 
-class Verdict(Enum):
+class ResponseClass(Enum):
     """Effect of a server's response on the request."""
 
-    GOOD = "good"
+    SUCCESS = "good"
     NOT_RUN = "not_run"
     FAILED = "failed"
-    UNSEALED = "unsealed"
+    UNSIGNED = "unsealed"
 
 
 @dataclass(slots=True)
-class Outgoing:
+class OutboundRequest:
     """A caller's request in the form that is sent to servers.
 
     Attributes
@@ -46,7 +46,7 @@
         Caller's deadline or end of the route's timeout, in event loop time.
     repeatable : bool
         Whether the request may run more than once.
-    bodiless : bool
+    no_response_body : bool
         Whether the response has no body, as for ``HEAD``.
     """
 
@@ -55,16 +55,16 @@
     attempt_id: bytes
     deadline_at: float
     repeatable: bool
-    bodiless: bool
+    no_response_body: bool
 
 
 @dataclass(slots=True)
-class AttemptNote:
+class AttemptRecord:
     """Log record of one attempt.
 
     Attributes
     ----------
-    why : str
+    kind : str
         ``first``, ``hedge``, ``retry`` or ``fallback``.
     expected_s : float
         Response time that was expected of the server when it was chosen.
@@ -73,7 +73,7 @@
     """
 
     server: str
-    why: str
+    kind: str
     sent_at: float
     expected_s: float
     ended_at: float = 0.0
@@ -85,28 +85,28 @@
 
 
 @dataclass(slots=True)
-class CallEnding:
+class CallResult:
     """Result of a call.
 
     Attributes
     ----------
     response : Response or None
         A successful response, or else an error response of a server.
-    good : bool
+    succeeded : bool
         Whether the response is a success.
     may_have_run : bool
         Whether any server may have run the request.
-    attempts : list of AttemptNote
+    attempts : list of AttemptRecord
         All attempts, in the order in which they were sent.
-    denied : list of str
+    denied_attempts : list of str
         Kinds of the further attempts that the retry budget did not allow.
     """
 
     response: Response | None = None
-    good: bool = False
+    succeeded: bool = False
     may_have_run: bool = False
-    attempts: list[AttemptNote] = field(default_factory=list)
-    denied: list[str] = field(default_factory=list)
+    attempts: list[AttemptRecord] = field(default_factory=list)
+    denied_attempts: list[str] = field(default_factory=list)
 
 
 class ServiceCall:
@@ -125,39 +125,41 @@
 
     def __init__(
         self,
-        table: ServerTable,
+        server_table: ServerTable,
         pool: ServicePool,
-        outgoing: Outgoing,
-        names: HeaderNames,
+        outbound: OutboundRequest,
+        header_names: HeaderNames,
         timing: Timing,
         metrics: Metrics,
         max_attempts: int,
         random: random_module.Random,
-        done: Callable[["ServiceCall"], None],
-        first: str = "first",
-        gathered: bool = False,
+        on_finished: Callable[["ServiceCall"], None],
+        first_attempt_kind: str = "first",
+        for_peer: bool = False,
     ) -> None:
-        self._first = first
-        self._gathered = gathered
-        self._allowance = pool.gather_allowance if gathered else pool.allowance
-        self._held = gathered
+        self._first_attempt_kind = first_attempt_kind
+        self._for_peer = for_peer
+        self._retry_budget = (
+            pool.peer_retry_budget if for_peer else pool.caller_retry_budget
+        )
+        self._hedging_blocked = for_peer
         self._loop = asyncio.get_running_loop()
-        self._table = table
+        self._server_table = server_table
         self._pool = pool
-        self._names = names
+        self._header_names = header_names
         self._timing = timing
         self._metrics = metrics
         self._max_attempts = max_attempts
         self._random = random
-        self._done = done
-        self._open: list[_Attempt] = []
-        self._tried: set[str] = set()
-        self._counted = 0
-        self._rejections = 0
-        self._timer: asyncio.TimerHandle | None = None
-        self.outgoing = outgoing
-        self.ending = CallEnding()
-        self.over = False
+        self._on_finished = on_finished
+        self._open_attempts: list[_Attempt] = []
+        self._tried_server_ids: set[str] = set()
+        self._attempt_count = 0
+        self._rejection_count = 0
+        self._hedge_timer: asyncio.TimerHandle | None = None
+        self.outbound = outbound
+        self.result = CallResult()
+        self.finished = False
 
     @property
     def service(self) -> str:
@@ -165,28 +167,32 @@
         return self._pool.name
 
     @property
-    def plain(self) -> bool:
+    def succeeded_at_first_attempt(self) -> bool:
         """Whether the first attempt succeeded and no other one was requested."""
-        ending = self.ending
-        return ending.good and len(ending.attempts) == 1 and not ending.denied
+        result = self.result
+        return (
+            result.succeeded
+            and len(result.attempts) == 1
+            and not result.denied_attempts
+        )
 
-    def notes(self, begun_at: float) -> list[dict[str, str | float | None]]:
+    def log_entries(self, started_at: float) -> list[dict[str, str | float | None]]:
         """Return log entries of the attempts, with times relative to `started_at`."""
         entries: list[dict[str, str | float | None]] = [
             {
                 "service": self.service,
                 "server": record.server,
-                "why": record.why,
-                "sent_ms": _ms(record.sent_at - begun_at),
-                "expected_ms": _ms(record.expected_s),
-                "took_ms": _ms(record.ended_at - record.sent_at)
+                "why": record.kind,
+                "sent_ms": _to_ms(record.sent_at - started_at),
+                "expected_ms": _to_ms(record.expected_s),
+                "took_ms": _to_ms(record.ended_at - record.sent_at)
                 if record.ended_at
                 else None,
                 "outcome": record.outcome,
             }
-            for record in self.ending.attempts
+            for record in self.result.attempts
         ]
-        for kind in self.ending.denied:
+        for kind in self.result.denied_attempts:
             entries.append(
                 {"service": self.service, "why": kind, "outcome": "no_allowance"}
             )
@@ -194,22 +200,22 @@
 
     def start(self) -> None:
         """Send the first attempt."""
-        if self._first == "first":
-            self._allowance.request(self._loop.time())
-        if not self._send(self._first):
-            self._end()
+        if self._first_attempt_kind == "first":
+            self._retry_budget.request(self._loop.time())
+        if not self._send(self._first_attempt_kind):
+            self._finish()
 
-    def hurry(self, at: float) -> None:
+    def hedge_by(self, at: float) -> None:
         """Bring a scheduled hedged attempt forward to the time `at` if it is later."""
-        if self._timer is not None and at < self._timer.when():
-            self._timer.cancel()
-            self._timer = self._loop.call_at(at, self._hedge)
+        if self._hedge_timer is not None and at < self._hedge_timer.when():
+            self._hedge_timer.cancel()
+            self._hedge_timer = self._loop.call_at(at, self._hedge)
 
-    def release(self) -> None:
+    def allow_hedging(self) -> None:
         """Allow hedging, and send a hedged attempt now if the call is unfinished."""
-        if self._held:
-            self._held = False
-            if not self.over and self._counted < self._max_attempts:
+        if self._hedging_blocked:
+            self._hedging_blocked = False
+            if not self.finished and self._attempt_count < self._max_attempts:
                 self._hedge()
 
     def cancel(self, linger: bool = False) -> None:
@@ -221,130 +227,137 @@
             Cancel the attempts after a short delay, to collect latency samples of
             their servers.
         """
-        self.over = True
-        self._stop_timer()
-        if linger and self._open:
-            self._loop.call_later(_LINGER_S, self._drop)
+        self.finished = True
+        self._cancel_hedge_timer()
+        if linger and self._open_attempts:
+            self._loop.call_later(_LINGER_S, self._abandon_open_attempts)
         else:
-            self._drop()
+            self._abandon_open_attempts()
 
-    def answered(self, attempt: "_Attempt", response: Response) -> None:
+    def on_response(self, attempt: "_Attempt", response: Response) -> None:
         """Process the response to an attempt."""
-        self._open.remove(attempt)
+        self._open_attempts.remove(attempt)
         now = self._loop.time()
         state = attempt.server.state
-        response_class = _judge(response, self._names)
-        if response_class is Verdict.GOOD:
+        response_class = _classify_response(response, self._header_names)
+        if response_class is ResponseClass.SUCCESS:
             self._timing.record(state.answer(attempt, now))
-        elif response.status == _MISDIRECTED:
+        elif response.status == _MISDIRECTED_STATUS:
             # Another server now uses this address.
             state.fail(attempt, now, unreachable=True)
-        elif response_class is Verdict.NOT_RUN:
+        elif response_class is ResponseClass.NOT_RUN:
             state.reject(attempt, now)
         else:
             state.fail(attempt, now, unreachable=False)
-        attempt.note.end(response_class.value, now)
+        attempt.record.end(response_class.value, now)
         self._metrics.observe(
-            "attempt", (self.service, response_class.value), now - attempt.note.sent_at
+            "attempt",
+            (self.service, response_class.value),
+            now - attempt.record.sent_at,
         )
-        if self.over:
+        if self.finished:
             return
-        if response_class is Verdict.NOT_RUN:
-            self._rejections += 1
-            self._counted -= 1
+        if response_class is ResponseClass.NOT_RUN:
+            self._rejection_count += 1
+            self._attempt_count -= 1
         else:
-            self.ending.may_have_run = True
-        if response_class is Verdict.GOOD:
-            self.ending.response, self.ending.good = response, True
-            self._end()
+            self.result.may_have_run = True
+        if response_class is ResponseClass.SUCCESS:
+            self.result.response, self.result.succeeded = response, True
+            self._finish()
             return
-        if response_class is Verdict.FAILED:
-            self.ending.response = response
-        self._retry(may_have_run=response_class is not Verdict.NOT_RUN)
+        if response_class is ResponseClass.FAILED:
+            self.result.response = response
+        self._retry(may_have_run=response_class is not ResponseClass.NOT_RUN)
 
-    def failed(self, attempt: "_Attempt", failure: Failure) -> None:
+    def on_failure(self, attempt: "_Attempt", failure: Failure) -> None:
         """Process the failure of an attempt."""
-        self._open.remove(attempt)
+        self._open_attempts.remove(attempt)
         unreachable = failure is Failure.CONNECT
         now = self._loop.time()
         attempt.server.state.fail(attempt, now, unreachable)
-        attempt.note.end(failure.name.lower(), now)
-        if self.over:
+        attempt.record.end(failure.name.lower(), now)
+        if self.finished:
             return
         if unreachable:
-            self._counted -= 1
+            self._attempt_count -= 1
         else:
-            self.ending.may_have_run = True
+            self.result.may_have_run = True
         self._retry(may_have_run=not unreachable)
 
     def _retry(self, may_have_run: bool) -> None:
         """Send another attempt if allowed; otherwise finish once none is open."""
-        if may_have_run and not self.outgoing.repeatable:
-            self._end()
+        if may_have_run and not self.outbound.repeatable:
+            self._finish()
             return
-        if self._rejections <= _MAX_REJECTIONS and self._send("retry"):
+        if self._rejection_count <= _MAX_REJECTIONS and self._send("retry"):
             return
-        if not self._open:
-            self._end()
+        if not self._open_attempts:
+            self._finish()
 
-    def _send(self, why: str = "first") -> bool:
+    def _send(self, kind: str = "first") -> bool:
         now = self._loop.time()
-        if self._counted >= self._max_attempts or now >= self.outgoing.deadline_at:
+        if (
+            self._attempt_count >= self._max_attempts
+            or now >= self.outbound.deadline_at
+        ):
             return False
-        servers = self._pool.usable(self._tried)
+        servers = self._pool.servers_except(self._tried_server_ids)
         if not servers:
             return False
-        if why != "first" and not self._allowed(why, now):
+        if kind != "first" and not self._spend_retry_budget(kind, now):
             return False
         states = [server.state for server in servers]
         typical_s = self._timing.typical_s
         server = servers[choose_replica(states, now, typical_s, self._random)]
         expected_s = server.state.expected_s(now, typical_s)
-        record = AttemptNote(server.known.id, why, now, expected_s)
-        self.ending.attempts.append(record)
-        attempt = _Attempt(self, server, self._names, record)
-        self._tried.add(server.known.id)
-        self._open.append(attempt)
-        self._counted += 1
+        record = AttemptRecord(server.info.id, kind, now, expected_s)
+        self.result.attempts.append(record)
+        attempt = _Attempt(self, server, self._header_names, record)
+        self._tried_server_ids.add(server.info.id)
+        self._open_attempts.append(attempt)
+        self._attempt_count += 1
         server.state.begin(attempt, now, typical_s)
         may_send_another = (
-            self.outgoing.repeatable and self._counted < self._max_attempts
+            self.outbound.repeatable and self._attempt_count < self._max_attempts
         )
-        if may_send_another and not self._held:
-            self._stop_timer()
-            self._timer = self._loop.call_later(self._timing.hedge_after_s, self._hedge)
-        server.connections.submit(attempt, fresh=not self.outgoing.repeatable)
+        if may_send_another and not self._hedging_blocked:
+            self._cancel_hedge_timer()
+            self._hedge_timer = self._loop.call_later(
+                self._timing.hedge_after_s, self._hedge
+            )
+        server.connections.submit(attempt, new_connection=not self.outbound.repeatable)
         return True
 
     def _hedge(self) -> None:
-        self._timer = None
-        if self.over:
+        self._hedge_timer = None
+        if self.finished:
             return
         now = self._loop.time()
-        for attempt in self._open:
+        for attempt in self._open_attempts:
             attempt.server.state.late(attempt, now)
         self._send("hedge")
 
-    def _allowed(self, why: str, now: float) -> bool:
-        share = self._table.retry_part(now, self._gathered)
-        if self._allowance.take(now, share, hedge=why == "hedge"):
+    def _spend_retry_budget(self, kind: str, now: float) -> bool:
+        share = self._server_table.retry_share(now, self._for_peer)
+        if self._retry_budget.take(now, share, hedge=kind == "hedge"):
             return True
-        self.ending.denied.append(why)
+        self.result.denied_attempts.append(kind)
         return False
 
-    def _end(self) -> None:
-        self.cancel(linger=len(self._open) > 0 and self.ending.good)
-        self._done(self)
+    def _finish(self) -> None:
+        self.cancel(linger=len(self._open_attempts) > 0 and self.result.succeeded)
+        self._on_finished(self)
 
-    def _drop(self) -> None:
-        open_attempts, self._open = self._open, []
+    def _abandon_open_attempts(self) -> None:
+        open_attempts, self._open_attempts = self._open_attempts, []
         for attempt in open_attempts:
-            attempt.drop()
+            attempt.abandon()
 
-    def _stop_timer(self) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
+    def _cancel_hedge_timer(self) -> None:
+        if self._hedge_timer is not None:
+            self._hedge_timer.cancel()
+            self._hedge_timer = None
 
 
 class _Attempt:
@@ -353,26 +366,30 @@
     __slots__ = (
         "_call",
         "_connection",
-        "_names",
-        "bodiless",
-        "note",
+        "_header_names",
+        "active",
+        "no_response_body",
+        "record",
         "server",
-        "wanted",
     )
 
     def __init__(
-        self, call: ServiceCall, server: Server, names: HeaderNames, note: AttemptNote
+        self,
+        call: ServiceCall,
+        server: Server,
+        header_names: HeaderNames,
+        record: AttemptRecord,
     ) -> None:
         self._call = call
-        self._names = names
+        self._header_names = header_names
         self._connection: OutboundConnection | None = None
-        self.note = note
+        self.record = record
         self.server = server
-        self.wanted = True
-        self.bodiless = call.outgoing.bodiless
+        self.active = True
+        self.no_response_body = call.outbound.no_response_body
 
     def encode(self) -> bytes:
-        outbound, header_names = self._call.outgoing, self._names
+        outbound, header_names = self._call.outbound, self._header_names
         now = asyncio.get_running_loop().time()
         remaining_ms = max(1, int((outbound.deadline_at - now) * _MS_PER_S))
         return b"%s%s: %d\r\n%s: %s\r\n\r\n%s" % (
@@ -380,55 +397,57 @@
             header_names.deadline_ms,
             remaining_ms,
             header_names.expected_server,
-            self.server.known.id.encode(),
+            self.server.info.id.encode(),
             outbound.body,
         )
 
-    def sent(self, connection: OutboundConnection) -> None:
+    def on_sent(self, connection: OutboundConnection) -> None:
         self._connection = connection
 
     def accepts(self, response: Response) -> bool:
-        echoed_id = response.header(self._names.attempt_id.lower())
-        return echoed_id is None or echoed_id == self._call.outgoing.attempt_id
+        echoed_id = response.header(self._header_names.attempt_id.lower())
+        return echoed_id is None or echoed_id == self._call.outbound.attempt_id
 
     def answered(self, response: Response) -> None:
-        self._release()
-        self._call.answered(self, response)
+        self._release_connection()
+        self._call.on_response(self, response)
 
     def failed(self, failure: Failure) -> None:
-        self._release()
-        if self.wanted:
-            self._call.failed(self, failure)
+        self._release_connection()
+        if self.active:
+            self._call.on_failure(self, failure)
 
-    def drop(self) -> None:
-        self.wanted = False
+    def abandon(self) -> None:
+        self.active = False
         now = asyncio.get_running_loop().time()
         self.server.state.forget(self, now)
         if self._connection is not None:
             self._connection.abandon()
-            self._release()
+            self._release_connection()
         else:
             self.server.connections.withdraw(self)
 
-    def _release(self) -> None:
+    def _release_connection(self) -> None:
         connection, self._connection = self._connection, None
         if connection is not None:
             self.server.connections.release(connection)
 
 
-def _ms(seconds: float) -> float:
+def _to_ms(seconds: float) -> float:
     return round(seconds * _MS_PER_S, 1)
 
 
-def _judge(response: Response, names: HeaderNames) -> Verdict:
+def _classify_response(response: Response, header_names: HeaderNames) -> ResponseClass:
     if (
-        response.header(names.not_run.lower()) is not None
-        or response.status == _MISDIRECTED
+        response.header(header_names.not_run.lower()) is not None
+        or response.status == _MISDIRECTED_STATUS
     ):
-        return Verdict.NOT_RUN
-    if response.header(names.seal.lower()) is None:
-        return Verdict.UNSEALED
+        return ResponseClass.NOT_RUN
+    if response.header(header_names.seal.lower()) is None:
+        return ResponseClass.UNSIGNED
     encoding = response.header(b"content-encoding")
     if encoding is not None and encoding.lower() != b"identity":
-        return Verdict.UNSEALED
-    return Verdict.GOOD if 200 <= response.status < 300 else Verdict.FAILED
+        return ResponseClass.UNSIGNED
+    return (
+        ResponseClass.SUCCESS if 200 <= response.status < 300 else ResponseClass.FAILED
+    )
--- a/packages/gateway/src/kingcuplug_gateway/_settings.py
+++ b/packages/gateway/src/kingcuplug_gateway/_settings.py
@@ -9,7 +9,7 @@
 
 __all__ = ["GatewaySettings"]
 
-_DEFAULT_ALLOWANCE = AllowanceSettings()
+_DEFAULT_RETRY_BUDGET = AllowanceSettings()
 # At 50 Mbit/s, the 36 parts of a query at 1.2 KB each take 7 ms to receive, about as
 # long as the time reserved before a deadline.
 _NARROW_LINK_MBPS = 50.0
@@ -35,12 +35,12 @@
 
     availability_zone: str
     names: HeaderNames
-    allowance: AllowanceSettings = _DEFAULT_ALLOWANCE
+    retry_budget: AllowanceSettings = _DEFAULT_RETRY_BUDGET
     caller_delay_ms: float = 3.0
     answer_margin_ms: float = 4.0
     link_mbps: float = math.inf
 
     @property
-    def narrow(self) -> bool:
+    def has_narrow_link(self) -> bool:
         """Whether receiving the parts of one query takes too long on this link."""
         return self.link_mbps < _NARROW_LINK_MBPS
--- a/packages/gateway/src/kingcuplug_gateway/_weighted_round_robin.py
+++ b/packages/gateway/src/kingcuplug_gateway/_weighted_round_robin.py
@@ -10,23 +10,27 @@
 
 from kingcuplug_gateway._routes import WeightedService
 
-__all__ = ["WeightedTurn"]
+__all__ = ["WeightedRoundRobin"]
 
 
-class WeightedTurn:
+class WeightedRoundRobin:
     """Smooth weighted round robin."""
 
     def __init__(
         self, services: Sequence[WeightedService], random: random_module.Random
     ) -> None:
         self._services = [entry for entry in services if entry.weight > 0]
-        self._total = sum(entry.weight for entry in self._services)
-        self._credit = [random.uniform(0, entry.weight) for entry in self._services]
+        self._total_weight = sum(entry.weight for entry in self._services)
+        self._current_weights = [
+            random.uniform(0, entry.weight) for entry in self._services
+        ]
 
     def next(self) -> str:
         """Return the service for the next request."""
         for position, entry in enumerate(self._services):
-            self._credit[position] += entry.weight
-        selected = max(range(len(self._credit)), key=self._credit.__getitem__)
-        self._credit[selected] -= self._total
+            self._current_weights[position] += entry.weight
+        selected = max(
+            range(len(self._current_weights)), key=self._current_weights.__getitem__
+        )
+        self._current_weights[selected] -= self._total_weight
         return self._services[selected].service
--- a/tests/gateway/test_gathering.py
+++ b/tests/gateway/test_gathering.py
@@ -8,7 +8,7 @@
 import pytest
 from kingcuplug_common import KingcuplugError
 from kingcuplug_gateway import RECORD_BYTES, NotGathering
-from kingcuplug_gateway._gather_messages import Begin
+from kingcuplug_gateway._gather_messages import GatherRequest
 from kingcuplug_http import Limits, Listener, Request, Response
 
 from .conftest import make_route, signed_response
@@ -52,7 +52,7 @@
             except TimeoutError as error:
                 raise NoReply("no answer", "ask the shards") from error
 
-        narrow.gateway._ask_peer = call_peer
+        narrow.gateway._call_peer = call_peer
         narrow.message_kinds, narrow.wide = message_kinds, wide
         yield narrow
 
@@ -287,7 +287,9 @@
             assert response.status == 200
             assert dict(response.headers)[b"Missing"] == b"0"
             assert len(narrow.received["s0-3"]) == 1
-            gather_request = Begin("g", "r", SHARDS, b"", b"", b"t1", 900, 400, 2, 5)
+            gather_request = GatherRequest(
+                "g", "r", SHARDS, b"", b"", b"t1", 900, 400, 2, 5
+            )
             with pytest.raises(NotGathering):
                 await handle_gather(gather_request.to_json(), begins=False)
 
@@ -318,7 +320,7 @@
                 await wide.add_server(shard, _respond_records("a"))
             wide.set_routes(make_route(**ROUTE_FIELDS))
             wide.gateway.use(wide.server_infos, hosts=1, gatherers={"z": ["wide"]})
-            gather_request = Begin(
+            gather_request = GatherRequest(
                 "g", "r", SHARDS, b"GET /x HTTP/1.1\r\n", b"", b"t1", 900, 400, 2, 5
             )
 
@@ -327,7 +329,7 @@
                 return Response(200, [], json.dumps(reply).encode())
 
             calls_made = []
-            wide.gateway._gatherer._make_call = lambda *fields: calls_made.append(
+            wide.gateway._gather_server._make_call = lambda *fields: calls_made.append(
                 fields
             )
             listener = Listener(answer, Limits)
