--- a/packages/gateway/src/kingcuplug_gateway/_gateway.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gateway.py
@@ -32,7 +32,7 @@
     NotGathering,
     gather_from_peer,
 )
-from kingcuplug_gateway._gather_server import GatherServer
+from kingcuplug_gateway._gatherer import GatherServer
 from kingcuplug_gateway._request_log import RequestLog, RequestResult
 from kingcuplug_gateway._routes import Route, RouteTable
 from kingcuplug_gateway._scatter import ScatterQuery
@@ -174,7 +174,7 @@
 
         Parameters
         ----------
-        value : Any
+        message : Any
             JSON value of the message.
         begins : bool
             Whether new gather operations are accepted; those in progress continue in
