--- a/packages/gateway/src/kingcuplug_gateway/_gather_client.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gather_client.py
@@ -114,10 +114,11 @@
         failures, until = self._failures.get(address, (0, 0.0))
         if until > now:
             return
-        pause_s = min(_MIN_EXCLUSION_S * 2**failures, _MAX_EXCLUSION_S)
-        self._failures[address] = (failures + 1, now + pause_s)
+        exclusion_s = min(_MIN_EXCLUSION_S * 2**failures, _MAX_EXCLUSION_S)
+        self._failures[address] = (failures + 1, now + exclusion_s)
         self._log.write(
-            "gatherer_left", {"address": address, "pause_s": pause_s, "reason": reason}
+            "gatherer_left",
+            {"address": address, "pause_s": exclusion_s, "reason": reason},
         )
 
 
@@ -180,11 +181,11 @@
         failed_count = len(reply.failed_shards)
         if not reply.pending_shards:
             break
-        within_s = max(0.0, due_at - _REPLY_LEAD_S - loop.time())
+        reply_within_s = max(0.0, due_at - _REPLY_LEAD_S - loop.time())
         try:
-            remainder = RemainderRequest(gather_id, within_s * _MS_PER_S)
+            remainder = RemainderRequest(gather_id, reply_within_s * _MS_PER_S)
             value = await call_peer(
-                address, remainder.to_json(), within_s + _REMAINDER_REPLY_SLACK_S
+                address, remainder.to_json(), reply_within_s + _REMAINDER_REPLY_SLACK_S
             )
         except KingcuplugError as error:
             directory.record_failure(address, loop.time(), str(error))
--- a/packages/gateway/src/kingcuplug_gateway/_service_call.py
+++ b/packages/gateway/src/kingcuplug_gateway/_service_call.py
@@ -26,7 +26,7 @@
 
 
 class ResponseClass(Enum):
-    """Effect of a server's response on the request."""
+    """Class of a server's response, which decides whether the request is retried."""
 
     SUCCESS = "good"
     NOT_RUN = "not_run"
