--- a/packages/gateway/src/kingcuplug_gateway/_gateway.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gateway.py
@@ -25,14 +25,14 @@
     wait_until,
 )
 
-from kingcuplug_gateway._gather_client import (
+from kingcuplug_gateway._gatherer import GatherServer
+from kingcuplug_gateway._gathering import (
     CallPeer,
     GathererDirectory,
     GatherRecord,
     NotGathering,
     gather_from_peer,
 )
-from kingcuplug_gateway._gatherer import GatherServer
 from kingcuplug_gateway._request_log import RequestLog, RequestResult
 from kingcuplug_gateway._routes import Route, RouteTable
 from kingcuplug_gateway._scatter import ScatterQuery
--- a/packages/gateway/src/kingcuplug_gateway/_request_log.py
+++ b/packages/gateway/src/kingcuplug_gateway/_request_log.py
@@ -7,7 +7,7 @@
 from kingcuplug_common import EventLog, Metrics
 from kingcuplug_http import Request
 
-from kingcuplug_gateway._gather_client import GatherRecord
+from kingcuplug_gateway._gathering import GatherRecord
 from kingcuplug_gateway._routes import Route
 from kingcuplug_gateway._service_call import ServiceCall
 
