--- a/packages/gateway/src/kingcuplug_gateway/_gateway.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gateway.py
@@ -25,6 +25,7 @@
     wait_until,
 )
 
+from kingcuplug_gateway._call import OutboundRequest, ServiceCall
 from kingcuplug_gateway._gatherer import GatherServer
 from kingcuplug_gateway._gathering import (
     CallPeer,
@@ -37,7 +38,6 @@
 from kingcuplug_gateway._routes import Route, RouteTable
 from kingcuplug_gateway._scatter import ScatterQuery
 from kingcuplug_gateway._servers import KnownServer, ServerTable, ServicePool
-from kingcuplug_gateway._service_call import OutboundRequest, ServiceCall
 from kingcuplug_gateway._settings import GatewaySettings
 from kingcuplug_gateway._weighted_round_robin import WeightedRoundRobin
 
--- a/packages/gateway/src/kingcuplug_gateway/_gathering.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gathering.py
@@ -8,6 +8,7 @@
 from kingcuplug_common import EventLog, KingcuplugError, identifier
 from kingcuplug_routing import AnswerRule, Delegation, Timing
 
+from kingcuplug_gateway._call import OutboundRequest
 from kingcuplug_gateway._gather_messages import (
     GatherReply,
     GatherRequest,
@@ -15,7 +16,6 @@
 )
 from kingcuplug_gateway._routes import Route
 from kingcuplug_gateway._scatter import ScatterQuery
-from kingcuplug_gateway._service_call import OutboundRequest
 
 __all__ = [
     "CallPeer",
