--- a/packages/gateway/src/kingcuplug_gateway/_gather_messages.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gather_messages.py
@@ -1,90 +1,92 @@
-"""What hosts say when one gathers the parts of a query for another."""
+"""Messages between a host and the peer that gathers parts of a query for it."""
 
 from base64 import b64decode, b64encode
 from dataclasses import dataclass
 from typing import Any
 
-__all__ = ["Begin", "Gathered", "Rest", "decode_question"]
+__all__ = ["GatherReply", "GatherRequest", "RemainderRequest", "decode_request"]
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
-    """Asks for the parts of some shards.
+class GatherRequest:
+    """Request to query some shards and return the parts that arrive in time.
 
     Attributes
     ----------
-    id : str
-        Identifies the gathering, for `Rest`.
+    gather_id : str
+        Identifies the gather operation in a later `RemainderRequest`.
     head : bytes
-        Request line and headers for the servers.
-    left_ms : float
+        Request line and headers to send to the servers.
+    remaining_ms : float
         Time until the caller's deadline.
     target_ms : int
-        Of the route, in whose time the gatherer learns how long answers take.
+        Target latency of the route, which the gatherer's latency statistics need.
+    top_records : int
+        Number of records in a merged answer.
     """
 
-    id: str
+    gather_id: str
     route: str
     shards: tuple[str, ...]
     head: bytes
     body: bytes
     attempt_id: bytes
-    left_ms: float
+    remaining_ms: float
     target_ms: int
     max_attempts: int
-    top: int
+    top_records: int
 
     def to_json(self) -> list[Any]:
         """Return the fields as a JSON array."""
         return [
             "begin",
-            self.id,
+            self.gather_id,
             self.route,
             self.shards,
             self.head.decode("latin-1"),
             b64encode(self.body).decode(),
             self.attempt_id.decode("latin-1"),
-            round(self.left_ms, 1),
+            round(self.remaining_ms, 1),
             self.target_ms,
             self.max_attempts,
-            self.top,
+            self.top_records,
         ]
 
 
 @dataclass(frozen=True, slots=True)
-class Rest:
-    """Asks for the parts that were not in before, with second attempts.
+class RemainderRequest:
+    """Request for the parts missing from earlier replies, which allows hedging.
 
     Attributes
     ----------
-    within_ms : float
-        Time in which the answer must leave, whatever is in by then.
+    reply_within_ms : float
+        Time limit of the reply, which holds the parts received by then.
     """
 
-    id: str
-    within_ms: float
+    gather_id: str
+    reply_within_ms: float
 
     def to_json(self) -> list[Any]:
         """Return the fields as a JSON array."""
-        return ["rest", self.id, round(self.within_ms, 1)]
+        return ["rest", self.gather_id, round(self.reply_within_ms, 1)]
 
 
-def decode_question(value: list[Any]) -> Begin | Rest:
-    """Return the question described by a JSON array of another host.
+def decode_request(value: list[Any]) -> GatherRequest | RemainderRequest:
+    """Return the request decoded from a JSON array.
 
     Raises
     ------
     ValueError
-        If it is neither of the two.
+        If the array holds neither kind of request.
     """
     kind, *fields = value
     if kind == "rest":
-        return Rest(*fields)
+        return RemainderRequest(*fields)
     if kind != "begin":
-        raise ValueError(f"unknown question {kind!r}")
-    identifier, route, shards, head, body, attempt_id, *numbers = fields
-    return Begin(
-        identifier,
+        raise ValueError(f"unknown kind of gather request {kind!r}")
+    gather_id, route, shards, head, body, attempt_id, *numbers = fields
+    return GatherRequest(
+        gather_id,
         route,
         tuple(shards),
         head.encode("latin-1"),
@@ -95,42 +97,42 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Gathered:
-    """The parts that have come in since the last answer.
+class GatherReply:
+    """Reply with the parts received since the previous reply.
 
     Attributes
     ----------
-    seals : tuple of bytes
+    signatures : tuple of bytes
         Signatures of the parts.
     body : bytes
         The greatest records of these parts.
-    failed : tuple of str
-        Shards that will not answer any more.
-    open : tuple of str
-        Shards that may still answer.
+    failed_shards : tuple of str
+        Shards whose calls have failed for good.
+    pending_shards : tuple of str
+        Shards whose calls are still in progress.
     """
 
-    seals: tuple[bytes, ...]
+    signatures: tuple[bytes, ...]
     body: bytes
-    failed: tuple[str, ...]
-    open: tuple[str, ...]
+    failed_shards: tuple[str, ...]
+    pending_shards: tuple[str, ...]
 
     def to_json(self) -> list[Any]:
         """Return the fields as a JSON array."""
         return [
-            [seal.decode("latin-1") for seal in self.seals],
+            [signature.decode("latin-1") for signature in self.signatures],
             b64encode(self.body).decode(),
-            self.failed,
-            self.open,
+            self.failed_shards,
+            self.pending_shards,
         ]
 
     @classmethod
-    def from_json(cls, value: list[Any]) -> "Gathered":
-        """Return the answer described by a JSON array of another host."""
-        seals, body, failed, still_open = value
+    def from_json(cls, value: list[Any]) -> "GatherReply":
+        """Return the reply decoded from a JSON array."""
+        signatures, body, failed_shards, pending_shards = value
         return cls(
-            tuple(seal.encode("latin-1") for seal in seals),
+            tuple(signature.encode("latin-1") for signature in signatures),
             b64decode(body),
-            tuple(failed),
-            tuple(still_open),
+            tuple(failed_shards),
+            tuple(pending_shards),
         )
--- a/packages/gateway/src/kingcuplug_gateway/_gatherer.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gatherer.py
@@ -1,4 +1,4 @@
-"""Gathers the parts of other hosts' queries."""
+"""Server side of gathering: queries shards on behalf of other hosts."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,245 +7,282 @@
 from kingcuplug_common import EventLog
 from kingcuplug_routing import AnswerRule, Timing
 
-from kingcuplug_gateway._call import Outgoing, ServiceCall
-from kingcuplug_gateway._gather_messages import Begin, Gathered, Rest, decode_question
+from kingcuplug_gateway._call import OutboundRequest, ServiceCall
+from kingcuplug_gateway._gather_messages import (
+    GatherReply,
+    GatherRequest,
+    RemainderRequest,
+    decode_request,
+)
 from kingcuplug_gateway._gathering import NotGathering
 from kingcuplug_gateway._scatter import merge_records
 
-__all__ = ["Gatherer", "UnknownGathering"]
+__all__ = ["GatherServer", "UnknownGathering"]
 
 _MS_PER_S = 1_000
-# The host that asks comes back for the rest at once, or has answered its caller.
-_KEPT_S = 0.05
-# After a suspension of this host, the end of the question's connection may have come,
-# too. The loop reads it one round after the question, and cancels in the next.
-_WITHDRAWAL_ROUNDS = 3
-_RESOLUTION_S = 0.001  # Timers of the loop may fire early by less than this.
-
-MakeCall = Callable[
-    [str, Outgoing, Timing, int, Callable[[ServiceCall], None]], ServiceCall
+# The requesting host asks for the remaining parts at once, or else has already
+# answered its caller and needs none.
+_REMAINDER_WAIT_S = 0.05
+# After this host was suspended, the request's connection may be closed already. The
+# event loop reads the close one round after the request, and cancels in the next.
+_DISCONNECT_CHECK_ROUNDS = 3
+_TIMER_RESOLUTION_S = 0.001  # Event loop timers may fire early by less than this.
+
+CallFactory = Callable[
+    [str, OutboundRequest, Timing, int, Callable[[ServiceCall], None]], ServiceCall
 ]
 
 
 class UnknownGathering(ValueError):
-    """The rest is asked of a gathering that has ended, or never began here."""
+    """The gather operation of a request has ended, or never began on this host."""
 
 
-class Gatherer:
-    """Answers the questions of hosts for which this one gathers.
+class GatherServer:
+    """Runs the gather operations that other hosts request.
 
     Parameters
     ----------
     make_call : callable
-        Makes a call to one shard: shard, request, timing, greatest number of
-        attempts, and whom to tell of its end.
-    timing : callable
-        Returns how long answers of a route take, by its name and target.
-    seal_name : bytes
-        Header of a part's signature, in lower case.
+        Makes a call to one shard from the shard, the request, the latency statistics,
+        the maximum number of attempts and the callback for the call's end.
+    route_timing : callable
+        Returns the latency statistics of a route by its name and target in
+        milliseconds.
+    signature_header : bytes
+        Name of the header with a part's signature, in lower case.
     """
 
     def __init__(
         self,
-        make_call: MakeCall,
-        timing: Callable[[str, int], Timing],
-        seal_name: bytes,
+        make_call: CallFactory,
+        route_timing: Callable[[str, int], Timing],
+        signature_header: bytes,
         log: EventLog,
     ) -> None:
         self._make_call = make_call
-        self._timing = timing
-        self._seal_name = seal_name
+        self._route_timing = route_timing
+        self._signature_header = signature_header
         self._log = log
-        self._running: dict[str, _Gathering] = {}
+        self._operations: dict[str, _GatherOperation] = {}
 
-    async def answer(self, value: Any, begins: bool) -> Any:
-        """Answer one question; leaving it cancels the attempts.
+    async def handle(self, message: Any, accept_new_operations: bool) -> Any:
+        """Handle one request; cancelling it cancels the attempts of its operation.
 
         Parameters
         ----------
-        begins : bool
-            Whether new gatherings are taken.
+        message : Any
+            JSON value of the request.
+        accept_new_operations : bool
+            Whether new operations are accepted.
+
+        Returns
+        -------
+        Any
+            JSON value of the reply.
 
         Raises
         ------
         NotGathering
-            If a new gathering is asked for, and none is taken.
+            If a new operation is requested, and none is accepted.
         UnknownGathering
-            If the rest is asked of a gathering that is over.
+            If the operation of a request for the remaining parts has ended.
         ValueError
-            If the question cannot be read.
+            If the request cannot be decoded.
         """
-        question = decode_question(value)
-        if not begins and isinstance(question, Begin):
+        request = decode_request(message)
+        if not accept_new_operations and isinstance(request, GatherRequest):
             raise NotGathering("the host is stopping")
-        for _ in range(_WITHDRAWAL_ROUNDS):
+        for _ in range(_DISCONNECT_CHECK_ROUNDS):
             await asyncio.sleep(0)
-        gathering = self._begin(question)
+        operation = self._start_or_resume(request)
         loop = asyncio.get_running_loop()
         try:
-            if isinstance(question, Rest):
-                gathering.release()
-                until = loop.time() + question.within_ms / _MS_PER_S
-                gathered = await gathering.wait(until, hurries=False)
+            if isinstance(request, RemainderRequest):
+                operation.allow_hedging()
+                until = loop.time() + request.reply_within_ms / _MS_PER_S
+                reply = await operation.wait_for_parts(until, stop_at_stragglers=False)
             else:
-                until = gathering.begun_at + gathering.timing.hedge_after_s
-                gathered = await gathering.wait(until, hurries=True)
+                until = operation.started_at + operation.timing.hedge_after_s
+                reply = await operation.wait_for_parts(until, stop_at_stragglers=True)
         except asyncio.CancelledError:
-            self._end(gathering, "caller_left")
+            self._finish(operation, "caller_left")
             raise
-        if gathered.open:
-            gathering.keep(loop.call_later(_KEPT_S, self._end, gathering, "left"))
+        if reply.pending_shards:
+            operation.set_expiry_timer(
+                loop.call_later(_REMAINDER_WAIT_S, self._finish, operation, "left")
+            )
         else:
-            self._end(gathering, "complete")
-        return gathered.to_json()
-
-    def _begin(self, question: Begin | Rest) -> "_Gathering":
-        if isinstance(question, Rest):
-            gathering = self._running.get(question.id)
-            if gathering is None:
-                raise UnknownGathering(f"gathering {question.id} is over")
-            gathering.keep(None)
-            return gathering
-        timing = self._timing(question.route, question.target_ms)
-        gathering = _Gathering(question, timing, self._seal_name)
-        self._running[question.id] = gathering
-        gathering.start(self._make_call)
-        return gathering
-
-    def _end(self, gathering: "_Gathering", why: str) -> None:
-        self._running.pop(gathering.question.id, None)
-        gathering.cancel(linger=why != "caller_left")
+            self._finish(operation, "complete")
+        return reply.to_json()
+
+    def _start_or_resume(
+        self, request: GatherRequest | RemainderRequest
+    ) -> "_GatherOperation":
+        if isinstance(request, RemainderRequest):
+            operation = self._operations.get(request.gather_id)
+            if operation is None:
+                raise UnknownGathering(
+                    f"gather operation {request.gather_id} has ended"
+                )
+            operation.set_expiry_timer(None)
+            return operation
+        timing = self._route_timing(request.route, request.target_ms)
+        operation = _GatherOperation(request, timing, self._signature_header)
+        self._operations[request.gather_id] = operation
+        operation.start(self._make_call)
+        return operation
+
+    def _finish(self, operation: "_GatherOperation", reason: str) -> None:
+        self._operations.pop(operation.request.gather_id, None)
+        operation.cancel(linger=reason != "caller_left")
         if not self._log.admits("gathered"):
             return
-        question, calls = gathering.question, gathering.calls
+        request, calls = operation.request, operation.calls
         self._log.write(
             "gathered",
             {
-                "id": question.attempt_id.decode("latin-1"),
-                "route": question.route,
+                "id": request.attempt_id.decode("latin-1"),
+                "route": request.route,
                 "shards": len(calls),
-                "ended": why,
-                "missing": [c.service for c in calls if not c.ending.good],
+                "ended": reason,
+                "missing": [c.service for c in calls if not c.result.succeeded],
                 "calls": [
-                    note
+                    entry
                     for call in calls
-                    if not call.plain
-                    for note in call.notes(gathering.begun_at)
+                    if not call.succeeded_at_first_attempt
+                    for entry in call.log_entries(operation.started_at)
                 ],
             },
             always=True,
         )
 
 
-class _Gathering:
-    """One query of another host, or a part of its shards.
+class _GatherOperation:
+    """Calls to some or all shards of another host's query.
 
     Attributes
     ----------
-    begun_at : float
-        In event loop time.
+    started_at : float
+        Start of the operation, in event loop time.
     """
 
-    def __init__(self, question: Begin, timing: Timing, seal_name: bytes) -> None:
+    def __init__(
+        self, request: GatherRequest, timing: Timing, signature_header: bytes
+    ) -> None:
         self._loop = asyncio.get_running_loop()
-        self._seal_name = seal_name
-        self._told: set[str] = set()
-        self._open = len(question.shards)
-        self._wake: asyncio.Future[None] | None = None
-        self._kept: asyncio.TimerHandle | None = None
-        self.question = question
+        self._signature_header = signature_header
+        self._reported_shards: set[str] = set()
+        self._pending_count = len(request.shards)
+        self._waiter: asyncio.Future[None] | None = None
+        self._expiry_timer: asyncio.TimerHandle | None = None
+        self.request = request
         self.timing = timing
-        self.begun_at = self._loop.time()
+        self.started_at = self._loop.time()
         self.calls: list[ServiceCall] = []
-        deadline_at = self.begun_at + question.left_ms / _MS_PER_S
-        self._outgoing = Outgoing(
-            question.head,
-            question.body,
-            question.attempt_id,
+        deadline_at = self.started_at + request.remaining_ms / _MS_PER_S
+        self._outbound = OutboundRequest(
+            request.head,
+            request.body,
+            request.attempt_id,
             deadline_at,
             repeatable=True,
-            bodiless=False,
+            no_response_body=False,
         )
         self._rule = AnswerRule(
-            len(question.shards), 1.0, self.begun_at, deadline_at, deadline_at
+            len(request.shards), 1.0, self.started_at, deadline_at, deadline_at
         )
 
-    def start(self, make_call: MakeCall) -> None:
+    def start(self, make_call: CallFactory) -> None:
         """Send the first attempts."""
-        question = self.question
+        request = self.request
         self.calls = [
             make_call(
-                shard, self._outgoing, self.timing, question.max_attempts, self._done
+                shard,
+                self._outbound,
+                self.timing,
+                request.max_attempts,
+                self._on_call_finished,
             )
-            for shard in question.shards
+            for shard in request.shards
         ]
         for call in self.calls:
             call.start()
 
-    def release(self) -> None:
-        """Allow second attempts."""
+    def allow_hedging(self) -> None:
+        """Allow hedging in all unfinished calls."""
         for call in self.calls:
-            if not call.over:
-                call.release()
+            if not call.finished:
+                call.allow_hedging()
 
-    def keep(self, timer: asyncio.TimerHandle | None) -> None:
-        """Set what ends the gathering if nobody asks for the rest."""
-        if self._kept is not None:
-            self._kept.cancel()
-        self._kept = timer
+    def set_expiry_timer(self, timer: asyncio.TimerHandle | None) -> None:
+        """Replace the timer that ends an operation without further requests."""
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
+        self._expiry_timer = timer
 
     def cancel(self, linger: bool) -> None:
-        """Drop what is open, at once or after a moment."""
-        self.keep(None)
+        """Cancel the unfinished calls, at once or after a short delay."""
+        self.set_expiry_timer(None)
         for call in self.calls:
-            if not call.over:
+            if not call.finished:
                 call.cancel(linger)
 
-    async def wait(self, until: float, hurries: bool) -> Gathered:
-        """Return what has come in, when all has or the time is over.
+    async def wait_for_parts(
+        self, until: float, stop_at_stragglers: bool
+    ) -> GatherReply:
+        """Wait for all parts or the time `until`, and return the new parts.
 
         Parameters
         ----------
-        hurries : bool
-            Return sooner if only a few shards are late, so that they are asked again.
+        until : float
+            In event loop time.
+        stop_at_stragglers : bool
+            Return earlier once only a few shards are missing, so that the requesting
+            host can ask for hedged attempts to these.
         """
-        while self._open:
+        while self._pending_count:
             now = self._loop.time()
-            if hurries and self._open <= self._rule.stragglers:
+            if stop_at_stragglers and self._pending_count <= self._rule.stragglers:
                 until = min(until, self._rule.hurry_at(now))
-                hurries = False
+                stop_at_stragglers = False
             if now >= until:
                 break
-            self._wake = self._loop.create_future()
-            timer = self._loop.call_at(until, self._notify)
+            self._waiter = self._loop.create_future()
+            timer = self._loop.call_at(until, self._wake_waiter)
             try:
-                await self._wake
+                await self._waiter
             finally:
                 timer.cancel()
-                self._wake = None
-            if self._loop.time() + _RESOLUTION_S >= until:
+                self._waiter = None
+            if self._loop.time() + _TIMER_RESOLUTION_S >= until:
                 break
-        return self._take()
+        return self._new_parts()
 
-    def _done(self, call: ServiceCall) -> None:
-        self._open -= 1
-        self._notify()
+    def _on_call_finished(self, call: ServiceCall) -> None:
+        self._pending_count -= 1
+        self._wake_waiter()
 
-    def _notify(self) -> None:
-        if self._wake is not None and not self._wake.done():
-            self._wake.set_result(None)
+    def _wake_waiter(self) -> None:
+        if self._waiter is not None and not self._waiter.done():
+            self._waiter.set_result(None)
 
-    def _take(self) -> Gathered:
-        seals, bodies = [], []
+    def _new_parts(self) -> GatherReply:
+        signatures, bodies = [], []
         for call in self.calls:
-            response = call.ending.response
-            if call.ending.good and response and call.service not in self._told:
-                self._told.add(call.service)
-                seals.append(response.fields[self._seal_name])
+            response = call.result.response
+            if (
+                call.result.succeeded
+                and response
+                and call.service not in self._reported_shards
+            ):
+                self._reported_shards.add(call.service)
+                signatures.append(response.fields[self._signature_header])
                 bodies.append(response.body)
-        return Gathered(
-            tuple(seals),
-            merge_records(bodies, self.question.top),
-            tuple(c.service for c in self.calls if c.over and not c.ending.good),
-            tuple(c.service for c in self.calls if not c.over),
+        return GatherReply(
+            tuple(signatures),
+            merge_records(bodies, self.request.top_records),
+            tuple(
+                c.service for c in self.calls if c.finished and not c.result.succeeded
+            ),
+            tuple(c.service for c in self.calls if not c.finished),
         )
--- a/packages/gateway/src/kingcuplug_gateway/_gathering.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gathering.py
@@ -1,4 +1,4 @@
-"""Has other hosts gather parts of a query for this one."""
+"""Client side of gathering: has other hosts query shards for this one."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Mapping, Sequence
@@ -8,179 +8,201 @@
 from kingcuplug_common import EventLog, KingcuplugError, identifier
 from kingcuplug_routing import AnswerRule, Delegation, Timing
 
-from kingcuplug_gateway._call import Outgoing
-from kingcuplug_gateway._gather_messages import Begin, Gathered, Rest
+from kingcuplug_gateway._call import OutboundRequest
+from kingcuplug_gateway._gather_messages import (
+    GatherReply,
+    GatherRequest,
+    RemainderRequest,
+)
 from kingcuplug_gateway._routes import Route
-from kingcuplug_gateway._scatter import Scatter
+from kingcuplug_gateway._scatter import ScatterQuery
 
-__all__ = ["AskPeer", "GatherNote", "Gatherers", "NotGathering", "gather"]
+__all__ = [
+    "CallPeer",
+    "GatherRecord",
+    "GathererDirectory",
+    "NotGathering",
+    "gather_from_peer",
+]
 
 _MS_PER_S = 1_000
-# A round trip between availability zones, and the time of a busy gatherer, beyond the
-# latest moment at which it answers a first question.
-_ANSWER_S = 0.01
-# An answer leaves a gatherer so much before this host's own is due.
-_MARGIN_S = 0.004
-# A gatherer that did not answer is left out for this long, doubled by each further
-# failure.
-_FIRST_PAUSE_S = 1.0
-_LONGEST_PAUSE_S = 8.0
-
-# The host answers its caller in time whatever the gatherer does after its first answer,
-# so a gatherer that is a moment late then is not left.
-_REST_ANSWER_S = 0.1
-
-# Calls another host: address, value and time limit in seconds. Raises `NotGathering` if
-# that host refuses, and another `KingcuplugError` if it does not answer.
-AskPeer = Callable[[str, Any, float], Awaitable[Any]]
+# Covers a round trip between availability zones and the delay of a busy gatherer, on
+# top of the latest time at which it replies to a first request.
+_FIRST_REPLY_SLACK_S = 0.01
+# A gatherer replies this long before the response of this host is due.
+_REPLY_LEAD_S = 0.004
+# A gatherer that did not reply is excluded for this long, doubled by each further
+# failure up to the maximum.
+_MIN_EXCLUSION_S = 1.0
+_MAX_EXCLUSION_S = 8.0
+
+# After the first reply, this host answers its caller in time whatever the gatherer
+# does, so a gatherer that is slightly late then is not excluded.
+_REMAINDER_REPLY_SLACK_S = 0.1
+
+# Calls another host with an address, a JSON value and a time limit in seconds. Raises
+# `NotGathering` if that host refuses, and another `KingcuplugError` if it does not
+# reply.
+CallPeer = Callable[[str, Any, float], Awaitable[Any]]
 
 
 class NotGathering(KingcuplugError):
-    """A host does not gather parts for others, at least not now."""
+    """The host does not gather parts for others, permanently or for now."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason, "ask another host, or the shards themselves")
 
 
 @dataclass(slots=True)
-class GatherNote:
-    """One gathering, for the log.
+class GatherRecord:
+    """Log record of one gather operation.
 
     Attributes
     ----------
     parts : int
-        Parts that came in.
+        Number of parts received.
     outcome : str
-        ``open`` until it has ended.
+        ``open`` until the operation has ended.
     """
 
     gatherer: str
     shards: int
-    began_at: float
+    sent_at: float
     parts: int = 0
     ended_at: float = 0.0
     outcome: str = "open"
 
     def end(self, outcome: str, now: float) -> None:
-        """Note how the gathering ended."""
+        """Record how the operation ended."""
         self.outcome, self.ended_at = outcome, now
 
-    def fields(self, begun_at: float) -> dict[str, str | float | None]:
-        """Return what a log line says, with times since `begun_at`."""
-        took_s = self.ended_at - self.began_at if self.ended_at else None
+    def log_entry(self, started_at: float) -> dict[str, str | float | None]:
+        """Return the log entry, with times relative to `started_at`."""
+        took_s = self.ended_at - self.sent_at if self.ended_at else None
         return {
             "gatherer": self.gatherer,
             "shards": self.shards,
             "parts": self.parts,
-            "sent_ms": round((self.began_at - begun_at) * _MS_PER_S, 1),
+            "sent_ms": round((self.sent_at - started_at) * _MS_PER_S, 1),
             "took_ms": round(took_s * _MS_PER_S, 1) if took_s is not None else None,
             "outcome": self.outcome,
         }
 
 
-class Gatherers:
-    """The hosts that gather for this one, without those that did not answer."""
+class GathererDirectory:
+    """Addresses of the gatherers, with temporary exclusion of those that failed."""
 
     def __init__(self, log: EventLog) -> None:
         self._log = log
         self._failures: dict[str, tuple[int, float]] = {}
-        self.zones: Mapping[str, Sequence[str]] = {}
+        self.addresses_by_zone: Mapping[str, Sequence[str]] = {}
 
-    def usable(self, now: float) -> dict[str, list[str]]:
-        """Return addresses by availability zone."""
+    def available(self, now: float) -> dict[str, list[str]]:
+        """Return the addresses not excluded at the time `now`, by availability zone."""
         usable = {
             zone: [a for a in addresses if self._failures.get(a, (0, 0.0))[1] <= now]
-            for zone, addresses in self.zones.items()
+            for zone, addresses in self.addresses_by_zone.items()
         }
         return {zone: addresses for zone, addresses in usable.items() if addresses}
 
-    def succeed(self, address: str) -> None:
-        """Note that a gatherer has answered."""
+    def record_success(self, address: str) -> None:
+        """Record a reply of a gatherer, which clears its earlier failures."""
         self._failures.pop(address, None)
 
-    def fail(self, address: str, now: float, reason: str) -> None:
-        """Leave a gatherer out for a while."""
+    def record_failure(self, address: str, now: float, reason: str) -> None:
+        """Exclude a gatherer that failed, for longer after each further failure."""
         failures, until = self._failures.get(address, (0, 0.0))
         if until > now:
             return
-        pause_s = min(_FIRST_PAUSE_S * 2**failures, _LONGEST_PAUSE_S)
-        self._failures[address] = (failures + 1, now + pause_s)
+        exclusion_s = min(_MIN_EXCLUSION_S * 2**failures, _MAX_EXCLUSION_S)
+        self._failures[address] = (failures + 1, now + exclusion_s)
         self._log.write(
-            "gatherer_left", {"address": address, "pause_s": pause_s, "reason": reason}
+            "gatherer_left",
+            {"address": address, "pause_s": exclusion_s, "reason": reason},
         )
 
 
-async def gather(
-    ask: AskPeer,
-    gatherers: Gatherers,
+async def gather_from_peer(
+    call_peer: CallPeer,
+    directory: GathererDirectory,
     delegation: Delegation,
     route: Route,
-    outgoing: Outgoing,
+    outbound: OutboundRequest,
     timing: Timing,
-    scatter: Scatter,
+    scatter: ScatterQuery,
     rule: AnswerRule,
-    note: GatherNote,
-    fall_back: Callable[[Sequence[str], bool], None],
+    record: GatherRecord,
+    call_shards_directly: Callable[[Sequence[str], bool], None],
 ) -> None:
-    """Have one host gather some shards' parts, and take them.
+    """Have one host gather the parts of some shards, and add them to the query.
 
-    The gatherer sends no second attempt to save time before it was asked for the
-    rest, so if it does not answer at first, this host may ask each shard once itself.
+    The gatherer sends no hedged attempts before it is asked for the remaining parts.
+    If it does not reply to the first request, this host may therefore still send one
+    attempt to each shard itself.
 
     Parameters
     ----------
-    fall_back : callable
-        Asks shards without the gatherer, which may have sent first attempts or not.
+    call_shards_directly : callable
+        Sends requests to the shards from this host. Its second argument says whether
+        the gatherer may have sent first attempts.
     """
     loop = asyncio.get_running_loop()
-    address, query = delegation.gatherer, identifier()
-    begin = Begin(
-        query,
+    address, gather_id = delegation.gatherer, identifier()
+    request = GatherRequest(
+        gather_id,
         route.name,
         delegation.shards,
-        outgoing.head,
-        outgoing.body,
-        outgoing.attempt_id,
-        (outgoing.deadline_at - loop.time()) * _MS_PER_S,
+        outbound.head,
+        outbound.body,
+        outbound.attempt_id,
+        (outbound.deadline_at - loop.time()) * _MS_PER_S,
         route.target_ms,
         route.max_attempts,
         route.top_records,
     )
     try:
-        value = await ask(
-            address, begin.to_json(), timing.latest_hedge_after_s + _ANSWER_S
+        value = await call_peer(
+            address,
+            request.to_json(),
+            timing.latest_hedge_after_s + _FIRST_REPLY_SLACK_S,
         )
     except KingcuplugError as error:
         refused = isinstance(error, NotGathering)
-        gatherers.fail(address, loop.time(), str(error))
-        note.end("refused" if refused else "fell_back", loop.time())
-        fall_back(delegation.shards, not refused)
+        directory.record_failure(address, loop.time(), str(error))
+        record.end("refused" if refused else "fell_back", loop.time())
+        call_shards_directly(delegation.shards, not refused)
         return
-    gatherers.succeed(address)
-    gathered = _take(Gathered.from_json(value), scatter, note)
-    lost = 0
-    # At each of these moments the parts that are in may be enough.
+    directory.record_success(address)
+    reply = _add_reply(GatherReply.from_json(value), scatter, record)
+    failed_count = 0
+    # At each of these times the parts received by then may be sufficient.
     for due_at in (rule.target_at, rule.late_at, rule.final_at):
-        scatter.lose(len(gathered.failed) - lost)
-        lost = len(gathered.failed)
-        if not gathered.open:
+        scatter.mark_missing(len(reply.failed_shards) - failed_count)
+        failed_count = len(reply.failed_shards)
+        if not reply.pending_shards:
             break
-        within_s = max(0.0, due_at - _MARGIN_S - loop.time())
+        reply_within_s = max(0.0, due_at - _REPLY_LEAD_S - loop.time())
         try:
-            rest = Rest(query, within_s * _MS_PER_S)
-            value = await ask(address, rest.to_json(), within_s + _REST_ANSWER_S)
+            remainder = RemainderRequest(gather_id, reply_within_s * _MS_PER_S)
+            value = await call_peer(
+                address, remainder.to_json(), reply_within_s + _REMAINDER_REPLY_SLACK_S
+            )
         except KingcuplugError as error:
-            gatherers.fail(address, loop.time(), str(error))
-            note.end("lost", loop.time())
-            scatter.lose(len(gathered.open))
+            directory.record_failure(address, loop.time(), str(error))
+            record.end("lost", loop.time())
+            scatter.mark_missing(len(reply.pending_shards))
             return
-        gathered = _take(Gathered.from_json(value), scatter, note)
-    scatter.lose(len(gathered.failed) - lost + len(gathered.open))
-    note.end("gathered", loop.time())
+        reply = _add_reply(GatherReply.from_json(value), scatter, record)
+    scatter.mark_missing(
+        len(reply.failed_shards) - failed_count + len(reply.pending_shards)
+    )
+    record.end("gathered", loop.time())
 
 
-def _take(gathered: Gathered, scatter: Scatter, note: GatherNote) -> Gathered:
-    note.parts += len(gathered.seals)
-    if gathered.seals:
-        scatter.add(gathered.seals, gathered.body)
-    return gathered
+def _add_reply(
+    reply: GatherReply, scatter: ScatterQuery, record: GatherRecord
+) -> GatherReply:
+    record.parts += len(reply.signatures)
+    if reply.signatures:
+        scatter.add_parts(reply.signatures, reply.body)
+    return reply
