--- a/packages/soak/src/kingcuplug_soak/_checks.py
+++ b/packages/soak/src/kingcuplug_soak/_consistency.py
@@ -6,7 +6,7 @@
 from kingcuplug_http import Response
 from kingcuplug_platform import HEADER_NAMES
 
-from kingcuplug_soak._backends import Backends, Run
+from kingcuplug_soak._fake_servers import Backends, Run
 
 __all__ = ["Asked", "Judge"]
 
--- a/packages/soak/src/kingcuplug_soak/_backends.py
+++ b/packages/soak/src/kingcuplug_soak/_fake_servers.py
@@ -10,7 +10,7 @@
 from kingcuplug_http import Limits, Listener, Request, Response
 from kingcuplug_platform import HEADER_NAMES, SERVERS_PATH, encode_statement
 
-from kingcuplug_soak._calls import call
+from kingcuplug_soak._http_client import call
 
 __all__ = ["Backend", "Backends", "Run"]
 
--- a/packages/soak/src/kingcuplug_soak/_troubles.py
+++ b/packages/soak/src/kingcuplug_soak/_fault_injection.py
@@ -5,9 +5,9 @@
 import signal
 from collections.abc import Awaitable, Callable
 
-from kingcuplug_soak._backends import Backend, Backends
+from kingcuplug_soak._fake_servers import Backend, Backends
 from kingcuplug_soak._hosts import HostProcess, Hosts
-from kingcuplug_soak._load import ORDERS, Operator
+from kingcuplug_soak._traffic import ORDERS, Operator
 
 __all__ = ["Troubles"]
 
--- a/packages/soak/src/kingcuplug_soak/_run.py
+++ b/packages/soak/src/kingcuplug_soak/_run.py
@@ -8,11 +8,11 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from kingcuplug_soak._backends import Backends
-from kingcuplug_soak._checks import Judge
+from kingcuplug_soak._consistency import Judge
+from kingcuplug_soak._fake_servers import Backends
+from kingcuplug_soak._fault_injection import Troubles
 from kingcuplug_soak._hosts import Hosts
-from kingcuplug_soak._load import TOP, Callers, Operator
-from kingcuplug_soak._troubles import Troubles
+from kingcuplug_soak._traffic import TOP, Callers, Operator
 
 __all__ = ["Outcome", "SoakSettings", "soak"]
 
--- a/packages/soak/src/kingcuplug_soak/_load.py
+++ b/packages/soak/src/kingcuplug_soak/_traffic.py
@@ -11,9 +11,9 @@
 from kingcuplug_gateway import Route, RouteTable, ServiceSettings, WeightedService
 from kingcuplug_platform import DOCUMENT_PATH, HEADER_NAMES, encode_document
 
-from kingcuplug_soak._calls import call
-from kingcuplug_soak._checks import Asked, Judge
+from kingcuplug_soak._consistency import Asked, Judge
 from kingcuplug_soak._hosts import HostProcess
+from kingcuplug_soak._http_client import call
 
 __all__ = ["Callers", "Operator", "document"]
 
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -7,8 +7,8 @@
 from kingcuplug_gateway import merge_records
 from kingcuplug_http import Response
 from kingcuplug_soak import SoakSettings, soak
-from kingcuplug_soak._backends import Backends, Run
-from kingcuplug_soak._checks import Asked, Judge
+from kingcuplug_soak._consistency import Asked, Judge
+from kingcuplug_soak._fake_servers import Backends, Run
 
 
 @pytest.mark.system
