--- a/packages/node/src/kingcuplug_node/__init__.py
+++ b/packages/node/src/kingcuplug_node/__init__.py
@@ -1,4 +1,4 @@
-"""Composition of a host that serves callers and control at once."""
+"""Composition of a host that serves callers and the control API in one process."""
 
 from kingcuplug_node._host import Elsewhere, Host
 from kingcuplug_node._settings import NodeSettings
--- a/packages/node/src/kingcuplug_node/_host.py
+++ b/packages/node/src/kingcuplug_node/_host.py
@@ -1,4 +1,4 @@
-"""One host: listeners, what it knows, its part in control, start and stop."""
+"""One host: listeners, fleet view, control replica, startup and shutdown."""
 
 import asyncio
 import contextlib
@@ -54,24 +54,25 @@
 _PEER_PREFIX = b"/peer/"
 _GATHER_PATH = "/peer/v2/gather"
 _MS_PER_S = 1_000
-# Statements that are missing for this many intervals make a server silent.
+# A server is marked silent after this many heartbeat intervals without a heartbeat.
 _SILENT_AFTER_INTERVALS = 3.5
 _UPKEEP_INTERVAL_S = 0.25
-# A server that turns slow delays a query of each host until all have heard of it.
+# Until a report reaches all hosts, each of them sends queries to a server that has
+# become slow.
 _REPORT_INTERVAL_S = 0.3
-# Timers fire late, and an answer takes a moment on the host's link; merging and
-# writing the answer of a query over 36 shards takes some time of a whole core.
+# The answer margin covers late timers and the transmission of the response; the merge
+# time is that of one full core for the response of a query over 36 shards.
 _ANSWER_MARGIN_MS = 4.0
 _MERGE_CPU_MS = 4.0
 _SETTINGS_POLL_INTERVAL_S = 1.0
-# New callers come until the balancer has missed two checks, one second apart, and has
-# taken note; what they have begun must end within the grace period.
+# The load balancer sends new callers until two readiness checks, one second apart, have
+# failed and it has removed the host; their requests must end within the grace period.
 _MAX_DRAIN_S = 3.2
 _DRAIN_GRACE_RATIO = 0.55
-# Left of the grace period to write the last lines and exit.
+# Reserved at the end of the grace period to flush the log and exit.
 _EXIT_MARGIN_S = 0.5
 _DRAIN_POLL_INTERVAL_S = 0.02
-# Operators may send large documents, and hosts whole directories.
+# Operators may send large documents, and hosts send complete server directories.
 _CONTROL_HTTP_LIMITS = Limits(
     max_body_bytes=16_777_216, header_timeout_ms=5_000, idle_timeout_ms=20_000
 )
@@ -80,22 +81,24 @@
 
 
 class Elsewhere(KingcuplugError):
-    """Another host serves this call."""
+    """The control API is served by another host."""
 
     def __init__(self, address: str) -> None:
-        super().__init__(f"control is served at {address}", "send the call there")
+        super().__init__(
+            f"the control API is served at {address}", "send the call to that address"
+        )
         self.address = address
 
 
 class Host:
-    """Serves callers, and backend servers, operators and hosts at one address.
+    """Serves callers, and the control API of backend servers, operators and hosts.
 
     Parameters
     ----------
     decode_routes : callable
-        Makes a route table of a document that was accepted before.
-    reload : callable
-        Returns the settings as they are now, or ``None`` if they cannot be read.
+        Decodes a committed route document into a route table.
+    load_settings : callable
+        Returns the current settings, or ``None`` if they cannot be read.
     """
 
     def __init__(
@@ -163,19 +166,19 @@
 
     @property
     def ready(self) -> bool:
-        """Whether callers should come here."""
-        known = self._gateway.table is not None and self._may_serve()
-        return known and not self._stopping
+        """Whether the load balancer should send callers to this host."""
+        can_serve = self._gateway.table is not None and self._may_serve()
+        return can_serve and not self._stopping
 
     async def receive_heartbeat(self, record: ServerRecord) -> str:
-        """Take a backend server's statement about itself.
+        """Record a heartbeat of a backend server.
 
         Returns
         -------
         str
-            Where the server should send its next statements: to a control host in
-            its availability zone if one is reachable, as bytes between availability
-            zones are priced.
+            The address for the server's next heartbeats: a control host in its
+            availability zone if one is reachable, because traffic between
+            availability zones is charged.
 
         Raises
         ------
@@ -183,14 +186,16 @@
             If this host keeps no state.
         """
         self._require_replica()
-        news = self._fleet_view.learn_servers([record], first_hand=True)
+        changed = self._fleet_view.learn_servers([record], first_hand=True)
         self._mesh.hear(record)
-        own = self._settings.control_address
-        next_address = own
+        own_address = self._settings.control_address
+        next_address = own_address
         if record.availability_zone != self._settings.availability_zone:
-            near = self._fleet_view.near(record.availability_zone, record.id)
-            next_address = near or own
-        if not news:
+            same_zone_address = self._fleet_view.near(
+                record.availability_zone, record.id
+            )
+            next_address = same_zone_address or own_address
+        if not changed:
             return next_address
         self._log.write(
             "server_learnt",
@@ -207,7 +212,9 @@
         return next_address
 
     async def deregister_server(self, server_id: str, start_ms: int | None) -> None:
-        """Take the news that a backend server takes no more work.
+        """Mark a backend server as stopped, so that it receives no more requests.
+
+        A deregistration of an earlier start of the server is ignored.
 
         Raises
         ------
@@ -215,69 +222,82 @@
             If this host keeps no state.
         """
         self._require_replica()
-        known = self._fleet_view.directory.find(server_id)
-        if known is None or (start_ms is not None and start_ms < known.born_ms):
+        record = self._fleet_view.directory.find(server_id)
+        if record is None or (start_ms is not None and start_ms < record.born_ms):
             return
-        await self.receive_heartbeat(known.ended())
+        await self.receive_heartbeat(record.ended())
 
     async def submit_routes(self, version: int, document: str) -> None:
-        """Make a route document durable and in force.
+        """Commit a route document to the replicated log.
 
         Raises
         ------
         Elsewhere, CoreUnavailable
-            If that cannot be done here or now.
+            If this host keeps no state or the commit was not confirmed.
         """
-        held = await self._require_replica().submit(version, document)
+        committed_version = await self._require_replica().submit(version, document)
         self._log.write(
-            "routes_accepted", {"version": version, "held": held}, always=True
+            "routes_accepted",
+            {"version": version, "held": committed_version},
+            always=True,
         )
 
     async def read_routes(self) -> str:
-        """Return the newest route document, empty if there is none.
+        """Return the latest committed route document, empty if there is none.
 
         Raises
         ------
         Elsewhere, CoreUnavailable
-            If this host cannot be sure which one is the newest.
+            If this host cannot confirm that its document is the latest one.
         """
         register = await self._require_replica().read()
         return register.document
 
     async def run(self, control_handler: ControlHandler) -> None:
-        """Serve until SIGTERM, then finish what is in progress.
+        """Serve until SIGTERM, then drain requests in progress and stop.
 
         Parameters
         ----------
-        control : callable
-            Answers backend servers and operators.
+        control_handler : callable
+            Handles calls of backend servers and operators.
         """
         self._install_handlers()
         if self._directory_file is not None:
             self._directory_file.load()
-        listener = Listener(
+        control_listener = Listener(
             self._make_control_handler(control_handler), lambda: _CONTROL_HTTP_LIMITS
         )
-        ready = Listener(self._handle_readiness_probe, lambda: _CONTROL_HTTP_LIMITS)
+        readiness_listener = Listener(
+            self._handle_readiness_probe, lambda: _CONTROL_HTTP_LIMITS
+        )
         settings = self._settings
-        await listener.start(settings.control_bind_address or settings.control_address)
-        await ready.start(self._settings.ready_address)
-        figures = Listener(self._handle_metrics_request, lambda: _CONTROL_HTTP_LIMITS)
-        await figures.start(self._settings.metrics_address)
+        await control_listener.start(
+            settings.control_bind_address or settings.control_address
+        )
+        await readiness_listener.start(self._settings.ready_address)
+        metrics_listener = Listener(
+            self._handle_metrics_request, lambda: _CONTROL_HTTP_LIMITS
+        )
+        await metrics_listener.start(self._settings.metrics_address)
         await self._caller_listener.start(self._settings.caller_address)
         self._log.write("started", {"zone": self._settings.availability_zone}, True)
         gc.freeze()
         tasks = [
-            asyncio.create_task(self._supervise(work))
-            for work in self._background_tasks()
+            asyncio.create_task(self._supervise(task))
+            for task in self._background_tasks()
         ]
         await self._stop_requested.wait()
         await self._drain()
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        for open_listener in (listener, ready, figures, self._caller_listener):
-            await open_listener.stop()
+        for listener in (
+            control_listener,
+            readiness_listener,
+            metrics_listener,
+            self._caller_listener,
+        ):
+            await listener.stop()
         self._gateway.servers.close()
         self._peer_client.close()
         self._log.write("stopped", {}, always=True)
@@ -303,7 +323,7 @@
         )
 
     def _background_tasks(self) -> list[Coroutine[Any, Any, None]]:
-        work = [
+        tasks = [
             self._log.run(),
             self._apply_changes(),
             self._poller.run(),
@@ -312,17 +332,17 @@
             self._send_reports(),
         ]
         if self._directory_file is not None:
-            work.append(self._directory_file.run())
+            tasks.append(self._directory_file.run())
         if self._replica is not None:
-            work += [
+            tasks += [
                 self._replica.run(),
                 self._mesh.run(),
                 self._update_control_hosts(self._replica),
             ]
-        return work
+        return tasks
 
     async def _supervise(self, task: Coroutine[Any, Any, None]) -> None:
-        """End the process if one of its tasks ends unexpectedly."""
+        """Stop the process if one of its background tasks raises an exception."""
         try:
             await task
         except Exception as error:
@@ -352,16 +372,19 @@
         )
 
     def _may_serve(self) -> bool:
-        """Return whether the routes that are held may be served."""
+        """Return whether requests may be served by the routes that this host holds.
+
+        A host without contact to control does so by setting, or until its lease ends.
+        """
         if self._settings.serve_without_control or self._is_connected_control_host():
             return True
-        age_s = asyncio.get_running_loop().time() - self._poller.confirmed_at
-        return age_s * _MS_PER_S < self._settings.control_lease_ms
+        since_contact_s = asyncio.get_running_loop().time() - self._poller.confirmed_at
+        return since_contact_s * _MS_PER_S < self._settings.control_lease_ms
 
     async def _handle_caller_request(self, request: Request) -> Response:
         if not self._may_serve():
             self._metrics.count("requests.without_control")
-            return error_response(503, "cut off from control", retry_after_s=1.0)
+            return error_response(503, "no contact with control", retry_after_s=1.0)
         return await self._gateway.handle(request)
 
     def _on_routes_changed(self) -> None:
@@ -376,7 +399,7 @@
         if self._replica is not None:
             return self._replica
         if self._poller.teacher is None:
-            raise CoreUnavailable("this host knows no control host")
+            raise CoreUnavailable("no control host is known yet")
         raise Elsewhere(self._poller.teacher)
 
     def _make_control_handler(self, public_handler: ControlHandler) -> ControlHandler:
@@ -415,9 +438,9 @@
 
     async def _dispatch_peer_call(self, path: str, value: Any) -> Any:
         if path == LEARN_PATH:
-            own = self._settings.control_address
+            own_address = self._settings.control_address
             return await teach(
-                self._fleet_view, self._is_connected_control_host, own, value
+                self._fleet_view, self._is_connected_control_host, own_address, value
             )
         if path == _GATHER_PATH:
             return await self._gateway.gather(value, begins=not self._stopping)
@@ -436,12 +459,12 @@
         return error_response(503, "stopping" if self._stopping else "no routes yet")
 
     async def _handle_metrics_request(self, request: Request) -> Response:
-        knowledge = self._fleet_view
+        fleet_view = self._fleet_view
         gauges = {
-            "routes_version": knowledge.routes_version,
-            "servers_usable": len(knowledge.directory.usable()),
-            "servers_silent": len(knowledge.silent),
-            "hosts_live": knowledge.hosts,
+            "routes_version": fleet_view.routes_version,
+            "servers_usable": len(fleet_view.directory.usable()),
+            "servers_silent": len(fleet_view.silent),
+            "hosts_live": fleet_view.hosts,
             "callers_connected": len(self._caller_listener.connections),
             "control_connected": float(
                 self._is_connected_control_host() or self._poller.teacher is not None
@@ -453,47 +476,47 @@
         return Response(200, headers, exposition(self._metrics, gauges))
 
     async def _apply_changes(self) -> None:
-        """Bring what becomes known into force."""
-        knowledge = self._fleet_view
-        applied: tuple[object, ...] = ()
+        """Apply changes of routes, servers and hosts to the gateway."""
+        fleet_view = self._fleet_view
+        applied_state: tuple[object, ...] = ()
 
-        def news() -> bool:
-            return current() != applied
+        def has_changed() -> bool:
+            return current_state() != applied_state
 
-        def current() -> tuple[object, ...]:
+        def current_state() -> tuple[object, ...]:
             return (
-                knowledge.routes_version,
-                knowledge.directory.version,
-                frozenset(knowledge.silent),
-                frozenset(knowledge.slow.items()),
-                knowledge.hosts,
-                knowledge.requests,
-                knowledge.reachable,
+                fleet_view.routes_version,
+                fleet_view.directory.version,
+                frozenset(fleet_view.silent),
+                frozenset(fleet_view.slow.items()),
+                fleet_view.hosts,
+                fleet_view.requests,
+                fleet_view.reachable,
             )
 
         while True:
-            await knowledge.changed.until(news)
-            applied = current()
+            await fleet_view.changed.until(has_changed)
+            applied_state = current_state()
             self._apply_routes()
             self._apply_servers()
 
     def _apply_routes(self) -> None:
-        knowledge, table = self._fleet_view, self._gateway.table
-        if table is not None and knowledge.routes_version <= table.version:
+        fleet_view, table = self._fleet_view, self._gateway.table
+        if table is not None and fleet_view.routes_version <= table.version:
             return
-        if knowledge.routes_version == 0:
+        if fleet_view.routes_version == 0:
             return
-        first = table is None
-        self._gateway.adopt(self._decode_routes(knowledge.routes_document))
+        is_first = table is None
+        self._gateway.adopt(self._decode_routes(fleet_view.routes_document))
         self._log.write(
             "routes_in_force",
-            {"version": knowledge.routes_version, "first": first},
+            {"version": fleet_view.routes_version, "first": is_first},
             always=True,
         )
 
     def _apply_servers(self) -> None:
-        knowledge = self._fleet_view
-        known = [
+        fleet_view = self._fleet_view
+        servers = [
             KnownServer(
                 id=record.id,
                 service=record.service,
@@ -501,17 +524,17 @@
                 availability_zone=record.availability_zone,
                 slots=record.slots,
                 cold_ms=record.cold_ms,
-                silent=record.id in knowledge.silent,
-                pace=knowledge.slow.get(record.id, 1.0),
+                silent=record.id in fleet_view.silent,
+                pace=fleet_view.slow.get(record.id, 1.0),
             )
-            for record in knowledge.directory.usable()
+            for record in fleet_view.directory.usable()
         ]
-        # Control hosts gather parts for hosts with narrow links.
+        # Control hosts gather partial results for hosts with little bandwidth.
         gatherers: dict[str, list[str]] = {}
-        for address in knowledge.reachable:
-            zone = knowledge.zones.get(address, "")
+        for address in fleet_view.reachable:
+            zone = fleet_view.zones.get(address, "")
             gatherers.setdefault(zone, []).append(address)
-        self._gateway.use(known, knowledge.hosts, knowledge.requests, gatherers)
+        self._gateway.use(servers, fleet_view.hosts, fleet_view.requests, gatherers)
 
     async def _update_control_hosts(self, replica: Core) -> None:
         while True:
@@ -520,7 +543,7 @@
             await asyncio.sleep(_UPKEEP_INTERVAL_S)
 
     async def _send_reports(self) -> None:
-        """Share what this host sees of the servers' pace, and its load."""
+        """Send latency samples of servers and the request count of this host."""
         while True:
             await asyncio.sleep(_REPORT_INTERVAL_S)
             servers = self._gateway.servers
@@ -542,7 +565,7 @@
             self._reload_settings()
 
     def _reload_settings(self) -> None:
-        """Take new seeds; everything else holds until the next start."""
+        """Apply changed seeds; other settings take effect at the next start."""
         settings = self._load_settings()
         if settings is None or settings.seeds == self._settings.seeds:
             return
@@ -550,9 +573,9 @@
         self._log.write("settings_reloaded", {"seeds": settings.seeds}, always=True)
 
     async def _drain(self) -> None:
-        """Finish requests in progress while callers learn to go elsewhere."""
+        """Finish requests in progress while the load balancer redirects callers."""
         loop = asyncio.get_running_loop()
-        begun_at = loop.time()
+        started_at = loop.time()
         settings = self._settings
         self._stopping = True
         self._caller_listener.closing = True
@@ -560,8 +583,8 @@
         grace_s = settings.termination_grace_ms / _MS_PER_S
         await asyncio.sleep(min(_MAX_DRAIN_S, grace_s * _DRAIN_GRACE_RATIO))
         self._caller_listener.stop_accepting()
-        end_at = begun_at + grace_s - _EXIT_MARGIN_S
-        while loop.time() < end_at:
+        deadline_at = started_at + grace_s - _EXIT_MARGIN_S
+        while loop.time() < deadline_at:
             self._caller_listener.close_idle()
             if not self._caller_listener.connections:
                 break
--- a/packages/node/src/kingcuplug_node/_settings.py
+++ b/packages/node/src/kingcuplug_node/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a host that serves callers and control at once."""
+"""Settings of a host that serves callers and the control API in one process."""
 
 import math
 from dataclasses import dataclass
@@ -19,24 +19,25 @@
         ``ip:port`` of the listeners. Backend servers, operators and the other
         hosts of the system use the control address.
     control_bind_address : str or None
-        Where the control listener listens if others reach it by another address.
+        Address that the control listener binds to, if it differs from the address by
+        which others reach it.
     seeds : tuple of str
-        Control addresses of hosts that may know the others.
+        Control addresses by which a host finds the others and joins the replicated log.
     first_start : bool
         Whether the whole system starts for the first time, with empty disks.
     data_folder : Path or None
-        Where the replicated log lives; a host without one keeps no state.
-    heartbeat_ms : int
-        Interval at which backend servers announce themselves.
-    grace_ms : int
-        From SIGTERM to SIGKILL.
+        Folder of the replicated log; a host without one keeps no state.
+    heartbeat_interval_ms : int
+        Interval at which backend servers send heartbeats.
+    termination_grace_ms : int
+        Time from SIGTERM to SIGKILL.
     serve_without_control : bool
-        Whether a host that is cut off from control serves by what it holds. If not,
-        it refuses callers once its lease is over, so that no superseded routes are
-        in force anywhere.
+        Whether a host without contact to control serves by the routes that it holds.
+        If not, it refuses callers when its lease has expired, so that no host applies
+        superseded routes.
     control_lease_ms : int
-        How long after its last confirmed word from control a host may serve in the
-        second case.
+        How long after its last confirmed contact with control a host may serve if
+        `serve_without_control` is false.
     processor_cores : float
         Share of processor cores that the host may use.
     link_mbps : float
--- a/packages/soak/src/kingcuplug_soak/__init__.py
+++ b/packages/soak/src/kingcuplug_soak/__init__.py
@@ -1,4 +1,4 @@
-"""Randomized faults against real processes, judged by callers and backend servers."""
+"""Randomized fault injection into real processes, with checks of all responses."""
 
 from kingcuplug_soak._run import SoakResult, SoakSettings, soak
 
--- a/packages/soak/src/kingcuplug_soak/_consistency.py
+++ b/packages/soak/src/kingcuplug_soak/_consistency.py
@@ -1,4 +1,7 @@
-"""The promises, judged from what callers, operators and backend servers saw."""
+"""Consistency checks of the responses that callers and operators received.
+
+The checks compare them with the executions that the simulated servers recorded.
+"""
 
 from dataclasses import dataclass, field
 
@@ -10,13 +13,13 @@
 
 __all__ = ["CallerAttempt", "ConsistencyChecker"]
 
-# Statuses that promise that the request has not run and never will.
+# Statuses by which a host states that the request has not run and never will.
 _NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 
 
 @dataclass(frozen=True, slots=True)
 class CallerAttempt:
-    """One caller attempt.
+    """One attempt of a caller to send a request.
 
     Attributes
     ----------
@@ -30,14 +33,18 @@
 
 @dataclass
 class ConsistencyChecker:
-    """Collects violations while the soak runs, and the rest at its end.
+    """Collects violations during a soak, and from all executions at its end.
 
     Attributes
     ----------
-    shard_sets : dict
-        Sets of shards by the version that named them.
-    top : int
-        Records in a merged answer.
+    allowed_services : dict
+        Services that may execute requests, by the kind of request.
+    top_records : int
+        Number of records in the merged response of a query.
+    shards_by_version : dict
+        Shards of the query route, by configuration version.
+    acknowledged_version : int
+        Highest configuration version that was acknowledged.
     """
 
     servers: FakeServerPool
@@ -52,13 +59,13 @@
     acknowledged_version: int = 0
 
     def record_attempt(self, attempt: CallerAttempt) -> None:
-        """Note a request that a caller sends."""
+        """Record an attempt before it is sent."""
         self.attempt_count += 1
         if attempt.kind == "order":
             self.order_ids.add(attempt.attempt_id)
 
     def check_response(self, attempt: CallerAttempt, response: Response) -> None:
-        """Judge an answer."""
+        """Check the response to an attempt."""
         if response.status in _NOT_RUN_STATUSES and attempt.kind == "order":
             self.refused_order_ids.add(attempt.attempt_id)
         if response.status != 200:
@@ -70,12 +77,12 @@
             self._check_single_response(attempt, response)
 
     def check_configuration_read(self, version: int, acknowledged_before: int) -> None:
-        """Judge a read of the configuration.
+        """Check that a configuration read is not stale.
 
         Parameters
         ----------
-        known_before : int
-            The newest version that had been acknowledged when the read was sent.
+        acknowledged_before : int
+            The highest version that had been acknowledged when the read was sent.
         """
         if version < acknowledged_before:
             self.violations.append(
@@ -84,27 +91,37 @@
             )
 
     def check_executions(self) -> list[str]:
-        """Judge what can only be known at the end; return all violations."""
-        for attempt_id, runs in self.servers.executions.items():
-            if attempt_id in self.order_ids and len(runs) > 1:
-                self.violations.append(f"order {attempt_id} ran {len(runs)} times")
+        """Check all recorded executions; return all violations of the soak."""
+        for attempt_id, executions in self.servers.executions.items():
+            if attempt_id in self.order_ids and len(executions) > 1:
+                self.violations.append(
+                    f"order {attempt_id} ran {len(executions)} times"
+                )
             if attempt_id in self.refused_order_ids:
                 self.violations.append(f"order {attempt_id} ran, refused as not run")
-            for run in runs:
-                kind = run.target.split("/")[1]
-                if run.service not in self.allowed_services[kind]:
-                    self.violations.append(f"{run.target} ran at {run.service}")
-        for arrival in self.servers.requests_after_drain:
-            self.violations.append(f"work for a leaving server: {arrival}")
+            for execution in executions:
+                kind = execution.target.split("/")[1]
+                if execution.service not in self.allowed_services[kind]:
+                    self.violations.append(
+                        f"{execution.target} ran at {execution.service}"
+                    )
+        for request in self.servers.requests_after_drain:
+            self.violations.append(f"request to a drained server: {request}")
         return self.violations
 
     def _check_single_response(
         self, attempt: CallerAttempt, response: Response
     ) -> None:
         seal = (response.header(HEADER_NAMES.seal.lower()) or b"").decode()
-        run = self._find_execution(attempt, seal)
-        if run is None or not run.succeeded or run.body != response.body:
-            self.violations.append(f"mixed: {attempt} got another answer ({seal})")
+        execution = self._find_execution(attempt, seal)
+        if (
+            execution is None
+            or not execution.succeeded
+            or execution.body != response.body
+        ):
+            self.violations.append(
+                f"mixed: {attempt} differs from its execution {seal}"
+            )
 
     def _check_query_response(self, attempt: CallerAttempt, response: Response) -> None:
         seals = (
@@ -113,23 +130,30 @@
             .split(", ")
         )
         missing = int(response.header(HEADER_NAMES.missing_parts.lower()) or b"0")
-        runs = [
-            run
+        executions = [
+            execution
             for seal in seals
-            if (run := self._find_execution(attempt, seal)) and run.succeeded
+            if (execution := self._find_execution(attempt, seal))
+            and execution.succeeded
         ]
-        shards = frozenset(run.service for run in runs)
-        if len(runs) != len(seals) or len(shards) != len(seals):
-            self.violations.append(f"mixed: {attempt} names parts that are none")
+        shards = frozenset(execution.service for execution in executions)
+        if len(executions) != len(seals) or len(shards) != len(seals):
+            self.violations.append(f"mixed: {attempt} names parts without execution")
             return
         if not any(
-            shards <= named and len(named) - len(shards) == missing
-            for named in self.shards_by_version.values()
+            shards <= route_shards and len(route_shards) - len(shards) == missing
+            for route_shards in self.shards_by_version.values()
         ):
-            self.violations.append(f"mixed: {attempt} has {sorted(shards)}, -{missing}")
-        if response.body != merge_records([run.body for run in runs], self.top_records):
-            self.violations.append(f"mixed: {attempt} has another body than its parts")
+            self.violations.append(
+                f"mixed: {attempt} has {sorted(shards)}, misses {missing}"
+            )
+        if response.body != merge_records(
+            [execution.body for execution in executions], self.top_records
+        ):
+            self.violations.append(f"mixed: {attempt} has a body unlike its parts")
 
     def _find_execution(self, attempt: CallerAttempt, seal: str) -> Execution | None:
-        runs = self.servers.executions.get(attempt.attempt_id, [])
-        return next((run for run in runs if run.seal == seal), None)
+        executions = self.servers.executions.get(attempt.attempt_id, [])
+        return next(
+            (execution for execution in executions if execution.seal == seal), None
+        )
--- a/packages/soak/src/kingcuplug_soak/_fake_servers.py
+++ b/packages/soak/src/kingcuplug_soak/_fake_servers.py
@@ -1,4 +1,4 @@
-"""Stand-in backend servers that remember every request that they ran."""
+"""Simulated backend servers that record every request that they execute."""
 
 import asyncio
 import contextlib
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Execution:
-    """One run of a request at a server."""
+    """One execution of a request by a server."""
 
     attempt_id: str
     service: str
@@ -35,7 +35,7 @@
 
 @dataclass
 class FakeServerPool:
-    """All servers, and what they ran, by the caller's attempt id."""
+    """All simulated servers, and their executions by the caller's attempt id."""
 
     control_addresses: list[str]
     random: random_module.Random
@@ -45,7 +45,7 @@
     _started_count: int = 0
 
     async def add(self, service: str, zone: str) -> "FakeServer":
-        """Start a server."""
+        """Start a server of a service in an availability zone."""
         self._started_count += 1
         server = FakeServer(self, f"{service}-{self._started_count}", service, zone)
         await server.start()
@@ -53,13 +53,20 @@
         return server
 
     async def stop(self) -> None:
-        """End all servers."""
+        """Stop all servers."""
         for server in self.servers:
             await server.crash()
 
 
 class FakeServer:
-    """One server: announces itself, serves, drains, crashes."""
+    """One simulated backend server: heartbeats, requests, draining and crashes.
+
+    Attributes
+    ----------
+    fault : str
+        ``full`` rejects requests as not run, ``errors`` fails half of them, ``lost``
+        aborts connections after execution; empty if there is none.
+    """
 
     def __init__(
         self, pool: FakeServerPool, name: str, service: str, zone: str
@@ -80,18 +87,18 @@
         self.fault = ""
 
     async def start(self) -> None:
-        """Listen and begin to announce."""
+        """Start listening and sending heartbeats."""
         self._address = await self._listener.start("127.0.0.100:0")
         self._heartbeat_task = asyncio.ensure_future(self._send_heartbeats())
 
     async def crash(self) -> None:
-        """End without a word."""
+        """Stop without draining or deregistration."""
         if self._heartbeat_task is not None:
             self._heartbeat_task.cancel()
         await self._listener.stop()
 
     async def drain(self) -> None:
-        """Say that it leaves, serve on for a while, withdraw and end."""
+        """Announce draining, serve for the drain period, deregister and stop."""
         self._state = ServerState.DRAINING
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(_DRAIN_ACKNOWLEDGEMENT_TIMEOUT_S):
@@ -114,9 +121,9 @@
                 slots=3,
                 state=state,
             )
-            told = await self._call_control("PUT", encode_heartbeat(record))
+            accepted = await self._call_control("PUT", encode_heartbeat(record))
             if (
-                told
+                accepted
                 and state is ServerState.DRAINING
                 and self._drain_acknowledged_at is None
             ):
@@ -125,13 +132,13 @@
             await asyncio.sleep(_HEARTBEAT_INTERVAL_S if state == self._state else 0)
 
     async def _call_control(self, method: str, body: bytes) -> bool:
-        """Send a statement to one host after the other until one takes it."""
-        controls = list(self._pool.control_addresses)
-        self._pool.random.shuffle(controls)
-        for control in controls[:4]:
+        """Try up to four control addresses in random order until one accepts a call."""
+        addresses = list(self._pool.control_addresses)
+        self._pool.random.shuffle(addresses)
+        for address in addresses[:4]:
             with contextlib.suppress(PeerFailed):
                 response = await send_request(
-                    control,
+                    address,
                     method,
                     f"{SERVERS_PATH}{self.name}",
                     body,
@@ -142,12 +149,12 @@
         return False
 
     async def _handle_request(self, request: Request) -> Response:
-        names = HEADER_NAMES
-        attempt_id = (request.header(names.attempt_id.lower()) or b"").decode()
-        echo = [(names.attempt_id, attempt_id.encode())]
-        expected = request.header(names.expected_server.lower())
+        header_names = HEADER_NAMES
+        attempt_id = (request.header(header_names.attempt_id.lower()) or b"").decode()
+        echoed_headers = [(header_names.attempt_id, attempt_id.encode())]
+        expected = request.header(header_names.expected_server.lower())
         if expected != self.name.encode():
-            return Response(421, echo, b"")
+            return Response(421, echoed_headers, b"")
         now = asyncio.get_running_loop().time()
         if (
             self._drain_acknowledged_at is not None
@@ -156,19 +163,23 @@
             self._pool.requests_after_drain.append(f"{attempt_id} at {self.name}")
         random = self._pool.random
         if self.fault == "full":
-            return Response(503, [*echo, (names.not_run, b"1")], b"")
-        good = self.fault != "errors" or random.random() < 0.5
+            return Response(503, [*echoed_headers, (header_names.not_run, b"1")], b"")
+        succeeded = self.fault != "errors" or random.random() < 0.5
         records = [random.randbytes(16) for _ in range(3)]
         body = b"".join(records)
         seal = f"{self.name}.{random.getrandbits(48):x}"
         target = request.target.decode()
-        run = Execution(attempt_id, self.service, self.name, target, body, seal, good)
-        self._pool.executions.setdefault(attempt_id, []).append(run)
+        execution = Execution(
+            attempt_id, self.service, self.name, target, body, seal, succeeded
+        )
+        self._pool.executions.setdefault(attempt_id, []).append(execution)
         await asyncio.sleep(random.uniform(0.002, 0.02) + self.delay_s)
         if self.fault == "lost" and random.random() < 0.3:
             for connection in tuple(self._listener.connections):
                 if connection.busy:
                     connection.abort()
         return Response(
-            200 if good else 500, [*echo, (names.seal, seal.encode())], body
+            200 if succeeded else 500,
+            [*echoed_headers, (header_names.seal, seal.encode())],
+            body,
         )
--- a/packages/soak/src/kingcuplug_soak/_fault_injection.py
+++ b/packages/soak/src/kingcuplug_soak/_fault_injection.py
@@ -1,4 +1,4 @@
-"""Random troubles, in series and overlapping."""
+"""Injection of random faults, which may overlap."""
 
 import asyncio
 import random as random_module
@@ -15,12 +15,12 @@
 
 
 class FaultInjector:
-    """Starts troubles at random moments and keeps a record of them.
+    """Injects random faults at random times and logs them.
 
     Attributes
     ----------
-    record : list of str
-        What was done when, for the report.
+    fault_log : list of str
+        Time and description of each fault, for the report.
     """
 
     def __init__(
@@ -41,10 +41,10 @@
         self.fault_log: list[str] = []
 
     async def run(self, duration_s: float) -> None:
-        """Start troubles for a time, then wait until all of them are over."""
+        """Inject faults for `duration_s`, then wait until all of them have ended."""
         loop = asyncio.get_running_loop()
-        begun_at = loop.time()
-        kinds: list[Callable[[], Awaitable[str]]] = [
+        started_at = loop.time()
+        faults: list[Callable[[], Awaitable[str]]] = [
             self._kill_host,
             self._pause_host,
             self._restart_host,
@@ -61,10 +61,10 @@
             self._change_configuration,
             self._change_configuration,
         ]
-        while loop.time() < begun_at + duration_s:
+        while loop.time() < started_at + duration_s:
             await asyncio.sleep(self._random.uniform(0.1, 1.0))
             task = asyncio.ensure_future(
-                self._inject_fault(self._random.choice(kinds), begun_at)
+                self._inject_fault(self._random.choice(faults), started_at)
             )
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
@@ -124,31 +124,34 @@
         await asyncio.sleep(self._random.uniform(0.5, 4.0))
         faults.drop_inbound = faults.drop_outbound = False
         host.proxy.abort_connections()
-        return "cut a host's control"
+        return "partitioned the control traffic of a host"
 
     async def _abort_host_connections(self) -> str:
         host = self._pick_host()
         host.proxy.abort_connections()
-        return f"reset connections of {host.name}"
+        return f"aborted connections of {host.name}"
 
     async def _delay_host_traffic(self) -> str:
         host = self._pick_host()
         host.proxy.faults.delay_s = self._random.uniform(0.01, 0.2)
         await asyncio.sleep(self._random.uniform(0.5, 3.0))
         host.proxy.faults.delay_s = 0.0
-        return f"delayed {host.name}"
+        return f"delayed control traffic of {host.name}"
 
     async def _erase_host_disk(self) -> str:
-        """Lose one disk in a run: the group bears one at a time."""
+        """Erase the disk of one host, once in a soak.
+
+        The replication group tolerates the loss of one disk at a time.
+        """
         if self._disk_erased:
-            return "no second disk lost"
+            return "skipped a second disk loss"
         self._disk_erased = True
         host = self._random.choice([h for h in self._cluster.hosts if h.has_disk])
         await host.kill()
         host.erase_disk()
         await asyncio.sleep(self._random.uniform(0.1, 1.0))
         self._start_if_stopped(host)
-        return f"lost the disk of {host.name}"
+        return f"erased the disk of {host.name}"
 
     async def _crash_server(self) -> str:
         server = self._pick_server()
@@ -166,8 +169,8 @@
         return f"drained {server.name}"
 
     async def _inject_server_fault(self) -> str:
-        # Orders are the only requests that must not be repeated, so they get half of
-        # the faults after which a repetition would be wrong.
+        # Only orders must not be repeated, so their servers get at least half of the
+        # faults after which a retry would be wrong.
         orders = [s for s in self._servers.servers if s.service == ORDER_SERVICE]
         server = (
             self._random.choice(orders) if self._flip_coin() else self._pick_server()
@@ -176,7 +179,7 @@
         server.delay_s = self._random.choice((0.0, 0.0, 0.2))
         await asyncio.sleep(self._random.uniform(0.5, 3.0))
         server.fault, server.delay_s = "", 0.0
-        return f"faults at {server.name}"
+        return f"injected faults into {server.name}"
 
     async def _change_configuration(self) -> str:
         count = self._random.randint(1, 4)
@@ -184,9 +187,9 @@
             self._operator.change_shards(self._random.choice(self._shard_sets), 4.0)
             for _ in range(count)
         ]
-        done = await asyncio.gather(*changes)
+        acknowledged = await asyncio.gather(*changes)
         await self._operator.read_configuration()
-        return f"{sum(done)} of {count} changes acknowledged"
+        return f"{sum(acknowledged)} of {count} changes acknowledged"
 
     def _start_if_stopped(self, host: HostProcess) -> None:
         if not host.is_running:
--- a/packages/soak/src/kingcuplug_soak/_host_process.py
+++ b/packages/soak/src/kingcuplug_soak/_host_process.py
@@ -1,8 +1,8 @@
-"""A host process whose peers reach it through the soak's proxy.
+"""A host process whose control listener is behind the soak's proxy.
 
-It is the platform's program but for one thing: the address at which it listens for
-control is not the one by which others know it, so that all control traffic to it
-passes a proxy that the soak controls.
+It differs from the platform's process in one respect: its control listener binds to
+another address than the one by which others reach it, so that all control traffic to
+the host passes through a proxy that injects faults.
 """
 
 import asyncio
@@ -20,17 +20,17 @@
 
 
 def main() -> None:
-    """Run until SIGTERM; the argument names the settings file."""
+    """Run until SIGTERM; the first argument is the path of the settings file."""
     data = Path(sys.argv[1]).read_bytes()
     asyncio.run(_run(data))
 
 
 async def _run(data: bytes) -> None:
-    value = orjson.loads(data)
+    fields = orjson.loads(data)
     settings = dataclasses.replace(
         decode(data),
-        control_bind_address=value["control_bind"],
-        metrics_address=value["metrics"],
+        control_bind_address=fields["control_bind"],
+        metrics_address=fields["metrics"],
     )
     log = EventLog(sys.stdout.fileno(), settings.host)
     host = Host(settings, HEADER_NAMES, decode_document, lambda: settings, log)
--- a/packages/soak/src/kingcuplug_soak/_hosts.py
+++ b/packages/soak/src/kingcuplug_soak/_hosts.py
@@ -1,4 +1,4 @@
-"""The host processes of one soak: start, signals, restart, loss of a disk."""
+"""The host processes of one soak: start, signals, restart and loss of a disk."""
 
 import asyncio
 import contextlib
@@ -28,7 +28,7 @@
 
 @dataclass
 class HostProcess:
-    """One host and its process, if it runs."""
+    """Settings and proxy of one host, and its process once it was started."""
 
     name: str
     settings: dict[str, Any]
@@ -39,12 +39,12 @@
 
     @property
     def caller_address(self) -> str:
-        """Address of callers."""
+        """Address for callers."""
         return str(self.settings["listen"]["front"])
 
     @property
     def control_address(self) -> str:
-        """Address of servers and operators, behind the proxy."""
+        """Address for servers, operators and peers; the proxy listens there."""
         return str(self.settings["listen"]["control"])
 
     @property
@@ -58,7 +58,7 @@
         return self.process is not None and self.process.poll() is None
 
     def start(self) -> None:
-        """Start the process; its lines are appended to the host's log file."""
+        """Start the process; its output is appended to the host's log file."""
         self.settings["first_start"] = self.start_count == 0
         self.start_count += 1
         path = self.folder / f"{self.name}.json"
@@ -76,13 +76,13 @@
             self.process.send_signal(number)
 
     async def kill(self) -> None:
-        """Kill the process and wait for it."""
+        """Send SIGKILL and wait for the process to exit."""
         self.send_signal(signal.SIGKILL)
         if self.process is not None:
             await asyncio.to_thread(self.process.wait)
 
     async def terminate(self, grace_s: float) -> None:
-        """Stop the process as an operator does: SIGTERM, then SIGKILL."""
+        """Send SIGTERM, and SIGKILL if the process runs longer than `grace_s`."""
         self.send_signal(signal.SIGTERM)
         if self.process is not None:
             with contextlib.suppress(subprocess.TimeoutExpired):
@@ -90,18 +90,19 @@
         await self.kill()
 
     def erase_disk(self) -> None:
-        """Empty the disk."""
+        """Delete the data directory."""
         if self.settings["data_directory"]:
             shutil.rmtree(self.settings["data_directory"], ignore_errors=True)
 
 
 class HostCluster:
-    """All hosts; the first ones have a disk.
+    """All host processes of one soak; the first `disks` of them have a disk.
 
     Parameters
     ----------
     base_port : int
-        Five ports from here on are used, on a loopback address for each host.
+        First of five consecutive ports, which each host uses on its own loopback
+        address.
     """
 
     def __init__(self, folder: Path, count: int, disks: int, base_port: int) -> None:
@@ -114,25 +115,25 @@
         for number, address in enumerate(addresses):
             name = f"host-{number}"
 
-            def at(port: int, address: str = address) -> str:
-                return f"{address}:{base_port + port}"
+            def address_at(port_offset: int, ip: str = address) -> str:
+                return f"{ip}:{base_port + port_offset}"
 
             settings = {
                 "node_name": name,
                 "ip": address,
                 "zone": f"zone-{number % 3}",
                 "listen": {
-                    "front": at(_CALLER_PORT_OFFSET),
-                    "ready": at(_READY_PORT_OFFSET),
-                    "control": at(_CONTROL_PORT_OFFSET),
+                    "front": address_at(_CALLER_PORT_OFFSET),
+                    "ready": address_at(_READY_PORT_OFFSET),
+                    "control": address_at(_CONTROL_PORT_OFFSET),
                 },
-                "control_bind": at(_CONTROL_BIND_PORT_OFFSET),
-                "metrics": at(_METRICS_PORT_OFFSET),
+                "control_bind": address_at(_CONTROL_BIND_PORT_OFFSET),
+                "metrics": address_at(_METRICS_PORT_OFFSET),
                 "seeds": seeds,
                 "first_start": True,
                 "data_directory": str(folder / name) if number < disks else None,
                 "heartbeat_interval_ms": 800,
-                # Hosts without a disk have control hosts gather for them.
+                # Hosts with little bandwidth delegate gathering to control hosts.
                 "limits": {"link_mbps": 1_000.0 if number < disks else 7.0},
                 "bounds": {
                     "grace_s": 6,
@@ -141,17 +142,17 @@
                     "retry_window_s": 10,
                 },
             }
-            proxy = Proxy(at(_CONTROL_BIND_PORT_OFFSET))
+            proxy = Proxy(address_at(_CONTROL_BIND_PORT_OFFSET))
             self.hosts.append(HostProcess(name, settings, folder, proxy))
 
     async def start(self) -> None:
-        """Start proxies and processes."""
+        """Start the proxies and processes of all hosts."""
         for host in self.hosts:
             await host.proxy.start(host.control_address)
             host.start()
 
     async def stop(self) -> None:
-        """End all processes that were started here."""
+        """Kill all processes and stop the proxies."""
         for host in self.hosts:
             await host.kill()
             host.proxy.stop()
--- a/packages/soak/src/kingcuplug_soak/_http_client.py
+++ b/packages/soak/src/kingcuplug_soak/_http_client.py
@@ -1,4 +1,4 @@
-"""Calls of callers, operators and backend servers to a host."""
+"""HTTP client of the simulated callers, operators and backend servers."""
 
 import asyncio
 
@@ -25,14 +25,14 @@
     Parameters
     ----------
     headers : str
-        Further header lines, each with its line end.
+        Additional header lines, each ending with CRLF.
     follow : bool
         Follow up to two redirects.
 
     Raises
     ------
     PeerFailed
-        If there is no answer.
+        If the connection fails or there is no response in time.
     """
     for _ in range(3):
         response = await _send_once(address, method, path, body, headers, timeout_s)
@@ -58,4 +58,4 @@
             finally:
                 connection.close()
     except OSError as error:
-        raise PeerFailed(f"{address}: {error!r}", "ask another host") from error
+        raise PeerFailed(f"{address}: {error!r}", "try another host") from error
--- a/packages/soak/src/kingcuplug_soak/_proxy.py
+++ b/packages/soak/src/kingcuplug_soak/_proxy.py
@@ -11,14 +11,14 @@
 
 @dataclass
 class ProxyFaults:
-    """What happens to bytes; all connections share it.
+    """Faults that apply to all connections of one proxy.
 
     Attributes
     ----------
     delay_s : float
-        Added to every chunk, in both directions.
-    mute_in, mute_out : bool
-        Swallow what goes to the host, or comes from it, without a word.
+        Delay before each chunk is forwarded, in both directions.
+    drop_inbound, drop_outbound : bool
+        Discard all bytes to the host, or from it, without closing the connection.
     """
 
     delay_s: float = 0.0
@@ -27,7 +27,7 @@
 
 
 class Proxy:
-    """Forwards connections from `address` to a host's own listener."""
+    """Forwards connections to the control listener of one host."""
 
     def __init__(self, target: str) -> None:
         self._target = target
@@ -43,12 +43,12 @@
         )
 
     def abort_connections(self) -> None:
-        """Drop all connections."""
+        """Abort all connections."""
         for writer in tuple(self._writers):
             writer.transport.abort()
 
     def stop(self) -> None:
-        """Stop listening and drop all connections."""
+        """Stop listening and abort all connections."""
         if self._server is not None:
             self._server.close()
         self.abort_connections()
@@ -59,14 +59,16 @@
         self._writers.add(writer)
         host, _, port = self._target.rpartition(":")
         try:
-            to_reader, to_writer = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(
+                host, int(port)
+            )
         except OSError:
             self._close(writer)
             return
-        self._writers.add(to_writer)
+        self._writers.add(target_writer)
         await asyncio.gather(
-            self._forward(reader, to_writer, inbound=True),
-            self._forward(to_reader, writer, inbound=False),
+            self._forward(reader, target_writer, inbound=True),
+            self._forward(target_reader, writer, inbound=False),
         )
 
     async def _forward(
@@ -76,10 +78,10 @@
             while data := await reader.read(_READ_CHUNK_BYTES):
                 if self.faults.delay_s:
                     await asyncio.sleep(self.faults.delay_s)
-                muted = (
+                dropped = (
                     self.faults.drop_inbound if inbound else self.faults.drop_outbound
                 )
-                if not muted:
+                if not dropped:
                     writer.write(data)
                     await writer.drain()
         self._close(writer)
--- a/packages/soak/src/kingcuplug_soak/_run.py
+++ b/packages/soak/src/kingcuplug_soak/_run.py
@@ -1,4 +1,4 @@
-"""One soak: start everything, make trouble, calm down, judge."""
+"""One soak: start hosts and servers, inject faults, check recovery and results."""
 
 import asyncio
 import os
@@ -19,7 +19,7 @@
 _SHARD_SETS = [("s0", "s1", "s2"), ("s1", "s2", "s3"), ("s0", "s1", "s2", "s3")]
 _SERVERS_PER_SERVICE = 3
 _FORMATION_TIMEOUT_S = 15.0
-# After the last trouble, service must be back within the users' recovery bound.
+# The users' recovery bound: callers must be served again so long after the last fault.
 _RECOVERY_TIMEOUT_S = 12.0
 _PROBE_DURATION_S = 2.0
 _BASE_PORT = 21_000
@@ -30,14 +30,14 @@
 
 @dataclass(frozen=True)
 class SoakSettings:
-    """What one soak runs.
+    """Settings of one soak.
 
     Attributes
     ----------
     disks : int
-        Hosts that take part in control.
+        Number of hosts with a disk, which are the control hosts.
     folder : Path or None
-        Where logs and disks are kept; a temporary folder if not given.
+        Folder of logs and disks; a temporary folder if not given.
     """
 
     seed: int
@@ -49,7 +49,15 @@
 
 @dataclass
 class SoakResult:
-    """What one soak found."""
+    """Result of one soak.
+
+    Attributes
+    ----------
+    asked, served : int
+        Number of requests that callers sent, and of those with status 200.
+    troubles : list of str
+        Time and description of each injected fault.
+    """
 
     seed: int
     violations: list[str]
@@ -59,7 +67,7 @@
 
 
 async def soak(settings: SoakSettings) -> SoakResult:
-    """Run one soak and return what it found."""
+    """Run one soak and return its result."""
     if settings.folder is not None:
         return await _run_in_folder(settings, settings.folder)
     with tempfile.TemporaryDirectory() as folder:
@@ -69,54 +77,56 @@
 async def _run_in_folder(settings: SoakSettings, folder: Path) -> SoakResult:
     random = random_module.Random(settings.seed)
     base_port = _find_base_port(settings)
-    hosts = HostCluster(folder, settings.hosts, settings.disks, base_port)
-    backends = FakeServerPool([host.control_address for host in hosts.hosts], random)
-    judge = ConsistencyChecker(backends, _allowed_services(), TOP_RECORDS)
-    operator = Operator(hosts.hosts, judge, random)
-    troubles = FaultInjector(hosts, backends, operator, _SHARD_SETS, random)
-    callers = CallerTraffic(hosts.hosts, judge, random)
+    cluster = HostCluster(folder, settings.hosts, settings.disks, base_port)
+    servers = FakeServerPool([host.control_address for host in cluster.hosts], random)
+    checker = ConsistencyChecker(servers, _allowed_services(), TOP_RECORDS)
+    operator = Operator(cluster.hosts, checker, random)
+    injector = FaultInjector(cluster, servers, operator, _SHARD_SETS, random)
+    traffic = CallerTraffic(cluster.hosts, checker, random)
     tasks: list[asyncio.Task[None]] = []
     try:
-        await hosts.start()
-        await _start_servers(backends)
+        await cluster.start()
+        await _start_servers(servers)
         if not await operator.change_shards(_SHARD_SETS[0], _FORMATION_TIMEOUT_S):
-            judge.violations.append("the first configuration was never acknowledged")
+            checker.violations.append(
+                "the first configuration was not acknowledged in time"
+            )
         await asyncio.sleep(_PROBE_DURATION_S)
-        tasks.append(asyncio.ensure_future(callers.run()))
-        await troubles.run(settings.duration_s)
-        await _check_recovery(operator, judge)
+        tasks.append(asyncio.ensure_future(traffic.run()))
+        await injector.run(settings.duration_s)
+        await _check_recovery(operator, checker)
     finally:
         for task in tasks:
             task.cancel()
-        await hosts.stop()
-        await backends.stop()
-    violations = judge.check_executions()
+        await cluster.stop()
+        await servers.stop()
+    violations = checker.check_executions()
     return SoakResult(
         settings.seed,
         violations,
-        judge.attempt_count,
-        judge.served_count,
-        troubles.fault_log,
+        checker.attempt_count,
+        checker.served_count,
+        injector.fault_log,
     )
 
 
 def _find_base_port(settings: SoakSettings) -> int:
-    """Return the first of ports that are free at all hosts' addresses.
+    """Return the first port of a range that is free at all hosts' addresses.
 
-    Begins at a place of the process's own: two soaks that start at the same moment
-    would else find the same ports free.
+    The search starts at a range that depends on the process id, because two soaks that
+    start at the same moment would otherwise choose the same ports.
     """
     for attempt in range(_PORT_RANGES):
-        place = (
+        range_index = (
             os.getpid() * _PORT_RANGE_STRIDE + settings.seed + attempt
         ) % _PORT_RANGES
-        base = _BASE_PORT + place * _PORTS_PER_HOST
+        base_port = _BASE_PORT + range_index * _PORTS_PER_HOST
         if all(
-            _is_port_free(f"127.0.0.{number + 1}", base + port)
+            _is_port_free(f"127.0.0.{number + 1}", base_port + port)
             for number in range(settings.hosts)
             for port in range(_PORTS_PER_HOST)
         ):
-            return base
+            return base_port
     raise OSError(f"no {_PORTS_PER_HOST} free ports from {_BASE_PORT} on")
 
 
@@ -142,16 +152,19 @@
 
 
 async def _check_recovery(operator: Operator, checker: ConsistencyChecker) -> None:
-    """Check that nothing acknowledged is lost and that callers are served again."""
+    """Check that no acknowledged change is lost and that callers are served again."""
     loop = asyncio.get_running_loop()
     deadline_at = loop.time() + _RECOVERY_TIMEOUT_S
     while not await operator.read_configuration():
         if loop.time() > deadline_at:
-            checker.violations.append("the configuration was not read back in time")
+            checker.violations.append("the configuration could not be read in time")
             return
         await asyncio.sleep(0.2)
     await asyncio.sleep(max(0.0, deadline_at - loop.time()))
-    asked, served = checker.attempt_count, checker.served_count
+    attempts_before, served_before = checker.attempt_count, checker.served_count
     await asyncio.sleep(_PROBE_DURATION_S)
-    if checker.served_count - served < (checker.attempt_count - asked) / 4:
+    if (
+        checker.served_count - served_before
+        < (checker.attempt_count - attempts_before) / 4
+    ):
         checker.violations.append("callers were not served again in time")
--- a/packages/soak/src/kingcuplug_soak/_traffic.py
+++ b/packages/soak/src/kingcuplug_soak/_traffic.py
@@ -1,4 +1,4 @@
-"""Callers and operators of one soak."""
+"""Traffic of the simulated callers and operators of one soak."""
 
 import asyncio
 import contextlib
@@ -30,7 +30,7 @@
 ) -> bytes:
     """Return a configuration document with one route of each kind."""
 
-    def route(name: str, **fields: Any) -> Route:
+    def make_route(name: str, **fields: Any) -> Route:
         return Route(
             name=name,
             host=_HOST_NAME,
@@ -42,7 +42,7 @@
             **fields,
         )
 
-    query = route(
+    query = make_route(
         "query",
         repeatable=True,
         services=(),
@@ -50,20 +50,20 @@
         top_records=TOP_RECORDS,
         minimum_coverage=0.6,
     )
-    read = route(
+    read = make_route(
         "read", repeatable=True, services=(WeightedService("reads", 1.0),), shards=()
     )
-    order = route(
+    order = make_route(
         "order",
         repeatable=False,
         services=(WeightedService(ORDER_SERVICE, 1.0),),
         shards=(),
     )
-    names = (*shards, "reads", ORDER_SERVICE)
+    service_names = (*shards, "reads", ORDER_SERVICE)
     table = RouteTable(
         version=version,
         routes=(query, read, order),
-        services={name: ServiceSettings(name, "/health", 40) for name in names},
+        services={name: ServiceSettings(name, "/health", 40) for name in service_names},
         max_header_bytes=16_384,
         max_body_bytes=262_144,
         header_timeout_ms=3_000,
@@ -73,7 +73,7 @@
 
 
 class CallerTraffic:
-    """Sends requests of all kinds to random hosts."""
+    """Sends requests of random kinds to random hosts at a fixed rate."""
 
     def __init__(
         self,
@@ -87,7 +87,7 @@
         self._request_count = 0
 
     async def run(self) -> None:
-        """Send for ever."""
+        """Send requests until cancelled."""
         pending: set[asyncio.Task[None]] = set()
         while True:
             self._request_count += 1
@@ -98,24 +98,24 @@
 
     async def _send_attempt(self, number: int) -> None:
         kind = self._random.choice(("query", "query", "read", "order"))
-        asked = CallerAttempt(f"try-{number}", kind)
+        attempt = CallerAttempt(f"try-{number}", kind)
         headers = (
             f"Host: {_HOST_NAME}\r\n"
-            f"{HEADER_NAMES.attempt_id.decode()}: {asked.attempt_id}\r\n"
+            f"{HEADER_NAMES.attempt_id.decode()}: {attempt.attempt_id}\r\n"
             f"{HEADER_NAMES.deadline_ms.decode()}: {_REQUEST_TIMEOUT_MS}\r\n"
         )
         method = "POST" if kind == "order" else "GET"
         host = self._random.choice(self._hosts)
-        self._checker.record_attempt(asked)
+        self._checker.record_attempt(attempt)
         with contextlib.suppress(PeerFailed):
             response = await send_request(
                 host.caller_address, method, f"/{kind}/{number}", b"", headers, 3.0
             )
-            self._checker.check_response(asked, response)
+            self._checker.check_response(attempt, response)
 
 
 class Operator:
-    """Changes and reads the configuration; resends what got no clear answer."""
+    """Changes and reads the configuration; retries until a response is conclusive."""
 
     def __init__(
         self,
@@ -129,7 +129,7 @@
         self._last_version = 0
 
     async def change_shards(self, shards: Sequence[str], timeout_s: float) -> bool:
-        """Send one change until it is acknowledged; return whether it was."""
+        """Retry one change until it is acknowledged; return whether it was in time."""
         self._last_version += self._random.randint(1, 3)
         version = self._last_version
         self._checker.shards_by_version[version] = frozenset(shards)
@@ -148,18 +148,20 @@
                     follow_redirects=True,
                 )
                 if response.status == 200:
-                    newest = max(self._checker.acknowledged_version, version)
-                    self._checker.acknowledged_version = newest
+                    acknowledged = max(self._checker.acknowledged_version, version)
+                    self._checker.acknowledged_version = acknowledged
                     return True
                 if response.status == 400:
-                    self._checker.violations.append(f"valid version {version} refused")
+                    self._checker.violations.append(
+                        f"valid version {version} was rejected"
+                    )
                     return False
             await asyncio.sleep(0.1)
         return False
 
     async def read_configuration(self) -> bool:
-        """Read the configuration at a random host and judge the answer."""
-        before = self._checker.acknowledged_version
+        """Read the configuration from a random host; return whether it responded."""
+        acknowledged_before = self._checker.acknowledged_version
         host = self._random.choice(self._hosts)
         with contextlib.suppress(PeerFailed):
             response = await send_request(
@@ -167,6 +169,6 @@
             )
             if response.status == 200:
                 version = orjson.loads(response.body)["version"]
-                self._checker.check_configuration_read(version, before)
+                self._checker.check_configuration_read(version, acknowledged_before)
                 return True
         return False
--- a/tests/node/test_lease.py
+++ b/tests/node/test_lease.py
@@ -1,4 +1,4 @@
-"""What a host does that is cut off from control."""
+"""Serving without contact to control."""
 
 import asyncio
 import os
@@ -35,20 +35,25 @@
 
 
 @pytest.mark.parametrize(
-    ("serves", "age_s", "status"),
+    ("serve_without_control", "since_contact_s", "status"),
     [(True, 100.0, 404), (False, 1.0, 404), (False, 4.0, 503)],
 )
-def test_partitioned_host_serves_or_refuses_according_to_setting(serves, age_s, status):
-    """Guards against a superseded configuration where the operator wants none."""
+def test_partitioned_host_serves_or_refuses_according_to_setting(
+    serve_without_control, since_contact_s, status
+):
+    """Guards against serving superseded routes after the control lease has expired.
+
+    The operator forbids this by `serve_without_control`; the lease is 3 s.
+    """
 
     async def run() -> tuple[int, bool]:
-        host = _make_host(serves)
+        host = _make_host(serve_without_control)
         host._gateway.adopt(ROUTE_TABLE)
         now = asyncio.get_running_loop().time()
-        host._poller.confirmed_at = now - age_s
-        fields = {b"host": b"a"}
-        pairs = list(fields.items())
-        request = Request(b"GET", b"/x", pairs, b"", True, now, False, fields)
+        host._poller.confirmed_at = now - since_contact_s
+        headers = {b"host": b"a"}
+        header_list = list(headers.items())
+        request = Request(b"GET", b"/x", header_list, b"", True, now, False, headers)
         return (await host._handle_caller_request(request)).status, host.ready
 
     assert asyncio.run(run()) == (status, status != 503)
--- a/tests/platform_formats/test_formats.py
+++ b/tests/platform_formats/test_formats.py
@@ -1,4 +1,4 @@
-"""What the platform's messages mean, and which of them are refused."""
+"""Decoding of the platform's messages, and rejection of invalid ones."""
 
 import contextlib
 import json
@@ -57,7 +57,7 @@
 }
 
 
-def _encode_document_json(**fields: Any) -> str:
+def _make_document(**fields: Any) -> str:
     value = {
         "version": 7,
         "routes": [ROUTE],
@@ -68,7 +68,7 @@
 
 
 def test_heartbeat_is_decoded():
-    """Guards against swapped fields of a heartbeat."""
+    """Guards against fields of a heartbeat that are confused with each other."""
     record = decode_statement("i-1", json.dumps(HEARTBEAT).encode())
     assert (record.id, record.service, record.address) == ("i-1", "s", "10.0.0.1:80")
     assert (record.born_ms, record.sequence) == (1_700_000_000_000, 4)
@@ -90,14 +90,14 @@
     ],
 )
 def test_heartbeat_with_invalid_field_is_rejected(change):
-    """Guards against sending requests where a forged statement points."""
+    """Guards against sending requests to the address of a malformed heartbeat."""
     with pytest.raises(StatementInvalid):
         decode_statement("i-1", json.dumps(HEARTBEAT | change).encode())
 
 
 @pytest.mark.parametrize("missing", sorted(set(HEARTBEAT) - {"version"}))
 def test_heartbeat_without_required_field_is_rejected(missing):
-    """Guards against defaults for what a server did not say."""
+    """Guards against defaults for fields that a server did not send."""
     value = {k: v for k, v in HEARTBEAT.items() if k != missing}
     with pytest.raises(StatementInvalid):
         decode_statement("i-1", json.dumps(value).encode())
@@ -105,14 +105,14 @@
 
 @given(st.binary(max_size=60))
 def test_undecodable_heartbeat_is_rejected(data):
-    """Guards against a crash by bytes that cannot be read."""
+    """Guards against an internal error on bytes that are not a JSON object."""
     with pytest.raises(StatementInvalid):
         decode_statement("i-1", data)
 
 
 def test_document_is_decoded():
-    """Guards against routes that mean something else than the operator said."""
-    table = decode_document(_encode_document_json())
+    """Guards against routes that differ from the operator's document."""
+    table = decode_document(_make_document())
     (route,) = table.routes
     assert table.version == 7
     assert (route.host, route.prefix, route.repeatable) == ("shop.example", "/a/", True)
@@ -139,21 +139,21 @@
     ],
 )
 def test_invalid_document_is_rejected(fields):
-    """Guards against acknowledging a document that must not be in force."""
+    """Guards against acknowledging a document that must not be applied."""
     with pytest.raises(DocumentInvalid):
-        decode_document(_encode_document_json(**fields))
+        decode_document(_make_document(**fields))
 
 
 @given(st.integers(0, 200))
 def test_truncated_document_is_rejected(length):
-    """Guards against obeying the part of a document that arrived."""
-    text = _encode_document_json()
+    """Guards against applying the first part of a truncated document."""
+    text = _make_document()
     with pytest.raises(DocumentInvalid):
         decode_document(text[: min(length, len(text) - 1)])
 
 
 def test_settings_without_data_directory_and_with_unknown_fields():
-    """Guards against a host that does not start when fields are added."""
+    """Guards against a host that fails to start on unknown settings fields."""
     settings = decode_settings(json.dumps(SETTINGS | {"new": 1}).encode())
     assert settings.data_folder is None
     assert settings.retry_budget.fixed == 60
@@ -161,12 +161,12 @@
 
 
 def test_encoded_formats_decode_to_same_value():
-    """Guards against stand-ins that speak another format than the hosts read."""
+    """Guards against simulated servers and operators with a format of their own."""
     record = decode_statement("i-1", json.dumps(HEARTBEAT).encode())
     assert decode_statement("i-1", encode_heartbeat(record)) == record
     query = ROUTE | {"name": "q", "path_prefix": "/q/", "service": None}
     query |= {"fanout_services": ["s", "t"], "top_k": 5, "minimum": 0.5}
-    table = decode_document(_encode_document_json(routes=[ROUTE, query]))
+    table = decode_document(_make_document(routes=[ROUTE, query]))
     assert decode_document(encode_document(table)) == table
 
 
@@ -183,11 +183,11 @@
 
 @given(st.sampled_from(sorted(_QUERY_ROUTE)), _JSON_VALUES)
 def test_document_with_arbitrary_route_field_is_accepted_or_rejected(name, value):
-    """Guards against a document that ends in an internal error.
+    """Guards against a document that causes an internal error.
 
-    An operator who gets no clear answer sends the same document for ever.
+    An operator who gets no conclusive response resends the same document forever.
     """
-    document = _encode_document_json(routes=[{**_QUERY_ROUTE, name: value}])
+    document = _make_document(routes=[{**_QUERY_ROUTE, name: value}])
     with contextlib.suppress(DocumentInvalid):
         assert decode_document(document).version == 7
 
@@ -197,6 +197,6 @@
     _JSON_VALUES,
 )
 def test_document_with_arbitrary_section_is_accepted_or_rejected(name, value):
-    """Guards against a section of another type that ends in an internal error."""
+    """Guards against a section of another type that causes an internal error."""
     with contextlib.suppress(DocumentInvalid):
-        decode_document(_encode_document_json(**{name: value}))
+        decode_document(_make_document(**{name: value}))
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak with fixed seeds, and mutants that its judge must find."""
+"""A short soak with fixed seeds, and violations that its checker must report."""
 
 import asyncio
 import random
@@ -14,17 +14,17 @@
 @pytest.mark.system
 @pytest.mark.parametrize("seed", [1])
 def test_soak_finds_no_violation(seed):
-    """Guards against all promises that callers and backend servers can check."""
-    outcome = asyncio.run(soak(SoakSettings(seed, duration_s=4.0)))
-    assert outcome.violations == []
-    assert outcome.served > 0
+    """Guards against violations that callers and backend servers can observe."""
+    result = asyncio.run(soak(SoakSettings(seed, duration_s=4.0)))
+    assert result.violations == []
+    assert result.served > 0
 
 
 @pytest.fixture
 def checker() -> ConsistencyChecker:
-    services = {"query": {"s0", "s1"}, "read": {"reads"}, "order": {"orders"}}
+    allowed_services = {"query": {"s0", "s1"}, "read": {"reads"}, "order": {"orders"}}
     checker = ConsistencyChecker(
-        FakeServerPool([], random.Random(1)), services, top_records=5
+        FakeServerPool([], random.Random(1)), allowed_services, top_records=5
     )
     checker.shards_by_version[1] = frozenset(("s0", "s1"))
     return checker
@@ -34,8 +34,10 @@
     checker: ConsistencyChecker, attempt_id: str, service: str, kind: str, seal: str
 ) -> bytes:
     body = seal.encode().ljust(16, b"-")
-    run = Execution(attempt_id, service, f"{service}-1", f"/{kind}/1", body, seal, True)
-    checker.servers.executions.setdefault(attempt_id, []).append(run)
+    execution = Execution(
+        attempt_id, service, f"{service}-1", f"/{kind}/1", body, seal, True
+    )
+    checker.servers.executions.setdefault(attempt_id, []).append(execution)
     return body
 
 
@@ -45,24 +47,30 @@
 
 
 def test_checker_reports_order_that_ran_twice(checker):
-    """Guards against a soak that overlooks a repeated order."""
+    """Guards against a checker that misses an order executed twice."""
     checker.record_attempt(CallerAttempt("a", "order"))
     for seal in ("1", "2"):
         _record_execution(checker, "a", "orders", "order", seal)
-    assert any("ran 2 times" in found for found in checker.check_executions())
+    assert any("ran 2 times" in violation for violation in checker.check_executions())
 
 
 def test_checker_reports_refused_order_that_ran(checker):
-    """Guards against a soak that believes every refusal."""
+    """Guards against a checker that takes each refusal for an order that never ran."""
     attempt = CallerAttempt("a", "order")
     checker.record_attempt(attempt)
     _record_execution(checker, "a", "orders", "order", "1")
     checker.check_response(attempt, Response(503, [], b""))
-    assert any("refused as not run" in found for found in checker.check_executions())
+    assert any(
+        "refused as not run" in violation for violation in checker.check_executions()
+    )
 
 
 def test_checker_reports_mixed_responses(checker):
-    """Guards against a soak that accepts any body, part or shard."""
+    """Guards against a checker that accepts any body, part or shard.
+
+    The four bad responses name a missing part that is not missing, carry the body of
+    another set of parts, name one part twice and carry a body that no server sent.
+    """
     query, read = CallerAttempt("q", "query"), CallerAttempt("r", "read")
     first = _record_execution(checker, "q", "s0", "query", "1")
     second = _record_execution(checker, "q", "s1", "query", "2")
@@ -86,7 +94,7 @@
 
 
 def test_checker_reports_stale_read_and_wrong_service(checker):
-    """Guards against a soak that overlooks a lost configuration."""
+    """Guards against a checker that misses a lost configuration or a wrong service."""
     checker.check_configuration_read(4, acknowledged_before=5)
     _record_execution(checker, "r", "orders", "read", "1")
     assert len(checker.check_executions()) == 2
