--- a/packages/soak/src/kingcuplug_soak/_consistency.py
+++ b/packages/soak/src/kingcuplug_soak/_checks.py
@@ -9,7 +9,7 @@
 from kingcuplug_http import Response
 from kingcuplug_platform import HEADER_NAMES
 
-from kingcuplug_soak._fake_servers import Execution, FakeServerPool
+from kingcuplug_soak._backends import Execution, FakeServerPool
 
 __all__ = ["CallerAttempt", "ConsistencyChecker"]
 
@@ -47,7 +47,7 @@
         Highest configuration version that was acknowledged.
     """
 
-    servers: FakeServerPool
+    backends: FakeServerPool
     allowed_services: dict[str, set[str]]
     top_records: int
     shards_by_version: dict[int, frozenset[str]] = field(default_factory=dict)
@@ -92,7 +92,7 @@
 
     def check_executions(self) -> list[str]:
         """Check all recorded executions; return all violations of the soak."""
-        for attempt_id, executions in self.servers.executions.items():
+        for attempt_id, executions in self.backends.executions.items():
             if attempt_id in self.order_ids and len(executions) > 1:
                 self.violations.append(
                     f"order {attempt_id} ran {len(executions)} times"
@@ -105,7 +105,7 @@
                     self.violations.append(
                         f"{execution.target} ran at {execution.service}"
                     )
-        for request in self.servers.requests_after_drain:
+        for request in self.backends.requests_after_drain:
             self.violations.append(f"request to a drained server: {request}")
         return self.violations
 
@@ -153,7 +153,7 @@
             self.violations.append(f"mixed: {attempt} has a body unlike its parts")
 
     def _find_execution(self, attempt: CallerAttempt, seal: str) -> Execution | None:
-        executions = self.servers.executions.get(attempt.attempt_id, [])
+        executions = self.backends.executions.get(attempt.attempt_id, [])
         return next(
             (execution for execution in executions if execution.seal == seal), None
         )
--- a/packages/soak/src/kingcuplug_soak/_fault_injection.py
+++ b/packages/soak/src/kingcuplug_soak/_fault_injection.py
@@ -5,7 +5,7 @@
 import signal
 from collections.abc import Awaitable, Callable
 
-from kingcuplug_soak._fake_servers import FakeServer, FakeServerPool
+from kingcuplug_soak._backends import FakeServer, FakeServerPool
 from kingcuplug_soak._hosts import HostCluster, HostProcess
 from kingcuplug_soak._traffic import ORDER_SERVICE, Operator
 
@@ -26,13 +26,13 @@
     def __init__(
         self,
         cluster: HostCluster,
-        servers: FakeServerPool,
+        backends: FakeServerPool,
         operator: Operator,
         shard_sets: list[tuple[str, ...]],
         random: random_module.Random,
     ) -> None:
         self._cluster = cluster
-        self._servers = servers
+        self._backends = backends
         self._operator = operator
         self._shard_sets = shard_sets
         self._random = random
@@ -83,7 +83,7 @@
         return self._random.random() < 0.5
 
     def _pick_server(self) -> FakeServer:
-        return self._random.choice(self._servers.servers)
+        return self._random.choice(self._backends.servers)
 
     async def _kill_host(self) -> str:
         host = self._pick_host()
@@ -155,23 +155,23 @@
 
     async def _crash_server(self) -> str:
         server = self._pick_server()
-        self._servers.servers.remove(server)
+        self._backends.servers.remove(server)
         await server.crash()
         await asyncio.sleep(self._random.uniform(0.2, 2.0))
-        await self._servers.add(server.service, server.zone)
+        await self._backends.add(server.service, server.zone)
         return f"crashed {server.name}"
 
     async def _drain_server(self) -> str:
         server = self._pick_server()
-        self._servers.servers.remove(server)
-        await self._servers.add(server.service, server.zone)
+        self._backends.servers.remove(server)
+        await self._backends.add(server.service, server.zone)
         await server.drain()
         return f"drained {server.name}"
 
     async def _inject_server_fault(self) -> str:
         # Only orders must not be repeated, so their servers get at least half of the
         # faults after which a retry would be wrong.
-        orders = [s for s in self._servers.servers if s.service == ORDER_SERVICE]
+        orders = [s for s in self._backends.servers if s.service == ORDER_SERVICE]
         server = (
             self._random.choice(orders) if self._flip_coin() else self._pick_server()
         )
--- a/packages/soak/src/kingcuplug_soak/_run.py
+++ b/packages/soak/src/kingcuplug_soak/_run.py
@@ -1,4 +1,4 @@
-"""One soak: start hosts and servers, inject faults, check recovery and results."""
+"""One soak: start hosts and backends, inject faults, check recovery and results."""
 
 import asyncio
 import os
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from kingcuplug_soak._consistency import ConsistencyChecker
-from kingcuplug_soak._fake_servers import FakeServerPool
+from kingcuplug_soak._backends import FakeServerPool
+from kingcuplug_soak._checks import ConsistencyChecker
 from kingcuplug_soak._fault_injection import FaultInjector
 from kingcuplug_soak._hosts import HostCluster
 from kingcuplug_soak._traffic import TOP_RECORDS, CallerTraffic, Operator
@@ -78,15 +78,15 @@
     random = random_module.Random(settings.seed)
     base_port = _find_base_port(settings)
     cluster = HostCluster(folder, settings.hosts, settings.disks, base_port)
-    servers = FakeServerPool([host.control_address for host in cluster.hosts], random)
-    checker = ConsistencyChecker(servers, _allowed_services(), TOP_RECORDS)
+    backends = FakeServerPool([host.control_address for host in cluster.hosts], random)
+    checker = ConsistencyChecker(backends, _allowed_services(), TOP_RECORDS)
     operator = Operator(cluster.hosts, checker, random)
-    injector = FaultInjector(cluster, servers, operator, _SHARD_SETS, random)
+    injector = FaultInjector(cluster, backends, operator, _SHARD_SETS, random)
     traffic = CallerTraffic(cluster.hosts, checker, random)
     tasks: list[asyncio.Task[None]] = []
     try:
         await cluster.start()
-        await _start_servers(servers)
+        await _start_servers(backends)
         if not await operator.change_shards(_SHARD_SETS[0], _FORMATION_TIMEOUT_S):
             checker.violations.append(
                 "the first configuration was not acknowledged in time"
@@ -99,7 +99,7 @@
         for task in tasks:
             task.cancel()
         await cluster.stop()
-        await servers.stop()
+        await backends.stop()
     violations = checker.check_executions()
     return SoakResult(
         settings.seed,
@@ -145,10 +145,10 @@
     return {"query": shards, "read": {"reads"}, "order": {"orders"}}
 
 
-async def _start_servers(servers: FakeServerPool) -> None:
+async def _start_servers(backends: FakeServerPool) -> None:
     for service in sorted(set().union(*_allowed_services().values())):
         for number in range(_SERVERS_PER_SERVICE):
-            await servers.add(service, f"zone-{number}")
+            await backends.add(service, f"zone-{number}")
 
 
 async def _check_recovery(operator: Operator, checker: ConsistencyChecker) -> None:
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -7,8 +7,8 @@
 from kingcuplug_gateway import merge_records
 from kingcuplug_http import Response
 from kingcuplug_soak import SoakSettings, soak
-from kingcuplug_soak._consistency import CallerAttempt, ConsistencyChecker
-from kingcuplug_soak._fake_servers import Execution, FakeServerPool
+from kingcuplug_soak._backends import Execution, FakeServerPool
+from kingcuplug_soak._checks import CallerAttempt, ConsistencyChecker
 
 
 @pytest.mark.system
@@ -37,7 +37,7 @@
     execution = Execution(
         attempt_id, service, f"{service}-1", f"/{kind}/1", body, seal, True
     )
-    checker.servers.executions.setdefault(attempt_id, []).append(execution)
+    checker.backends.executions.setdefault(attempt_id, []).append(execution)
     return body
 
 
