--- a/packages/node/src/kingcuplug_node/_host.py
+++ b/packages/node/src/kingcuplug_node/_host.py
@@ -60,8 +60,8 @@
 # Until a report reaches all hosts, each of them sends queries to a server that has
 # become slow.
 _REPORT_INTERVAL_S = 0.3
-# The answer margin covers late timers and the transmission of the response; the merge
-# time is that of one full core for the response of a query over 36 shards.
+# The answer margin covers late timers and the transmission of the response. The merge
+# time is what a whole core needs to merge and write a query's response of 36 shards.
 _ANSWER_MARGIN_MS = 4.0
 _MERGE_CPU_MS = 4.0
 _SETTINGS_POLL_INTERVAL_S = 1.0
@@ -393,6 +393,7 @@
         )
 
     def _is_connected_control_host(self) -> bool:
+        """Return whether this host has a control replica whose state is current."""
         return self._replica is not None and self._replica.connected()
 
     def _require_replica(self) -> Core:
--- a/packages/soak/src/kingcuplug_soak/_checks.py
+++ b/packages/soak/src/kingcuplug_soak/_checks.py
@@ -120,7 +120,7 @@
             or execution.body != response.body
         ):
             self.violations.append(
-                f"mixed: {attempt} differs from its execution {seal}"
+                f"mixed: {attempt} differs from its execution ({seal})"
             )
 
     def _check_query_response(self, attempt: CallerAttempt, response: Response) -> None:
--- a/packages/soak/src/kingcuplug_soak/_host_process.py
+++ b/packages/soak/src/kingcuplug_soak/_host_process.py
@@ -13,8 +13,12 @@
 import orjson
 from kingcuplug_common import EventLog
 from kingcuplug_node import Host
-from kingcuplug_platform import HEADER_NAMES, decode_document, make_control_handler
-from kingcuplug_platform import decode_settings as decode
+from kingcuplug_platform import (
+    HEADER_NAMES,
+    decode_document,
+    decode_settings,
+    make_control_handler,
+)
 
 __all__ = ["main"]
 
@@ -28,7 +32,7 @@
 async def _run(data: bytes) -> None:
     fields = orjson.loads(data)
     settings = dataclasses.replace(
-        decode(data),
+        decode_settings(data),
         control_bind_address=fields["control_bind"],
         metrics_address=fields["metrics"],
     )
--- a/packages/soak/src/kingcuplug_soak/_run.py
+++ b/packages/soak/src/kingcuplug_soak/_run.py
@@ -1,4 +1,4 @@
-"""One soak: start hosts and backends, inject faults, check recovery and results."""
+"""One soak: start hosts and backend servers, inject faults, check results."""
 
 import asyncio
 import os
