--- a/packages/soak/src/kingcuplug_soak/_proxy.py
+++ b/packages/soak/src/kingcuplug_soak/_proxy.py
@@ -6,28 +6,28 @@
 
 __all__ = ["Proxy", "ProxyFaults"]
 
-_CHUNK_BYTES = 65_536
+_READ_CHUNK_BYTES = 65_536
 
 
 @dataclass
 class ProxyFaults:
-    """What happens to bytes; all connections share it.
+    """Faults that apply to all connections of one proxy.
 
     Attributes
     ----------
     delay_s : float
-        Added to every chunk, in both directions.
-    mute_in, mute_out : bool
-        Swallow what goes to the host, or comes from it, without a word.
+        Delay before each chunk is forwarded, in both directions.
+    drop_inbound, drop_outbound : bool
+        Discard all bytes to the host, or from it, without closing the connection.
     """
 
     delay_s: float = 0.0
-    mute_in: bool = False
-    mute_out: bool = False
+    drop_inbound: bool = False
+    drop_outbound: bool = False
 
 
 class Proxy:
-    """Forwards connections from `address` to a host's own listener."""
+    """Forwards connections to the control listener of one host."""
 
     def __init__(self, target: str) -> None:
         self._target = target
@@ -38,44 +38,50 @@
     async def start(self, address: str) -> None:
         """Listen on ``ip:port``."""
         host, _, port = address.rpartition(":")
-        self._server = await asyncio.start_server(self._serve, host, int(port))
+        self._server = await asyncio.start_server(
+            self._handle_connection, host, int(port)
+        )
 
-    def reset(self) -> None:
-        """Drop all connections."""
+    def abort_connections(self) -> None:
+        """Abort all connections."""
         for writer in tuple(self._writers):
             writer.transport.abort()
 
     def stop(self) -> None:
-        """Stop listening and drop all connections."""
+        """Stop listening and abort all connections."""
         if self._server is not None:
             self._server.close()
-        self.reset()
+        self.abort_connections()
 
-    async def _serve(
+    async def _handle_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self._writers.add(writer)
         host, _, port = self._target.rpartition(":")
         try:
-            to_reader, to_writer = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(
+                host, int(port)
+            )
         except OSError:
             self._close(writer)
             return
-        self._writers.add(to_writer)
+        self._writers.add(target_writer)
         await asyncio.gather(
-            self._copy(reader, to_writer, inward=True),
-            self._copy(to_reader, writer, inward=False),
+            self._forward(reader, target_writer, inbound=True),
+            self._forward(target_reader, writer, inbound=False),
         )
 
-    async def _copy(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, inward: bool
+    async def _forward(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, inbound: bool
     ) -> None:
         with contextlib.suppress(OSError):
-            while data := await reader.read(_CHUNK_BYTES):
+            while data := await reader.read(_READ_CHUNK_BYTES):
                 if self.faults.delay_s:
                     await asyncio.sleep(self.faults.delay_s)
-                muted = self.faults.mute_in if inward else self.faults.mute_out
-                if not muted:
+                dropped = (
+                    self.faults.drop_inbound if inbound else self.faults.drop_outbound
+                )
+                if not dropped:
                     writer.write(data)
                     await writer.drain()
         self._close(writer)
--- a/packages/soak/src/kingcuplug_soak/_run.py
+++ b/packages/soak/src/kingcuplug_soak/_run.py
@@ -1,4 +1,4 @@
-"""One soak: start everything, make trouble, calm down, judge."""
+"""One soak: start hosts and backend servers, inject faults, check results."""
 
 import asyncio
 import os
@@ -8,36 +8,36 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from kingcuplug_soak._backends import Backends
-from kingcuplug_soak._checks import Judge
-from kingcuplug_soak._hosts import Hosts
-from kingcuplug_soak._load import TOP, Callers, Operator
-from kingcuplug_soak._troubles import Troubles
+from kingcuplug_soak._backends import FakeServerPool
+from kingcuplug_soak._checks import ConsistencyChecker
+from kingcuplug_soak._fault_injection import FaultInjector
+from kingcuplug_soak._hosts import HostCluster
+from kingcuplug_soak._traffic import TOP_RECORDS, CallerTraffic, Operator
 
-__all__ = ["Outcome", "SoakSettings", "soak"]
+__all__ = ["SoakResult", "SoakSettings", "soak"]
 
 _SHARD_SETS = [("s0", "s1", "s2"), ("s1", "s2", "s3"), ("s0", "s1", "s2", "s3")]
-_SERVERS_EACH = 3
-_FORM_S = 15.0
-# After the last trouble, service must be back within the users' recovery bound.
-_RECOVERY_S = 12.0
-_PROBE_S = 2.0
+_SERVERS_PER_SERVICE = 3
+_FORMATION_TIMEOUT_S = 15.0
+# The users' recovery bound: callers must be served again so long after the last fault.
+_RECOVERY_TIMEOUT_S = 12.0
+_PROBE_DURATION_S = 2.0
 _BASE_PORT = 21_000
-_PORTS_EACH = 5
-_PORT_SETS = 1_000
-_PLACES_APART = 37
+_PORTS_PER_HOST = 5
+_PORT_RANGES = 1_000
+_PORT_RANGE_STRIDE = 37
 
 
 @dataclass(frozen=True)
 class SoakSettings:
-    """What one soak runs.
+    """Settings of one soak.
 
     Attributes
     ----------
     disks : int
-        Hosts that take part in control.
+        Number of hosts with a disk, which are the control hosts.
     folder : Path or None
-        Where logs and disks are kept; a temporary folder if not given.
+        Folder of logs and disks; a temporary folder if not given.
     """
 
     seed: int
@@ -48,8 +48,16 @@
 
 
 @dataclass
-class Outcome:
-    """What one soak found."""
+class SoakResult:
+    """Result of one soak.
+
+    Attributes
+    ----------
+    asked, served : int
+        Number of requests that callers sent, and of those with status 200.
+    troubles : list of str
+        Time and description of each injected fault.
+    """
 
     seed: int
     violations: list[str]
@@ -58,63 +66,71 @@
     troubles: list[str] = field(default_factory=list)
 
 
-async def soak(settings: SoakSettings) -> Outcome:
-    """Run one soak and return what it found."""
+async def soak(settings: SoakSettings) -> SoakResult:
+    """Run one soak and return its result."""
     if settings.folder is not None:
-        return await _soak(settings, settings.folder)
+        return await _run_in_folder(settings, settings.folder)
     with tempfile.TemporaryDirectory() as folder:
-        return await _soak(settings, Path(folder))
+        return await _run_in_folder(settings, Path(folder))
 
 
-async def _soak(settings: SoakSettings, folder: Path) -> Outcome:
+async def _run_in_folder(settings: SoakSettings, folder: Path) -> SoakResult:
     random = random_module.Random(settings.seed)
-    base_port = _free_base(settings)
-    hosts = Hosts(folder, settings.hosts, settings.disks, base_port)
-    backends = Backends([host.control for host in hosts.all], random)
-    judge = Judge(backends, _allowed(), TOP)
-    operator = Operator(hosts.all, judge, random)
-    troubles = Troubles(hosts, backends, operator, _SHARD_SETS, random)
-    callers = Callers(hosts.all, judge, random)
+    base_port = _find_base_port(settings)
+    cluster = HostCluster(folder, settings.hosts, settings.disks, base_port)
+    backends = FakeServerPool([host.control_address for host in cluster.hosts], random)
+    checker = ConsistencyChecker(backends, _allowed_services(), TOP_RECORDS)
+    operator = Operator(cluster.hosts, checker, random)
+    injector = FaultInjector(cluster, backends, operator, _SHARD_SETS, random)
+    traffic = CallerTraffic(cluster.hosts, checker, random)
     tasks: list[asyncio.Task[None]] = []
     try:
-        await hosts.start()
-        await _add_servers(backends)
-        if not await operator.change(_SHARD_SETS[0], _FORM_S):
-            judge.violations.append("the first configuration was never acknowledged")
-        await asyncio.sleep(_PROBE_S)
-        tasks.append(asyncio.ensure_future(callers.run()))
-        await troubles.run(settings.duration_s)
-        await _check_recovery(operator, judge)
+        await cluster.start()
+        await _start_servers(backends)
+        if not await operator.change_shards(_SHARD_SETS[0], _FORMATION_TIMEOUT_S):
+            checker.violations.append(
+                "the first configuration was not acknowledged in time"
+            )
+        await asyncio.sleep(_PROBE_DURATION_S)
+        tasks.append(asyncio.ensure_future(traffic.run()))
+        await injector.run(settings.duration_s)
+        await _check_recovery(operator, checker)
     finally:
         for task in tasks:
             task.cancel()
-        await hosts.stop()
+        await cluster.stop()
         await backends.stop()
-    violations = judge.finish()
-    return Outcome(
-        settings.seed, violations, judge.asked, judge.served, troubles.record
+    violations = checker.check_executions()
+    return SoakResult(
+        settings.seed,
+        violations,
+        checker.attempt_count,
+        checker.served_count,
+        injector.fault_log,
     )
 
 
-def _free_base(settings: SoakSettings) -> int:
-    """Return the first of ports that are free at all hosts' addresses.
+def _find_base_port(settings: SoakSettings) -> int:
+    """Return the first port of a range that is free at all hosts' addresses.
 
-    Begins at a place of the process's own: two soaks that start at the same moment
-    would else find the same ports free.
+    The search starts at a range that depends on the process id, because two soaks that
+    start at the same moment would otherwise choose the same ports.
     """
-    for attempt in range(_PORT_SETS):
-        place = (os.getpid() * _PLACES_APART + settings.seed + attempt) % _PORT_SETS
-        base = _BASE_PORT + place * _PORTS_EACH
+    for attempt in range(_PORT_RANGES):
+        range_index = (
+            os.getpid() * _PORT_RANGE_STRIDE + settings.seed + attempt
+        ) % _PORT_RANGES
+        base_port = _BASE_PORT + range_index * _PORTS_PER_HOST
         if all(
-            _is_free(f"127.0.0.{number + 1}", base + port)
+            _is_port_free(f"127.0.0.{number + 1}", base_port + port)
             for number in range(settings.hosts)
-            for port in range(_PORTS_EACH)
+            for port in range(_PORTS_PER_HOST)
         ):
-            return base
-    raise OSError(f"no {_PORTS_EACH} free ports from {_BASE_PORT} on")
+            return base_port
+    raise OSError(f"no {_PORTS_PER_HOST} free ports from {_BASE_PORT} on")
 
 
-def _is_free(address: str, port: int) -> bool:
+def _is_port_free(address: str, port: int) -> bool:
     with socket.socket() as probe:
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
@@ -124,28 +140,31 @@
     return True
 
 
-def _allowed() -> dict[str, set[str]]:
+def _allowed_services() -> dict[str, set[str]]:
     shards = {shard for shards in _SHARD_SETS for shard in shards}
     return {"query": shards, "read": {"reads"}, "order": {"orders"}}
 
 
-async def _add_servers(backends: Backends) -> None:
-    for service in sorted(set().union(*_allowed().values())):
-        for number in range(_SERVERS_EACH):
+async def _start_servers(backends: FakeServerPool) -> None:
+    for service in sorted(set().union(*_allowed_services().values())):
+        for number in range(_SERVERS_PER_SERVICE):
             await backends.add(service, f"zone-{number}")
 
 
-async def _check_recovery(operator: Operator, judge: Judge) -> None:
-    """Check that nothing acknowledged is lost and that callers are served again."""
+async def _check_recovery(operator: Operator, checker: ConsistencyChecker) -> None:
+    """Check that no acknowledged change is lost and that callers are served again."""
     loop = asyncio.get_running_loop()
-    deadline_at = loop.time() + _RECOVERY_S
-    while not await operator.read():
+    deadline_at = loop.time() + _RECOVERY_TIMEOUT_S
+    while not await operator.read_configuration():
         if loop.time() > deadline_at:
-            judge.violations.append("the configuration was not read back in time")
+            checker.violations.append("the configuration could not be read in time")
             return
         await asyncio.sleep(0.2)
     await asyncio.sleep(max(0.0, deadline_at - loop.time()))
-    asked, served = judge.asked, judge.served
-    await asyncio.sleep(_PROBE_S)
-    if judge.served - served < (judge.asked - asked) / 4:
-        judge.violations.append("callers were not served again in time")
+    attempts_before, served_before = checker.attempt_count, checker.served_count
+    await asyncio.sleep(_PROBE_DURATION_S)
+    if (
+        checker.served_count - served_before
+        < (checker.attempt_count - attempts_before) / 4
+    ):
+        checker.violations.append("callers were not served again in time")
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak with fixed seeds, and mutants that its judge must find."""
+"""A short soak with fixed seeds, and violations that its checker must report."""
 
 import asyncio
 import random
@@ -7,74 +7,94 @@
 from kingcuplug_gateway import merge_records
 from kingcuplug_http import Response
 from kingcuplug_soak import SoakSettings, soak
-from kingcuplug_soak._backends import Backends, Run
-from kingcuplug_soak._checks import Asked, Judge
+from kingcuplug_soak._backends import Execution, FakeServerPool
+from kingcuplug_soak._checks import CallerAttempt, ConsistencyChecker
 
 
 @pytest.mark.system
 @pytest.mark.parametrize("seed", [1])
-def test_no_promise_is_broken(seed):
-    """Guards against all promises that callers and backend servers can check."""
-    outcome = asyncio.run(soak(SoakSettings(seed, duration_s=4.0)))
-    assert outcome.violations == []
-    assert outcome.served > 0
+def test_soak_finds_no_violation(seed):
+    """Guards against violations that callers and backend servers can observe."""
+    result = asyncio.run(soak(SoakSettings(seed, duration_s=4.0)))
+    assert result.violations == []
+    assert result.served > 0
 
 
 @pytest.fixture
-def judge() -> Judge:
-    services = {"query": {"s0", "s1"}, "read": {"reads"}, "order": {"orders"}}
-    judge = Judge(Backends([], random.Random(1)), services, top=5)
-    judge.shard_sets[1] = frozenset(("s0", "s1"))
-    return judge
-
-
-def _ran(judge: Judge, attempt: str, service: str, kind: str, seal: str) -> bytes:
+def checker() -> ConsistencyChecker:
+    allowed_services = {"query": {"s0", "s1"}, "read": {"reads"}, "order": {"orders"}}
+    checker = ConsistencyChecker(
+        FakeServerPool([], random.Random(1)), allowed_services, top_records=5
+    )
+    checker.shards_by_version[1] = frozenset(("s0", "s1"))
+    return checker
+
+
+def _record_execution(
+    checker: ConsistencyChecker, attempt_id: str, service: str, kind: str, seal: str
+) -> bytes:
     body = seal.encode().ljust(16, b"-")
-    run = Run(attempt, service, f"{service}-1", f"/{kind}/1", body, seal, True)
-    judge.backends.runs.setdefault(attempt, []).append(run)
+    execution = Execution(
+        attempt_id, service, f"{service}-1", f"/{kind}/1", body, seal, True
+    )
+    checker.backends.executions.setdefault(attempt_id, []).append(execution)
     return body
 
 
-def _answer(body: bytes, **headers: str) -> Response:
+def _make_response(body: bytes, **headers: str) -> Response:
     fields = {k.replace("_", "-").encode(): v.encode() for k, v in headers.items()}
     return Response(200, list(fields.items()), body, fields)
 
 
-def test_judge_finds_an_order_that_ran_twice(judge):
-    """Guards against a soak that overlooks a repeated order."""
-    judge.sent(Asked("a", "order"))
+def test_checker_reports_order_that_ran_twice(checker):
+    """Guards against a checker that misses an order executed twice."""
+    checker.record_attempt(CallerAttempt("a", "order"))
     for seal in ("1", "2"):
-        _ran(judge, "a", "orders", "order", seal)
-    assert any("ran 2 times" in found for found in judge.finish())
-
-
-def test_judge_finds_a_false_refusal(judge):
-    """Guards against a soak that believes every refusal."""
-    asked = Asked("a", "order")
-    judge.sent(asked)
-    _ran(judge, "a", "orders", "order", "1")
-    judge.answered(asked, Response(503, [], b""))
-    assert any("refused as not run" in found for found in judge.finish())
-
-
-def test_judge_finds_mixed_answers(judge):
-    """Guards against a soak that accepts any body, part or shard."""
-    query, read = Asked("q", "query"), Asked("r", "read")
-    first = _ran(judge, "q", "s0", "query", "1")
-    second = _ran(judge, "q", "s1", "query", "2")
+        _record_execution(checker, "a", "orders", "order", seal)
+    assert any("ran 2 times" in violation for violation in checker.check_executions())
+
+
+def test_checker_reports_refused_order_that_ran(checker):
+    """Guards against a checker that takes each refusal for an order that never ran."""
+    attempt = CallerAttempt("a", "order")
+    checker.record_attempt(attempt)
+    _record_execution(checker, "a", "orders", "order", "1")
+    checker.check_response(attempt, Response(503, [], b""))
+    assert any(
+        "refused as not run" in violation for violation in checker.check_executions()
+    )
+
+
+def test_checker_reports_mixed_responses(checker):
+    """Guards against a checker that accepts any body, part or shard.
+
+    The four bad responses name a missing part that is not missing, carry the body of
+    another set of parts, name one part twice and carry a body that no server sent.
+    """
+    query, read = CallerAttempt("q", "query"), CallerAttempt("r", "read")
+    first = _record_execution(checker, "q", "s0", "query", "1")
+    second = _record_execution(checker, "q", "s1", "query", "2")
     body = merge_records([first, second], 5)
-    judge.answered(query, _answer(body, part_seals="1, 2", missing_parts="0"))
-    assert judge.violations == []
-    judge.answered(query, _answer(body, part_seals="1, 2", missing_parts="1"))
-    judge.answered(query, _answer(first, part_seals="1, 2", missing_parts="0"))
-    judge.answered(query, _answer(first, part_seals="1, 1", missing_parts="0"))
-    _ran(judge, "r", "reads", "read", "3")
-    judge.answered(read, _answer(b"other", server_seal="3"))
-    assert len(judge.violations) == 4
-
-
-def test_judge_finds_a_stale_read_and_a_wrong_service(judge):
-    """Guards against a soak that overlooks a lost configuration."""
-    judge.read_back(4, known_before=5)
-    _ran(judge, "r", "orders", "read", "1")
-    assert len(judge.finish()) == 2
+    checker.check_response(
+        query, _make_response(body, part_seals="1, 2", missing_parts="0")
+    )
+    assert checker.violations == []
+    checker.check_response(
+        query, _make_response(body, part_seals="1, 2", missing_parts="1")
+    )
+    checker.check_response(
+        query, _make_response(first, part_seals="1, 2", missing_parts="0")
+    )
+    checker.check_response(
+        query, _make_response(first, part_seals="1, 1", missing_parts="0")
+    )
+    _record_execution(checker, "r", "reads", "read", "3")
+    checker.check_response(read, _make_response(b"other", server_seal="3"))
+    assert len(checker.violations) == 4
+
+
+def test_checker_reports_stale_read_and_wrong_service(checker):
+    """Guards against a checker that misses a lost configuration or a wrong service."""
+    checker.check_configuration_read(4, acknowledged_before=5)
+    _record_execution(checker, "r", "orders", "read", "1")
+    assert len(checker.check_executions()) == 2
