--- a/packages/query/src/kingcuplug_query/__init__.py
+++ b/packages/query/src/kingcuplug_query/__init__.py
@@ -1,14 +1,14 @@
 """Execution of queries and orders over many shards."""
 
-from kingcuplug_query._backend import (
-    Cancel,
+from kingcuplug_query._backend_client import (
+    CancelAttempt,
+    CheckReachable,
     ConnectFailed,
     HttpBackend,
-    Reachable,
     ReplyLost,
-    Send,
+    SendSubRequest,
 )
-from kingcuplug_query._background import Background
+from kingcuplug_query._background_tasks import Background
 from kingcuplug_query._messages import (
     Answer,
     OrderRequest,
@@ -32,19 +32,19 @@
 __all__ = [
     "Answer",
     "Background",
-    "Cancel",
+    "CancelAttempt",
+    "CheckReachable",
     "ConnectFailed",
     "HttpBackend",
     "OrderExecutor",
     "OrderRequest",
     "QueryExecutor",
     "QueryRequest",
-    "Reachable",
     "ReplyInvalid",
     "ReplyLost",
     "ReplyStatus",
     "RevisionView",
-    "Send",
+    "SendSubRequest",
     "ServiceRuntime",
     "SubReply",
     "SubRequest",
--- a/packages/query/src/kingcuplug_query/_order_endings.py
+++ b/packages/query/src/kingcuplug_query/_attempt_results.py
@@ -13,13 +13,18 @@
     SubReply,
     SubRequest,
 )
-from kingcuplug_query._order_refusals import unknown
+from kingcuplug_query._order_refusals import outcome_unknown_refusal
 
-__all__ = ["Ending", "answer_of", "ending_of", "recorded"]
+__all__ = [
+    "AttemptResult",
+    "answer_from_record",
+    "answer_from_result",
+    "result_from_reply",
+]
 
 _NEW_KEY_REMEDY = "send the order again with a new idempotency key"
 
-_KIND_OF_STATUS: dict[ReplyStatus, OutcomeKind] = {
+_OUTCOME_KIND_BY_STATUS: dict[ReplyStatus, OutcomeKind] = {
     ReplyStatus.OK: "done",
     ReplyStatus.PARTIAL: "done",
     ReplyStatus.SHED: "not_run",
@@ -30,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ending:
+class AttemptResult:
     """How the only attempt ended."""
 
     kind: OutcomeKind
@@ -38,7 +43,7 @@
     body: Any
 
 
-def ending_of(reply: SubReply, sub_request: SubRequest) -> Ending:
+def result_from_reply(reply: SubReply, sub_request: SubRequest) -> AttemptResult:
     body = {
         "value": reply.value,
         "coverage": reply.coverage,
@@ -46,36 +51,40 @@
         "shard": sub_request.shard,
         "shard_count": sub_request.shard_count,
     }
-    return Ending(_KIND_OF_STATUS[reply.status], reply.status.value, body)
+    return AttemptResult(
+        _OUTCOME_KIND_BY_STATUS[reply.status], reply.status.value, body
+    )
 
 
-def recorded(record: OrderRecord, request: OrderRequest) -> Answer:
+def answer_from_record(record: OrderRecord, request: OrderRequest) -> Answer:
     outcome = record.outcome
     if outcome is None:
-        raise unknown(
+        raise outcome_unknown_refusal(
             f"order {record.key} was dispatched to {record.server} by {record.host} "
             "and has no recorded outcome"
         )
-    return answer_of(_stored(outcome), request, record.revision)
+    return answer_from_result(_result_from_stored(outcome), request, record.revision)
 
 
-def _stored(outcome: StoredOutcome) -> Ending:
+def _result_from_stored(outcome: StoredOutcome) -> AttemptResult:
     if outcome.kind == "done" and outcome.body is None:
         note = {"value_digest": outcome.body_digest}
-        return Ending("done", outcome.status, {"value": note})
-    return Ending(outcome.kind, outcome.status, outcome.body)
+        return AttemptResult("done", outcome.status, {"value": note})
+    return AttemptResult(outcome.kind, outcome.status, outcome.body)
 
 
-def answer_of(ending: Ending, request: OrderRequest, revision: int) -> Answer:
-    if ending.kind == "unknown":
-        raise unknown(f"the attempt ended with {ending.status}")
-    if ending.kind == "not_run":
+def answer_from_result(
+    result: AttemptResult, request: OrderRequest, revision: int
+) -> Answer:
+    if result.kind == "unknown":
+        raise outcome_unknown_refusal(f"the attempt ended with {result.status}")
+    if result.kind == "not_run":
         raise not_run(
             RefusalReason.ORDER_NOT_RUN,
-            f"order {request.key} ended without a run: {ending.status}",
+            f"order {request.key} ended without a run: {result.status}",
             _NEW_KEY_REMEDY,
         )
-    body = ending.body
+    body = result.body
     shard = body.get("shard", 0)
     coverage = body.get("coverage", 1.0)
     return Answer(
--- a/packages/query/src/kingcuplug_query/_backend.py
+++ b/packages/query/src/kingcuplug_query/_backend_client.py
@@ -15,28 +15,28 @@
 from kingcuplug_common import KingcuplugError, traceparent
 from kingcuplug_routing import Ticket
 
-from kingcuplug_query._expiry import Expiries
+from kingcuplug_query._coarse_timeouts import CoarseTimer
 from kingcuplug_query._messages import ReplyInvalid, SubReply, SubRequest, parse_reply
 
 __all__ = [
-    "Cancel",
+    "CancelAttempt",
+    "CheckReachable",
     "ConnectFailed",
     "HttpBackend",
-    "Reachable",
     "ReplyLost",
-    "Send",
+    "SendSubRequest",
 ]
 
-_REPLY_LIMIT_BYTES = 16 * 1024 * 1024
+_MAX_REPLY_BYTES = 16 * 1024 * 1024
 _CONNECT_TIMEOUT_S = 1.0
 _PROBE_TIMEOUT_S = 0.5
 _CANCEL_TIMEOUT_S = 1.0
-_KEEPALIVE_S = 60.0
+_KEEPALIVE_TIMEOUT_S = 60.0
 _JSON_HEADERS = {"Content-Type": "application/json"}
 
-Send = Callable[[Ticket, SubRequest, float], Awaitable[SubReply]]
-Reachable = Callable[[Ticket], Awaitable[bool]]
-Cancel = Callable[[Ticket, str], Awaitable[None]]
+SendSubRequest = Callable[[Ticket, SubRequest, float], Awaitable[SubReply]]
+CheckReachable = Callable[[Ticket], Awaitable[bool]]
+CancelAttempt = Callable[[Ticket, str], Awaitable[None]]
 
 
 class ConnectFailed(KingcuplugError):
@@ -48,14 +48,14 @@
 
     Parameters
     ----------
-    server_gone : bool
+    server_unreachable : bool
         Whether the server also refused a new connection, which suggests that its
         process ended.
     """
 
-    def __init__(self, message: str, remedy: str, server_gone: bool) -> None:
+    def __init__(self, message: str, remedy: str, server_unreachable: bool) -> None:
         super().__init__(message, remedy)
-        self.server_gone = server_gone
+        self.server_unreachable = server_unreachable
 
 
 class HttpBackend:
@@ -76,16 +76,16 @@
         self.local_address: str | None = None
         self._scheme = "https" if tls is not None else "http"
         self._tls = tls
-        self._expiries = Expiries()
+        self._timer = CoarseTimer()
         self._sessions: dict[str, aiohttp.ClientSession] = {}
         self._connection_limits: dict[str, int] = {}
 
-    def limit(self, address: str, connections: int) -> None:
+    def limit(self, address: str, max_connections: int) -> None:
         """Set how many connections this host may open to one server."""
-        self._connection_limits[address] = connections
+        self._connection_limits[address] = max_connections
         session = self._sessions.get(address)
         if session is not None and session.connector is not None:
-            session.connector._limit = connections
+            session.connector._limit = max_connections
 
     def forget(self, address: str) -> None:
         """Close the pool of a server that has left."""
@@ -119,11 +119,11 @@
         url = f"{self._scheme}://{ticket.address}/sub-request"
         body = orjson.dumps(request.to_json())
         try:
-            with self._expiries.after(timeout_s):
+            with self._timer.timeout(timeout_s):
                 async with self._session(ticket.address).post(
-                    url, data=body, headers=_headers()
+                    url, data=body, headers=_request_headers()
                 ) as response:
-                    return await self._read(response, request)
+                    return await self._read_reply(response, request)
         except aiohttp.ClientConnectorError as error:
             raise ConnectFailed(
                 f"backend server {ticket.server} at {ticket.address} "
@@ -131,11 +131,11 @@
                 "check that the server runs and that its announced address is right",
             ) from error
         except (aiohttp.ClientError, ConnectionError) as error:
-            raise await self._lost(ticket, error) from error
+            raise await self._reply_lost_error(ticket, error) from error
 
     async def reachable(self, ticket: Ticket) -> bool:
         """Return whether a server accepts connections at this moment."""
-        return await self._accepts(ticket.address)
+        return await self._accepts_connections(ticket.address)
 
     async def cancel(self, ticket: Ticket, attempt_id: str) -> None:
         """Ask a server to stop an attempt whose reply is no longer wanted."""
@@ -158,7 +158,7 @@
             # slow server cannot take the connections of another.
             connector = aiohttp.TCPConnector(
                 limit=self._connection_limits.get(address, 0),
-                keepalive_timeout=_KEEPALIVE_S,
+                keepalive_timeout=_KEEPALIVE_TIMEOUT_S,
                 ssl=self._tls if self._tls is not None else True,
                 local_addr=(self.local_address, 0) if self.local_address else None,
             )
@@ -173,28 +173,28 @@
             self._sessions[address] = session
         return session
 
-    async def _read(
+    async def _read_reply(
         self, response: aiohttp.ClientResponse, request: SubRequest
     ) -> SubReply:
         try:
             length = response.content_length
-            if length is None or length > _REPLY_LIMIT_BYTES:
-                raise _unreadable(request, f"its length is {length} bytes")
-            return parse_reply(request, _decode(request, await response.read()))
+            if length is None or length > _MAX_REPLY_BYTES:
+                raise _unreadable_reply_error(request, f"its length is {length} bytes")
+            return parse_reply(request, _decode_json(request, await response.read()))
         except ReplyInvalid:
             # What follows on this connection cannot be trusted to be in step.
             response.close()
             raise
 
-    async def _lost(self, ticket: Ticket, error: Exception) -> ReplyLost:
-        gone = not await self._accepts(ticket.address)
+    async def _reply_lost_error(self, ticket: Ticket, error: Exception) -> ReplyLost:
+        gone = not await self._accepts_connections(ticket.address)
         return ReplyLost(
             f"connection to backend server {ticket.server} broke: {error!r}",
             "look at the log of the backend server",
-            server_gone=gone,
+            server_unreachable=gone,
         )
 
-    async def _accepts(self, address: str) -> bool:
+    async def _accepts_connections(self, address: str) -> bool:
         host, _, port = address.rpartition(":")
         try:
             async with asyncio.timeout(_PROBE_TIMEOUT_S):
@@ -205,20 +205,20 @@
         return True
 
 
-def _headers() -> dict[str, str]:
+def _request_headers() -> dict[str, str]:
     trace = traceparent()
     return _JSON_HEADERS if trace is None else {**_JSON_HEADERS, "traceparent": trace}
 
 
-def _decode(request: SubRequest, body: bytes) -> Any:
+def _decode_json(request: SubRequest, body: bytes) -> Any:
     try:
         return orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise _unreadable(request, f"it is not JSON: {error}") from error
+        raise _unreadable_reply_error(request, f"it is not JSON: {error}") from error
 
 
-def _unreadable(request: SubRequest, fault: str) -> ReplyInvalid:
+def _unreadable_reply_error(request: SubRequest, problem: str) -> ReplyInvalid:
     return ReplyInvalid(
-        f"reply to attempt {request.attempt_id} cannot be read: {fault}",
-        f"send JSON with Content-Length up to {_REPLY_LIMIT_BYTES} bytes",
+        f"reply to attempt {request.attempt_id} cannot be read: {problem}",
+        f"send JSON with Content-Length up to {_MAX_REPLY_BYTES} bytes",
     )
--- a/packages/query/src/kingcuplug_query/_background.py
+++ b/packages/query/src/kingcuplug_query/_background_tasks.py
@@ -13,9 +13,9 @@
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[Any]] = set()
 
-    def start(self, work: Coroutine[Any, Any, Any]) -> None:
+    def start(self, coroutine: Coroutine[Any, Any, Any]) -> None:
         """Run `work` as a task."""
-        task = asyncio.get_running_loop().create_task(work)
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
--- a/packages/query/src/kingcuplug_query/_messages.py
+++ b/packages/query/src/kingcuplug_query/_messages.py
@@ -177,40 +177,42 @@
         If an echoed field differs or any field has a wrong type.
     """
     if not isinstance(reply, dict):
-        raise _invalid(request, f"reply is {type(reply).__name__}, not an object")
+        raise _invalid_reply_error(
+            request, f"reply is {type(reply).__name__}, not an object"
+        )
     if (
         reply.get("attempt_id") != request.attempt_id
         or reply.get("snapshot") != request.snapshot
         or reply.get("shard") != request.shard
         or reply.get("shard_count") != request.shard_count
     ):
-        raise _invalid(request, _echo_fault(request, reply))
+        raise _invalid_reply_error(request, _describe_mismatch(request, reply))
     try:
         status = ReplyStatus(reply.get("status", ""))
     except ValueError:
-        raise _invalid(
+        raise _invalid_reply_error(
             request, f"status is {reply.get('status')!r}, which is unknown"
         ) from None
     coverage = reply.get("coverage", 1.0)
     if isinstance(coverage, bool) or not isinstance(coverage, int | float):
-        raise _invalid(request, f"coverage is {coverage!r}, not a number")
+        raise _invalid_reply_error(request, f"coverage is {coverage!r}, not a number")
     if not 0 <= coverage <= 1:
-        raise _invalid(request, f"coverage is {coverage!r}, outside 0 to 1")
+        raise _invalid_reply_error(request, f"coverage is {coverage!r}, outside 0 to 1")
     if status is ReplyStatus.OK and coverage != 1:
         # A backend server that states less than everything is believed.
         status = ReplyStatus.PARTIAL
     return SubReply(status, reply.get("value"), float(coverage))
 
 
-def _echo_fault(request: SubRequest, reply: dict[str, Any]) -> str:
+def _describe_mismatch(request: SubRequest, reply: dict[str, Any]) -> str:
     for name in ("attempt_id", "snapshot", "shard", "shard_count"):
         if reply.get(name) != getattr(request, name):
             return f"{name} is {reply.get(name)!r} and not {getattr(request, name)!r}"
     return "echo matches"
 
 
-def _invalid(request: SubRequest, fault: str) -> ReplyInvalid:
+def _invalid_reply_error(request: SubRequest, problem: str) -> ReplyInvalid:
     return ReplyInvalid(
-        f"reply to attempt {request.attempt_id} of shard {request.shard}: {fault}",
+        f"reply to attempt {request.attempt_id} of shard {request.shard}: {problem}",
         "correct the backend server; see docs/interfaces.md",
     )
--- a/packages/query/src/kingcuplug_query/_order_refusals.py
+++ b/packages/query/src/kingcuplug_query/_order_refusals.py
@@ -15,14 +15,14 @@
 
 __all__ = [
     "SAME_KEY_REMEDY",
-    "key_refused",
-    "no_quorum",
-    "still_claimed",
-    "unknown",
+    "claim_held_refusal",
+    "key_refusal",
+    "no_quorum_refusal",
+    "outcome_unknown_refusal",
     "unsettled",
 ]
 
-_MILLISECONDS = 1_000
+_RETRY_AFTER_MS = 1_000
 _UNKNOWN_REMEDY = (
     "send the order again with the same key to get its outcome, or look it up with "
     "`kingcuplug orders show`"
@@ -31,7 +31,7 @@
 SAME_KEY_REMEDY = "send the order again with the same idempotency key"
 
 # Refusals that no copy of the same order can contradict.
-_SETTLED = frozenset(
+_REASONS_FOR_ALL_COPIES = frozenset(
     (
         RefusalReason.INVALID_REQUEST,
         RefusalReason.KEY_REUSED,
@@ -48,7 +48,7 @@
     """
     if not resend or refusal.kind is RefusalKind.OUTCOME_UNKNOWN:
         return refusal
-    if refusal.reason in _SETTLED:
+    if refusal.reason in _REASONS_FOR_ALL_COPIES:
         return refusal
     return Refusal(
         RefusalKind.OUTCOME_UNKNOWN,
@@ -59,7 +59,7 @@
     )
 
 
-def unknown(message: str) -> Refusal:
+def outcome_unknown_refusal(message: str) -> Refusal:
     return Refusal(
         RefusalKind.OUTCOME_UNKNOWN,
         RefusalReason.ORDER_UNKNOWN,
@@ -68,21 +68,21 @@
     )
 
 
-def no_quorum(error: KingcuplugError) -> Refusal:
+def no_quorum_refusal(error: KingcuplugError) -> Refusal:
     return not_run(
         RefusalReason.NO_QUORUM,
         f"the order ledger cannot be written: {error.message}",
         SAME_KEY_REMEDY,
-        retry_after_ms=_MILLISECONDS,
+        retry_after_ms=_RETRY_AFTER_MS,
     )
 
 
-def still_claimed(request: OrderRequest, record: OrderRecord) -> Refusal:
-    return unknown(f"order {request.key} is being run by {record.host}")
+def claim_held_refusal(request: OrderRequest, record: OrderRecord) -> Refusal:
+    return outcome_unknown_refusal(f"order {request.key} is being run by {record.host}")
 
 
-def key_refused(key: str, result: Any) -> Refusal:
-    if isinstance(result, KeyExpired):
+def key_refusal(key: str, claim_result: Any) -> Refusal:
+    if isinstance(claim_result, KeyExpired):
         # The record may be purged, so whether an earlier copy ran is not known.
         return Refusal(
             RefusalKind.OUTCOME_UNKNOWN,
@@ -90,10 +90,10 @@
             f"key {key} is older than the retention, so this copy was not run",
             "check whether the order was run before; else use a new key",
         )
-    if isinstance(result, KeyFromFuture):
+    if isinstance(claim_result, KeyFromFuture):
         return not_run(
             RefusalReason.KEY_FROM_FUTURE,
-            f"the issue time of key {key} is {result.ahead_ms} ms ahead",
+            f"the issue time of key {key} is {claim_result.ahead_ms} ms ahead",
             "correct the caller's clock and use a new key",
         )
     return not_run(
--- a/packages/query/src/kingcuplug_query/_orders.py
+++ b/packages/query/src/kingcuplug_query/_orders.py
@@ -31,38 +31,48 @@
 )
 from kingcuplug_routing import AttemptOutcome, CrashGuard, Ticket
 
-from kingcuplug_query._backend import ConnectFailed, Reachable, ReplyLost, Send
-from kingcuplug_query._background import Background
-from kingcuplug_query._gather import OUTCOME_OF_STATUS
+from kingcuplug_query._attempt_results import (
+    AttemptResult,
+    answer_from_record,
+    answer_from_result,
+    result_from_reply,
+)
+from kingcuplug_query._backend_client import (
+    CheckReachable,
+    ConnectFailed,
+    ReplyLost,
+    SendSubRequest,
+)
+from kingcuplug_query._background_tasks import Background
 from kingcuplug_query._messages import (
     Answer,
     OrderRequest,
     ReplyInvalid,
     SubRequest,
 )
-from kingcuplug_query._order_endings import Ending, answer_of, ending_of, recorded
 from kingcuplug_query._order_refusals import (
     SAME_KEY_REMEDY,
-    key_refused,
-    no_quorum,
-    still_claimed,
-    unknown,
+    claim_held_refusal,
+    key_refusal,
+    no_quorum_refusal,
+    outcome_unknown_refusal,
     unsettled,
 )
 from kingcuplug_query._query import RevisionView, ServiceRuntime, fingerprint_of
-from kingcuplug_query._query_refusals import require_servable
+from kingcuplug_query._query_refusals import require_dependency_served
+from kingcuplug_query._scatter_gather import OUTCOME_BY_STATUS
 from kingcuplug_query._snapshots import choose_snapshot, shard_of
 
 __all__ = ["OrderExecutor"]
 
-_MILLISECONDS = 1_000
+_ONE_SECOND_MS = 1_000
 # The reply to an order is awaited beyond the caller's deadline, so that a resend
 # finds its outcome.
-_LATE_REPLY_S = 30.0
-_RECORD_S = 30.0
-_MILLISECONDS_PER_DAY = 86_400_000
+_LATE_REPLY_WAIT_S = 30.0
+_LEDGER_WRITE_TIMEOUT_S = 30.0
+_MS_PER_DAY = 86_400_000
 
-HolderLost = Callable[[str, int], bool]
+IsHolderLost = Callable[[str, int], bool]
 
 
 class OrderExecutor:
@@ -74,11 +84,11 @@
         Access to the order ledger.
     send : Send
         The border to the backend servers.
-    guard : CrashGuard
+    crash_guard : CrashGuard
         Shared by all services of this entry host.
     metrics : Metrics
         Counters.
-    background : Background
+    background_tasks : Background
         Owner of attempts and records, which may outlive their request.
     zone : str
         The entry host's availability zone.
@@ -92,20 +102,20 @@
     def __init__(
         self,
         ledger: LedgerClient,
-        send: Send,
-        guard: CrashGuard,
+        send: SendSubRequest,
+        crash_guard: CrashGuard,
         metrics: Metrics,
-        background: Background,
+        background_tasks: Background,
         zone: str,
-        holder_lost: HolderLost,
-        reachable: Reachable,
+        holder_lost: IsHolderLost,
+        reachable: CheckReachable,
     ) -> None:
         self._reachable = reachable
         self._ledger = ledger
         self._send = send
-        self._guard = guard
+        self._crash_guard = crash_guard
         self._metrics = metrics
-        self._background = background
+        self._background_tasks = background_tasks
         self._zone = zone
         self._holder_lost = holder_lost
 
@@ -129,14 +139,14 @@
         self, request: OrderRequest, revision: RevisionView, retention_days: int
     ) -> Answer:
         runtime = revision.find(request.service)
-        self._guard.check(_fingerprint(request))
+        self._crash_guard.check(_fingerprint(request))
         for name in runtime.service.depends_on:
-            require_servable(name, revision.find(name).router, request.service)
-        _require_time(request)
-        retention_ms = retention_days * _MILLISECONDS_PER_DAY
+            require_dependency_served(name, revision.find(name).router, request.service)
+        _require_time_left(request)
+        retention_ms = retention_days * _MS_PER_DAY
         token = await self._claim(request, revision.number, retention_ms)
         if isinstance(token, OrderRecord):
-            return recorded(token, request)
+            return answer_from_record(token, request)
         return await self._run_claimed(request, runtime, revision.number, token)
 
     async def _claim(
@@ -160,17 +170,17 @@
                     RefusalReason.INVALID_REQUEST, error.message, error.remedy
                 ) from error
             except KingcuplugError as error:
-                raise no_quorum(error) from error
+                raise no_quorum_refusal(error) from error
             if isinstance(result, Claimed):
                 return result.token
             if not isinstance(result, Attached):
-                raise key_refused(request.key, result)
+                raise key_refusal(request.key, result)
             record = await self._attach(request)
             if record.state in ("dispatched", "finished"):
                 return record
             takeover = self._holder_lost(record.host, record.host_incarnation)
             if record.state == "claimed" and not takeover:
-                raise still_claimed(request, record)
+                raise claim_held_refusal(request, record)
 
     async def _attach(self, request: OrderRequest) -> OrderRecord:
         self._metrics.count("order.attached")
@@ -179,9 +189,11 @@
                 request.key, deadline=request.deadline, holder_lost=self._holder_lost
             )
         except SubmissionUnknown as error:
-            raise unknown(error.message) from error
+            raise outcome_unknown_refusal(error.message) from error
         if record is None:
-            raise unknown(f"the record of order {request.key} was purged")
+            raise outcome_unknown_refusal(
+                f"the record of order {request.key} was purged"
+            )
         return record
 
     async def _run_claimed(
@@ -195,22 +207,22 @@
         try:
             admission = runtime.admission.admit(request.priority, request.deadline)
             async with entering("admission", admission):
-                ticket, sub_request = await self._acquire(request, runtime)
+                ticket, sub_request = await self._acquire_capacity(request, runtime)
                 try:
-                    await self._dispatch(request, token, ticket, sub_request)
+                    await self._record_dispatch(request, token, ticket, sub_request)
                 except BaseException:
                     ticket.finish(AttemptOutcome.CANCELLED, 0.0)
                     raise
                 sent = True
-                return await self._send_once(
+                return await self._send_and_await_result(
                     request, token, ticket, sub_request, revision
                 )
         except (Refusal, asyncio.CancelledError):
             if not sent:
-                self._background.start(self._give_back(request.key, token))
+                self._background_tasks.start(self._release_claim(request.key, token))
             raise
 
-    async def _acquire(
+    async def _acquire_capacity(
         self, request: OrderRequest, runtime: ServiceRuntime
     ) -> tuple[Ticket, SubRequest]:
         view = choose_snapshot(runtime.router.snapshots(), request.partition_key)
@@ -219,10 +231,12 @@
                 RefusalReason.SNAPSHOT_UNKNOWN,
                 f"no backend server of {request.service!r} has announced a snapshot",
                 SAME_KEY_REMEDY,
-                retry_after_ms=_MILLISECONDS,
+                retry_after_ms=_ONE_SECOND_MS,
             )
         shard = shard_of(request.partition_key, view.shard_count)
-        ticket = await self._reachable_ticket(request, runtime, view.snapshot, shard)
+        ticket = await self._acquire_reachable_server(
+            request, runtime, view.snapshot, shard
+        )
         remaining_s = request.deadline - asyncio.get_running_loop().time()
         return ticket, SubRequest(
             request_id=request.request_id,
@@ -232,13 +246,13 @@
             snapshot=view.snapshot,
             shard=shard,
             shard_count=view.shard_count,
-            deadline_ms=max(int(remaining_s * _MILLISECONDS), 0),
+            deadline_ms=max(int(remaining_s * _ONE_SECOND_MS), 0),
             priority=request.priority.value,
             body=request.body,
             idempotency_key=request.key,
         )
 
-    async def _reachable_ticket(
+    async def _acquire_reachable_server(
         self, request: OrderRequest, runtime: ServiceRuntime, snapshot: int, shard: int
     ) -> Ticket:
         """Return capacity at a server that accepts connections.
@@ -261,7 +275,7 @@
             ticket.finish(AttemptOutcome.CONNECTION_LOST, 0.0)
             unreachable.add(ticket.server)
 
-    async def _dispatch(
+    async def _record_dispatch(
         self, request: OrderRequest, token: str, ticket: Ticket, sub_request: SubRequest
     ) -> None:
         try:
@@ -278,11 +292,11 @@
                 RefusalReason.NO_QUORUM, error.message, SAME_KEY_REMEDY
             ) from error
         except KingcuplugError as error:
-            raise no_quorum(error) from error
+            raise no_quorum_refusal(error) from error
 
-    async def _give_back(self, key: str, token: str) -> None:
+    async def _release_claim(self, key: str, token: str) -> None:
         """Spend the token of an order that was not sent."""
-        deadline = asyncio.get_running_loop().time() + _RECORD_S
+        deadline = asyncio.get_running_loop().time() + _LEDGER_WRITE_TIMEOUT_S
         try:
             result = await self._ledger.release(key, token, deadline=deadline)
             if (
@@ -295,7 +309,7 @@
         except KingcuplugError:
             self._metrics.count("order.release_failed")
 
-    async def _send_once(
+    async def _send_and_await_result(
         self,
         request: OrderRequest,
         token: str,
@@ -303,29 +317,33 @@
         sub_request: SubRequest,
         revision: int,
     ) -> Answer:
-        ended: asyncio.Future[Ending] = asyncio.get_running_loop().create_future()
+        ended: asyncio.Future[AttemptResult] = (
+            asyncio.get_running_loop().create_future()
+        )
         # A caller that leaves must not cancel an order that was dispatched.
-        self._background.start(
-            self._attempt(request, token, ticket, sub_request, ended)
+        self._background_tasks.start(
+            self._run_attempt(request, token, ticket, sub_request, ended)
         )
         try:
             async with asyncio.timeout_at(request.deadline):
                 ending = await ended
         except TimeoutError:
-            raise unknown("the outcome was not known before the deadline") from None
-        return answer_of(ending, request, revision)
+            raise outcome_unknown_refusal(
+                "the outcome was not known before the deadline"
+            ) from None
+        return answer_from_result(ending, request, revision)
 
-    async def _attempt(
+    async def _run_attempt(
         self,
         request: OrderRequest,
         token: str,
         ticket: Ticket,
         sub_request: SubRequest,
-        ended: "asyncio.Future[Ending]",
+        result_future: "asyncio.Future[AttemptResult]",
     ) -> None:
         loop = asyncio.get_running_loop()
         started = loop.time()
-        self._guard.started(
+        self._crash_guard.started(
             sub_request.attempt_id,
             _fingerprint(request),
             ticket.server,
@@ -334,11 +352,13 @@
         outcome = AttemptOutcome.CANCELLED
         hop = start_hop("sub-request")
         try:
-            timeout_s = request.deadline - started + _LATE_REPLY_S
-            outcome, ending = await self._exchange(ticket, sub_request, timeout_s)
+            timeout_s = request.deadline - started + _LATE_REPLY_WAIT_S
+            outcome, ending = await self._send_and_classify(
+                ticket, sub_request, timeout_s
+            )
         finally:
-            ticket.finish(outcome, (loop.time() - started) * _MILLISECONDS)
-            self._guard.ended(sub_request.attempt_id, outcome)
+            ticket.finish(outcome, (loop.time() - started) * _ONE_SECOND_MS)
+            self._crash_guard.ended(sub_request.attempt_id, outcome)
             hop.end(
                 shard=sub_request.shard,
                 server=ticket.server,
@@ -346,41 +366,45 @@
                 hedge=False,
                 outcome=outcome.value,
             )
-        await self._record(request.key, token, ending)
-        if not ended.done():
-            ended.set_result(ending)
+        await self._record_outcome(request.key, token, ending)
+        if not result_future.done():
+            result_future.set_result(ending)
 
-    async def _exchange(
+    async def _send_and_classify(
         self, ticket: Ticket, sub_request: SubRequest, timeout_s: float
-    ) -> tuple[AttemptOutcome, Ending]:
+    ) -> tuple[AttemptOutcome, AttemptResult]:
         try:
             reply = await self._send(ticket, sub_request, timeout_s)
         except ConnectFailed as error:
-            ending = Ending("not_run", "connect_failed", error.message)
+            ending = AttemptResult("not_run", "connect_failed", error.message)
             return AttemptOutcome.CONNECTION_LOST, ending
         except ReplyLost as error:
-            if error.server_gone:
-                self._guard.server_crashed(
+            if error.server_unreachable:
+                self._crash_guard.server_crashed(
                     ticket.server,
                     ticket.incarnation,
                     sub_request.service,
                     ticket.availability_zone,
                 )
-            ending = Ending("unknown", "reply_lost", error.message)
+            ending = AttemptResult("unknown", "reply_lost", error.message)
             return AttemptOutcome.CONNECTION_LOST, ending
         except ReplyInvalid as error:
-            ending = Ending("unknown", "reply_invalid", error.message)
+            ending = AttemptResult("unknown", "reply_invalid", error.message)
             return AttemptOutcome.FAILED, ending
         except TimeoutError:
-            ending = Ending("unknown", "no_reply", "the backend server did not reply")
+            ending = AttemptResult(
+                "unknown", "no_reply", "the backend server did not reply"
+            )
             return AttemptOutcome.TIMEOUT, ending
-        return OUTCOME_OF_STATUS[reply.status], ending_of(reply, sub_request)
+        return OUTCOME_BY_STATUS[reply.status], result_from_reply(reply, sub_request)
 
-    async def _record(self, key: str, token: str, ending: Ending) -> None:
-        deadline = asyncio.get_running_loop().time() + _RECORD_S
+    async def _record_outcome(
+        self, key: str, token: str, result: AttemptResult
+    ) -> None:
+        deadline = asyncio.get_running_loop().time() + _LEDGER_WRITE_TIMEOUT_S
         try:
             await self._ledger.outcome(
-                key, token, ending.kind, ending.status, ending.body, deadline=deadline
+                key, token, result.kind, result.status, result.body, deadline=deadline
             )
         except KingcuplugError:
             # The answer is still true; a resend will get `outcome_unknown`.
@@ -391,7 +415,7 @@
     return fingerprint_of(request.service, "order", request.body)
 
 
-def _require_time(request: OrderRequest) -> None:
+def _require_time_left(request: OrderRequest) -> None:
     if request.deadline <= asyncio.get_running_loop().time():
         raise not_run(
             RefusalReason.DEADLINE_EXCEEDED,
--- a/packages/query/src/kingcuplug_query/_query.py
+++ b/packages/query/src/kingcuplug_query/_query.py
@@ -21,29 +21,33 @@
 from kingcuplug_configuration import Service
 from kingcuplug_routing import Admission, CrashGuard, Router, SnapshotView
 
-from kingcuplug_query._backend import Cancel, Send
-from kingcuplug_query._background import Background
-from kingcuplug_query._gather import Allowance, Gather, Network
+from kingcuplug_query._backend_client import CancelAttempt, SendSubRequest
+from kingcuplug_query._background_tasks import Background
 from kingcuplug_query._merge import merge
 from kingcuplug_query._messages import Answer, QueryRequest, ReplyStatus, SubReply
 from kingcuplug_query._query_refusals import (
-    coverage_too_low,
-    require_servable,
-    require_servable_share,
-    require_time,
-    snapshot_unknown,
-    with_kind,
+    coverage_too_low_refusal,
+    require_dependency_served,
+    require_minimum_served,
+    require_time_left,
+    snapshot_unknown_refusal,
+    with_outcome_kind,
+)
+from kingcuplug_query._scatter_gather import (
+    RequestRetryBudget,
+    ScatterGather,
+    ScatterGatherContext,
 )
 from kingcuplug_query._snapshots import choose_snapshot, wanted_shards
 
 __all__ = ["QueryExecutor", "RevisionView", "ServiceRuntime", "fingerprint_of"]
 
 _RETRIES_PER_REQUEST = 8
-_TAIL_FACTOR = 3.0
-_MILLISECONDS = 1_000
+_STRAGGLER_WAIT_FACTOR = 3.0
+_MS_PER_S = 1_000
 _NEWER_SNAPSHOT_WAIT_S = 0.25
-_NEWER_SNAPSHOT_POLL_S = 0.01
-_RESTART_RESERVE = 0.5
+_NEWER_SNAPSHOT_POLL_INTERVAL_S = 0.01
+_NEWER_SNAPSHOT_WAIT_SHARE = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -93,11 +97,11 @@
     ----------
     send, cancel : Send, Cancel
         The border to the backend servers.
-    guard : CrashGuard
+    crash_guard : CrashGuard
         Shared by all services of this entry host.
     metrics : Metrics
         Counters.
-    background : Background
+    background_tasks : Background
         Owner of the attempts, which may outlive their query.
     zone : str
         The entry host's availability zone.
@@ -105,16 +109,18 @@
 
     def __init__(
         self,
-        send: Send,
-        cancel: Cancel,
-        guard: CrashGuard,
+        send: SendSubRequest,
+        cancel: CancelAttempt,
+        crash_guard: CrashGuard,
         metrics: Metrics,
-        background: Background,
+        background_tasks: Background,
         zone: str,
     ) -> None:
-        self._guard = guard
+        self._crash_guard = crash_guard
         self._metrics = metrics
-        self._network = Network(zone, send, cancel, metrics, background.start)
+        self._context = ScatterGatherContext(
+            zone, send, cancel, metrics, background_tasks.start
+        )
 
     async def run(self, request: QueryRequest, revision: RevisionView) -> Answer:
         """Return the answer to `request`, whole or marked as partial.
@@ -124,28 +130,38 @@
         Refusal
             If there is no answer; its kind says whether the query can have run.
         """
-        return await self._run(request, revision, Allowance(_RETRIES_PER_REQUEST))
+        return await self._run(
+            request, revision, RequestRetryBudget(_RETRIES_PER_REQUEST)
+        )
 
     async def _run(
-        self, request: QueryRequest, revision: RevisionView, allowance: Allowance
+        self,
+        request: QueryRequest,
+        revision: RevisionView,
+        retry_budget: RequestRetryBudget,
     ) -> Answer:
         runtime = revision.find(request.service)
         fingerprint = fingerprint_of(request.service, "query", request.body)
-        self._guard.check(fingerprint)
-        require_time(request)
+        self._crash_guard.check(fingerprint)
+        require_time_left(request)
         dependency_answers = await self._call_dependencies(
-            request, runtime, revision, allowance
+            request, runtime, revision, retry_budget
         )
         view = choose_snapshot(runtime.router.snapshots(), request.partition_key)
         if view is None:
-            raise snapshot_unknown(request.service)
+            raise snapshot_unknown_refusal(request.service)
         sub_requests = len(wanted_shards(view, request.partition_key))
         admission = runtime.admission.admit(
             request.priority, request.deadline, sub_requests
         )
         async with entering("admission", admission):
             return await self._execute(
-                request, runtime, revision, fingerprint, allowance, dependency_answers
+                request,
+                runtime,
+                revision,
+                fingerprint,
+                retry_budget,
+                dependency_answers,
             )
 
     async def _call_dependencies(
@@ -153,7 +169,7 @@
         request: QueryRequest,
         runtime: ServiceRuntime,
         revision: RevisionView,
-        allowance: Allowance,
+        retry_budget: RequestRetryBudget,
     ) -> dict[str, Any] | None:
         declared = runtime.service.depends_on
         for name in request.dependency_requests:
@@ -165,14 +181,14 @@
                     "declare the dependency or drop it from dependency_requests",
                 )
         for name in declared:
-            require_servable(name, revision.find(name).router, request.service)
+            require_dependency_served(name, revision.find(name).router, request.service)
         if not request.dependency_requests:
             return None
         calls = {
-            name: self._call_dependency(name, body, request, revision, allowance)
+            name: self._call_dependency(name, body, request, revision, retry_budget)
             for name, body in request.dependency_requests.items()
         }
-        return await _all_or_first_refusal(calls)
+        return await _await_all_or_cancel(calls)
 
     async def _call_dependency(
         self,
@@ -180,7 +196,7 @@
         body: Any,
         request: QueryRequest,
         revision: RevisionView,
-        allowance: Allowance,
+        retry_budget: RequestRetryBudget,
     ) -> Any:
         policy = revision.find(name).service.policy
         call = QueryRequest(
@@ -193,7 +209,7 @@
         )
         try:
             with start_hop("dependency", service=name):
-                answer = await self._run(call, revision, allowance)
+                answer = await self._run(call, revision, retry_budget)
         except Refusal as refusal:
             raise Refusal(
                 refusal.kind,
@@ -214,33 +230,33 @@
         runtime: ServiceRuntime,
         revision: RevisionView,
         fingerprint: str,
-        allowance: Allowance,
+        retry_budget: RequestRetryBudget,
         dependency_answers: dict[str, Any] | None,
     ) -> Answer:
         view = choose_snapshot(runtime.router.snapshots(), request.partition_key)
         if view is None:
-            raise snapshot_unknown(request.service)
+            raise snapshot_unknown_refusal(request.service)
         restarted = False
         ran_before = False
         while True:
-            require_servable_share(request, view, ran_before)
-            gather = Gather(
+            require_minimum_served(request, view, ran_before)
+            gather = ScatterGather(
                 request,
                 view,
                 runtime.router,
-                self._guard,
+                self._crash_guard,
                 fingerprint,
-                allowance,
-                self._network,
+                retry_budget,
+                self._context,
                 dependency_answers,
             )
             newer = None
             try:
-                await self._collect(request, runtime, gather, fingerprint)
+                await self._scatter(request, runtime, gather, fingerprint)
                 if gather.snapshot_gone and not restarted:
-                    newer = await _newer_snapshot(request, runtime.router, view)
+                    newer = await _await_newer_snapshot(request, runtime.router, view)
                 if newer is None:
-                    await self._await_rest(request, runtime, gather)
+                    await self._await_stragglers(request, runtime, gather)
             finally:
                 gather.close()
             if newer is None:
@@ -249,39 +265,41 @@
             view = newer
             restarted = True
             ran_before = ran_before or gather.may_have_run
-        return self._conclude(request, runtime, revision, gather, ran_before)
+        return self._answer_or_refuse(request, runtime, revision, gather, ran_before)
 
-    async def _collect(
+    async def _scatter(
         self,
         request: QueryRequest,
         runtime: ServiceRuntime,
-        gather: Gather,
+        gather: ScatterGather,
         fingerprint: str,
     ) -> None:
         wanted = wanted_shards(gather.view, request.partition_key)
         rest = list(wanted)
         if runtime.service.policy.canary == "always":
             # A request that crashes servers then meets one server at a time.
-            async with self._guard.canary(fingerprint) as alone:
+            async with self._crash_guard.canary(fingerprint) as alone:
                 if alone:
-                    first = _first_served(gather.view, wanted)
+                    first = _first_served_shard(gather.view, wanted)
                     rest.remove(first)
-                    await gather.run([first], request.deadline, hedged=False)
+                    await gather.fetch([first], request.deadline, allow_hedges=False)
         if gather.refusal is not None or gather.snapshot_gone:
             return
-        await gather.run(rest, self._patience(request, runtime, wanted[0]))
+        await gather.fetch(rest, self._straggler_deadline(request, runtime, wanted[0]))
 
-    async def _await_rest(
-        self, request: QueryRequest, runtime: ServiceRuntime, gather: Gather
+    async def _await_stragglers(
+        self, request: QueryRequest, runtime: ServiceRuntime, gather: ScatterGather
     ) -> None:
         """Wait for what is still on its way: long, if too little is there."""
         wanted = wanted_shards(gather.view, request.partition_key)
         if gather.snapshot_gone:
-            await gather.run((), self._patience(request, runtime, wanted[0]))
+            await gather.fetch(
+                (), self._straggler_deadline(request, runtime, wanted[0])
+            )
         if self._coverage(wanted, gather.replies) < request.minimum_coverage:
-            await gather.run((), request.deadline)
+            await gather.fetch((), request.deadline)
 
-    def _patience(
+    def _straggler_deadline(
         self, request: QueryRequest, runtime: ServiceRuntime, shard: int
     ) -> float:
         """Return until when stragglers are waited for once enough is there."""
@@ -291,24 +309,26 @@
             return request.deadline
         now = asyncio.get_running_loop().time()
         remaining = request.deadline - now
-        tail = min(_TAIL_FACTOR * hedge_delay_ms / _MILLISECONDS, remaining)
+        tail = min(_STRAGGLER_WAIT_FACTOR * hedge_delay_ms / _MS_PER_S, remaining)
         return now + (1 - weight) * tail + weight * remaining
 
-    def _conclude(
+    def _answer_or_refuse(
         self,
         request: QueryRequest,
         runtime: ServiceRuntime,
         revision: RevisionView,
-        gather: Gather,
-        ran_before: bool,
+        gather: ScatterGather,
+        may_have_run_earlier: bool,
     ) -> Answer:
-        ran = ran_before or gather.may_have_run
+        ran = may_have_run_earlier or gather.may_have_run
         if gather.refusal is not None:
-            raise with_kind(gather.refusal, ran)
+            raise with_outcome_kind(gather.refusal, ran)
         wanted = wanted_shards(gather.view, request.partition_key)
         coverage = self._coverage(wanted, gather.replies)
         if not gather.replies or coverage < request.minimum_coverage:
-            raise coverage_too_low(request, gather.faults.values(), coverage, ran)
+            raise coverage_too_low_refusal(
+                request, gather.failures.values(), coverage, ran
+            )
         return Answer(
             value=merge(runtime.service.policy.merge, gather.replies),
             snapshot=gather.view.snapshot,
@@ -328,11 +348,11 @@
         return sum(reply.coverage for reply in replies.values()) / len(wanted)
 
 
-def _first_served(view: SnapshotView, wanted: tuple[int, ...]) -> int:
+def _first_served_shard(view: SnapshotView, wanted: tuple[int, ...]) -> int:
     return next((shard for shard in wanted if shard in view.served_shards), wanted[0])
 
 
-async def _all_or_first_refusal(calls: Mapping[str, Any]) -> dict[str, Any]:
+async def _await_all_or_cancel(calls: Mapping[str, Any]) -> dict[str, Any]:
     tasks = {name: asyncio.ensure_future(call) for name, call in calls.items()}
     try:
         await asyncio.gather(*tasks.values())
@@ -344,25 +364,25 @@
     return {name: task.result() for name, task in tasks.items()}
 
 
-async def _newer_snapshot(
+async def _await_newer_snapshot(
     request: QueryRequest, router: Router, view: SnapshotView
 ) -> SnapshotView | None:
     """Return a newer snapshot with every wanted shard, waiting shortly for one."""
     loop = asyncio.get_running_loop()
     remaining = request.deadline - loop.time()
-    wait = min(_NEWER_SNAPSHOT_WAIT_S, remaining * _RESTART_RESERVE)
+    wait = min(_NEWER_SNAPSHOT_WAIT_S, remaining * _NEWER_SNAPSHOT_WAIT_SHARE)
     give_up = loop.time() + wait
     while True:
         newer = choose_snapshot(
             router.snapshots(), request.partition_key, newer_than=view.snapshot
         )
-        if newer is not None and _serves(newer, request):
+        if newer is not None and _serves_wanted_shards(newer, request):
             return newer
         if loop.time() >= give_up:
             return None
-        await asyncio.sleep(_NEWER_SNAPSHOT_POLL_S)
+        await asyncio.sleep(_NEWER_SNAPSHOT_POLL_INTERVAL_S)
 
 
-def _serves(view: SnapshotView, request: QueryRequest) -> bool:
+def _serves_wanted_shards(view: SnapshotView, request: QueryRequest) -> bool:
     wanted = wanted_shards(view, request.partition_key)
     return all(shard in view.served_shards for shard in wanted)
--- a/packages/query/src/kingcuplug_query/_query_refusals.py
+++ b/packages/query/src/kingcuplug_query/_query_refusals.py
@@ -10,18 +10,18 @@
 from kingcuplug_query._snapshots import wanted_shards
 
 __all__ = [
-    "coverage_too_low",
-    "require_servable",
-    "require_servable_share",
-    "require_time",
-    "snapshot_unknown",
-    "with_kind",
+    "coverage_too_low_refusal",
+    "require_dependency_served",
+    "require_minimum_served",
+    "require_time_left",
+    "snapshot_unknown_refusal",
+    "with_outcome_kind",
 ]
 
-_MILLISECONDS = 1_000
+_RETRY_AFTER_MS = 1_000
 
 
-def require_time(request: QueryRequest) -> None:
+def require_time_left(request: QueryRequest) -> None:
     """Refuse if the deadline has passed."""
     if request.deadline <= asyncio.get_running_loop().time():
         raise Refusal(
@@ -32,7 +32,7 @@
         )
 
 
-def require_servable(name: str, router: Router, dependent: str) -> None:
+def require_dependency_served(name: str, router: Router, dependent: str) -> None:
     """Refuse if no backend server serves the dependency `name`."""
     if any(view.served_shards for view in router.snapshots()):
         return
@@ -41,12 +41,12 @@
         RefusalReason.DEPENDENCY_UNAVAILABLE,
         f"service {dependent!r} needs {name!r}, which no backend server serves",
         f"start backend servers of {name!r}",
-        retry_after_ms=_MILLISECONDS,
+        retry_after_ms=_RETRY_AFTER_MS,
     )
 
 
-def require_servable_share(
-    request: QueryRequest, view: SnapshotView, ran_before: bool
+def require_minimum_served(
+    request: QueryRequest, view: SnapshotView, may_have_run_earlier: bool
 ) -> None:
     """Refuse if too few of the wanted shards have a backend server at all."""
     wanted = wanted_shards(view, request.partition_key)
@@ -54,43 +54,43 @@
     if served and served / len(wanted) >= request.minimum_coverage:
         return
     raise Refusal(
-        RefusalKind.OUTCOME_UNKNOWN if ran_before else RefusalKind.NOT_RUN,
+        RefusalKind.OUTCOME_UNKNOWN if may_have_run_earlier else RefusalKind.NOT_RUN,
         RefusalReason.COVERAGE_TOO_LOW,
         f"backend servers serve {served} of {len(wanted)} wanted shards of "
         f"snapshot {view.snapshot}",
         "lower minimum_coverage or start the missing backend servers",
-        retry_after_ms=_MILLISECONDS,
+        retry_after_ms=_RETRY_AFTER_MS,
     )
 
 
-def snapshot_unknown(service: str) -> Refusal:
+def snapshot_unknown_refusal(service: str) -> Refusal:
     """Return the refusal of a query for which no shard map is known."""
     return Refusal(
         RefusalKind.NOT_RUN,
         RefusalReason.SNAPSHOT_UNKNOWN,
         f"no backend server of {service!r} has announced a snapshot",
         "start backend servers of the service and try again",
-        retry_after_ms=_MILLISECONDS,
+        retry_after_ms=_RETRY_AFTER_MS,
     )
 
 
-def with_kind(refusal: Refusal, ran: bool) -> Refusal:
+def with_outcome_kind(refusal: Refusal, may_have_run: bool) -> Refusal:
     """Return a refusal that says whether the query can have run."""
-    kind = RefusalKind.OUTCOME_UNKNOWN if ran else RefusalKind.NOT_RUN
+    kind = RefusalKind.OUTCOME_UNKNOWN if may_have_run else RefusalKind.NOT_RUN
     return Refusal(
         kind, refusal.reason, refusal.message, refusal.remedy, refusal.retry_after_ms
     )
 
 
-def coverage_too_low(
-    request: QueryRequest, faults: Iterable[str], coverage: float, ran: bool
+def coverage_too_low_refusal(
+    request: QueryRequest, failures: Iterable[str], coverage: float, may_have_run: bool
 ) -> Refusal:
     """Return the refusal of a query that got too little, with the shards' faults."""
     return Refusal(
-        RefusalKind.OUTCOME_UNKNOWN if ran else RefusalKind.NOT_RUN,
+        RefusalKind.OUTCOME_UNKNOWN if may_have_run else RefusalKind.NOT_RUN,
         RefusalReason.COVERAGE_TOO_LOW,
         f"coverage {coverage:.4f} is below {request.minimum_coverage} "
-        f"({'; '.join(sorted(set(faults))) or 'no shard answered'})",
+        f"({'; '.join(sorted(set(failures))) or 'no shard answered'})",
         "send the query again, with a longer deadline_ms or less minimum_coverage",
-        retry_after_ms=_MILLISECONDS,
+        retry_after_ms=_RETRY_AFTER_MS,
     )
--- a/tests/query/test_expiry.py
+++ b/tests/query/test_coarse_timeouts.py
@@ -3,32 +3,32 @@
 import asyncio
 
 import pytest
-from kingcuplug_query._expiry import Expiries
+from kingcuplug_query._coarse_timeouts import CoarseTimer
 from kingcuplug_testkit import run_virtual
 
 
-def test_late_body_is_ended_within_a_step():
+def test_late_body_times_out_within_one_bucket_width():
     """Guards against attempts that wait for ever, or are ended too early."""
 
     async def run() -> float:
-        with pytest.raises(TimeoutError), Expiries().after(0.5):
+        with pytest.raises(TimeoutError), CoarseTimer().timeout(0.5):
             await asyncio.sleep(60)
         return asyncio.get_running_loop().time()
 
-    started = run_virtual(_now())
+    started = run_virtual(_loop_time())
     assert 0.5 <= run_virtual(run()) - started <= 0.52
 
 
-async def _now() -> float:
+async def _loop_time() -> float:
     return asyncio.get_running_loop().time()
 
 
-def test_task_goes_on_after_a_body_that_ended_in_time():
+def test_task_continues_after_body_ends_in_time():
     """Guards against a shared timer that cancels work begun later."""
 
     async def run() -> str:
-        expiries = Expiries()
-        with expiries.after(0.5):
+        expiries = CoarseTimer()
+        with expiries.timeout(0.5):
             await asyncio.sleep(0.1)
         await asyncio.sleep(5)
         return "done"
@@ -36,14 +36,14 @@
     assert run_virtual(run()) == "done"
 
 
-def test_bodies_of_one_step_end_separately():
+def test_timeouts_in_one_bucket_are_independent():
     """Guards against a late attempt that takes a timely one with it."""
 
     async def run() -> list[object]:
-        expiries = Expiries()
+        expiries = CoarseTimer()
 
         async def body(duration_s: float) -> str:
-            with expiries.after(0.5):
+            with expiries.timeout(0.5):
                 await asyncio.sleep(duration_s)
             return "done"
 
@@ -55,12 +55,12 @@
     assert all(isinstance(error, TimeoutError) for error in late)
 
 
-def test_cancellation_by_another_is_no_timeout():
+def test_external_cancellation_is_not_a_timeout():
     """Guards against a shutdown that is taken for a slow backend server."""
 
     async def run() -> bool:
         async def body() -> None:
-            with Expiries().after(0.5):
+            with CoarseTimer().timeout(0.5):
                 await asyncio.sleep(60)
 
         task = asyncio.create_task(body())
@@ -72,13 +72,13 @@
     assert run_virtual(run())
 
 
-def test_task_that_timed_out_can_be_used_again():
+def test_task_is_reusable_after_timeout():
     """Guards against a cancellation that is still counted after the timeout."""
 
     async def run() -> int:
-        expiries = Expiries()
+        expiries = CoarseTimer()
         for _ in range(2):
-            with pytest.raises(TimeoutError), expiries.after(0.1):
+            with pytest.raises(TimeoutError), expiries.timeout(0.1):
                 await asyncio.sleep(60)
         task = asyncio.current_task()
         assert task is not None
--- a/tests/query/test_coverage.py
+++ b/tests/query/test_coverage.py
@@ -14,7 +14,7 @@
     raise ConnectFailed("no", "start it")
 
 
-def test_denominator_is_the_snapshots_map(world: World) -> None:
+def test_coverage_counts_all_shards_of_the_snapshot(world: World) -> None:
     # Guards against counting only shards that some known server holds.
     async def main() -> None:
         world.add("stock")
@@ -87,7 +87,7 @@
     run_virtual(main())
 
 
-def test_unknown_map_is_refused(world: World) -> None:
+def test_unknown_shard_map_is_refused(world: World) -> None:
     # Guards against an empty answer with coverage 1 when no shard map is known.
     async def main() -> None:
         world.add("stock")
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize(("weight", "whole"), [(1.0, True), (0.0, False)])
-def test_coverage_weight_decides_about_stragglers(
+def test_coverage_weight_decides_whether_stragglers_are_awaited(
     world: World, weight: float, whole: bool
 ) -> None:
     # Guards against treating users who weigh coverage and latency alike.
--- a/tests/query/test_crashing.py
+++ b/tests/query/test_crashing.py
@@ -8,16 +8,16 @@
 from kingcuplug_query import ReplyLost, SubRequest
 from kingcuplug_testkit import World, echo, query, run_virtual
 
-POISON = {"poison": True}
+CRASHING_BODY = {"poison": True}
 
 
-def _crash_on_poison(world: World, crashed: list[str]) -> None:
+def _crash_on_crashing_body(world: World, crashed: list[str]) -> None:
     def handler(server: str) -> Any:
         async def handle(request: SubRequest) -> Any:
             await asyncio.sleep(0.005)
-            if request.body == POISON:
+            if request.body == CRASHING_BODY:
                 crashed.append(server)
-                raise ReplyLost("broke", "look", server_gone=True)
+                raise ReplyLost("broke", "look", server_unreachable=True)
             return echo(request)
 
         return handle
@@ -26,37 +26,39 @@
         world.handlers[view.server] = handler(view.server)
 
 
-def test_stops_after_two_servers(world: World) -> None:
+def test_crashing_request_stops_after_two_servers(world: World) -> None:
     # Guards against one request that takes down every replica of every shard.
     async def main() -> None:
         world.add("stock", servers=8, shard_count=8, canary="always")
         crashed: list[str] = []
-        _crash_on_poison(world, crashed)
+        _crash_on_crashing_body(world, crashed)
         with pytest.raises(Refusal) as caught:
-            await world.queries().run(query(body=POISON), world.view())
+            await world.queries().run(query(body=CRASHING_BODY), world.view())
         assert caught.value.reason is RefusalReason.CRASHING_REQUEST
         assert caught.value.kind is RefusalKind.OUTCOME_UNKNOWN
         assert len(set(crashed)) == 2
         # A resend with another id is refused before it reaches any server.
         with pytest.raises(Refusal) as caught:
-            await world.queries().run(query(body=POISON, request_id="r2"), world.view())
+            await world.queries().run(
+                query(body=CRASHING_BODY, request_id="r2"), world.view()
+            )
         assert caught.value.kind is RefusalKind.NOT_RUN
         assert len(crashed) == 2
 
     run_virtual(main())
 
 
-def test_other_requests_go_on(world: World) -> None:
+def test_concurrent_requests_are_not_blamed(world: World) -> None:
     # Guards against condemning requests that ran beside the crashing one.
     async def main() -> None:
         world.add("stock", servers=8, shard_count=8, canary="always")
         crashed: list[str] = []
-        _crash_on_poison(world, crashed)
+        _crash_on_crashing_body(world, crashed)
         innocent = [
             world.queries().run(query(body={"colour": n}), world.view())
             for n in range(5)
         ]
-        poison = world.queries().run(query(body=POISON), world.view())
+        poison = world.queries().run(query(body=CRASHING_BODY), world.view())
         results = await asyncio.gather(*innocent, poison, return_exceptions=True)
         assert isinstance(results.pop(), Refusal)
         assert all(answer.coverage == 1.0 for answer in results)
@@ -67,7 +69,7 @@
     run_virtual(main())
 
 
-def test_canary_goes_alone(world: World) -> None:
+def test_canary_runs_before_other_shards(world: World) -> None:
     # Guards against sending an unknown request to every shard at once.
     async def main() -> None:
         world.add("stock", servers=8, shard_count=8, canary="always")
--- a/tests/query/test_dependencies.py
+++ b/tests/query/test_dependencies.py
@@ -10,7 +10,7 @@
 from kingcuplug_testkit import World, echo, order, query, run_virtual
 
 
-def test_call_inherits_and_passes_answers_on(world: World) -> None:
+def test_call_inherits_deadline_and_priority_and_forwards_answers(world: World) -> None:
     # Guards against dependency calls that outlive their caller or jump the queue.
     async def main() -> None:
         world.add("bands", shard_count=2)
@@ -32,7 +32,7 @@
     run_virtual(main())
 
 
-def test_unservable_dependency_refuses_early(world: World) -> None:
+def test_unserved_dependency_refuses_query_early(world: World) -> None:
     # Guards against using capacity for a request that cannot succeed.
     async def main() -> None:
         world.add("bands")
@@ -47,7 +47,7 @@
     run_virtual(main())
 
 
-def test_unservable_dependency_refuses_an_order_early(world: World) -> None:
+def test_unserved_dependency_refuses_order_early(world: World) -> None:
     # Guards against an order that is claimed and sent although it cannot succeed.
     async def main() -> None:
         world.add("bands")
@@ -76,7 +76,7 @@
     run_virtual(main())
 
 
-def test_retries_do_not_multiply(world: World) -> None:
+def test_retries_do_not_multiply_across_layers(world: World) -> None:
     # Guards against retries of retries when every layer of a chain fails.
     async def main() -> None:
         async def failing(request: SubRequest) -> Any:
@@ -105,7 +105,7 @@
         world.add("stock", depends_on=("bands",))
         admitted: list[str] = []
         for name in ("bands", "stock"):
-            _note_admission(world, name, admitted)
+            _record_admissions(world, name, admitted)
         waiting = asyncio.Event()
 
         async def slow(request: SubRequest) -> Any:
@@ -126,7 +126,7 @@
     run_virtual(main())
 
 
-def _note_admission(world: World, name: str, admitted: list[str]) -> None:
+def _record_admissions(world: World, name: str, admitted: list[str]) -> None:
     admission = world.services[name].admission
     admit = admission.admit
 
--- a/tests/query/test_orders.py
+++ b/tests/query/test_orders.py
@@ -13,11 +13,13 @@
 _DAY_MS = 86_400_000
 
 
-class Runs(Counter[str]):
+class RunCounter(Counter[str]):
     """How often the backend servers ran each key."""
 
 
-async def _run(world: World, host: str = "entry-1", **fields: Any) -> Answer | Refusal:
+async def _run_order(
+    world: World, host: str = "entry-1", **fields: Any
+) -> Answer | Refusal:
     try:
         return await world.orders(host).run(
             order(**fields), world.view(), _RETENTION_DAYS
@@ -26,9 +28,9 @@
         return refusal
 
 
-def _counting(world: World, behaviour: Any = None) -> Runs:
+def _count_runs(world: World, behaviour: Any = None) -> RunCounter:
     """Let every server count its runs, then behave as told."""
-    runs = Runs()
+    runs = RunCounter()
 
     async def handle(request: SubRequest) -> Any:
         await asyncio.sleep(0.005)
@@ -46,45 +48,50 @@
     return world
 
 
-async def _lost(request: SubRequest) -> Any:
-    raise ReplyLost("broke", "look", server_gone=False)
+async def _lose_reply(request: SubRequest) -> Any:
+    raise ReplyLost("broke", "look", server_unreachable=False)
 
 
-async def _silent(request: SubRequest) -> Any:
+async def _never_reply(request: SubRequest) -> Any:
     await asyncio.sleep(120)
 
 
-async def _failed(request: SubRequest) -> Any:
+async def _reply_failed(request: SubRequest) -> Any:
     return echo(request, "failed")
 
 
-async def _garbled(request: SubRequest) -> Any:
+async def _reply_for_wrong_shard(request: SubRequest) -> Any:
     return echo(request) | {"shard": 99}
 
 
-@pytest.mark.parametrize("behaviour", [None, _lost, _silent, _failed, _garbled])
-def test_runs_once_however_often_it_is_sent(stock: World, behaviour: Any) -> None:
+@pytest.mark.parametrize(
+    "behaviour",
+    [None, _lose_reply, _never_reply, _reply_failed, _reply_for_wrong_shard],
+)
+def test_order_sent_repeatedly_runs_once(stock: World, behaviour: Any) -> None:
     # Guards against a retry, a hedge or a resend that runs an order again.
     async def main() -> None:
         stock.add("stock")
-        runs = _counting(stock, behaviour)
+        runs = _count_runs(stock, behaviour)
         for number in range(6):
-            await _run(stock, f"entry-{number % 3}", resend=number > 0)
+            await _run_order(stock, f"entry-{number % 3}", resend=number > 0)
         await asyncio.sleep(60)
-        await _run(stock, resend=True)
+        await _run_order(stock, resend=True)
         assert runs == {KEY: 1}
 
     run_virtual(main())
 
 
-@pytest.mark.parametrize("behaviour", [_lost, _silent, _failed, _garbled])
-def test_doubtful_end_is_outcome_unknown(stock: World, behaviour: Any) -> None:
+@pytest.mark.parametrize(
+    "behaviour", [_lose_reply, _never_reply, _reply_failed, _reply_for_wrong_shard]
+)
+def test_unclear_result_is_outcome_unknown(stock: World, behaviour: Any) -> None:
     # Guards against saying "not run" of an order that may have run.
     async def main() -> None:
         stock.add("stock")
-        _counting(stock, behaviour)
+        _count_runs(stock, behaviour)
         for host in ("entry-1", "entry-2"):
-            refusal = await _run(stock, host)
+            refusal = await _run_order(stock, host)
             assert isinstance(refusal, Refusal)
             assert refusal.kind is RefusalKind.OUTCOME_UNKNOWN
 
@@ -95,9 +102,9 @@
     # Guards against a second answer that contradicts the first one.
     async def main() -> None:
         stock.add("stock")
-        _counting(stock)
-        first = await _run(stock)
-        second = await _run(stock, "entry-2", request_id="r2", resend=True)
+        _count_runs(stock)
+        first = await _run_order(stock)
+        second = await _run_order(stock, "entry-2", request_id="r2", resend=True)
         assert isinstance(first, Answer)
         assert second == first
 
@@ -113,9 +120,9 @@
             await asyncio.sleep(0.3)
             return echo(request)
 
-        runs = _counting(stock, slow)
+        runs = _count_runs(stock, slow)
         first, second = await asyncio.gather(
-            _run(stock), _run(stock, "entry-2", resend=True)
+            _run_order(stock), _run_order(stock, "entry-2", resend=True)
         )
         assert isinstance(first, Answer)
         assert second == first
@@ -133,33 +140,33 @@
             await asyncio.sleep(3)
             return echo(request)
 
-        _counting(stock, late)
-        refusal = await _run(stock)
+        _count_runs(stock, late)
+        refusal = await _run_order(stock)
         assert isinstance(refusal, Refusal)
         assert refusal.kind is RefusalKind.OUTCOME_UNKNOWN
         await asyncio.sleep(5)
-        assert isinstance(await _run(stock, "entry-2", resend=True), Answer)
+        assert isinstance(await _run_order(stock, "entry-2", resend=True), Answer)
 
     run_virtual(main())
 
 
-def test_caller_who_leaves_does_not_cancel_the_order(stock: World) -> None:
+def test_caller_disconnect_does_not_cancel_the_order(stock: World) -> None:
     # Guards against losing the outcome when the caller's connection breaks.
     async def main() -> None:
         stock.add("stock")
-        runs = _counting(stock)
-        leaving = asyncio.create_task(_run(stock))
+        runs = _count_runs(stock)
+        leaving = asyncio.create_task(_run_order(stock))
         await asyncio.sleep(0.004)
         leaving.cancel()
         await asyncio.sleep(1)
         assert runs == {KEY: 1}
-        assert isinstance(await _run(stock, "entry-2", resend=True), Answer)
+        assert isinstance(await _run_order(stock, "entry-2", resend=True), Answer)
 
     run_virtual(main())
 
 
 @pytest.mark.parametrize("status", ["shed", "not_run", "snapshot_gone"])
-def test_server_that_did_not_run_it(stock: World, status: str) -> None:
+def test_order_that_server_did_not_run_is_not_run(stock: World, status: str) -> None:
     # Guards against a second dispatch, and against doubt where there is none.
     async def main() -> None:
         stock.add("stock")
@@ -167,9 +174,9 @@
         async def decline(request: SubRequest) -> Any:
             return echo(request, status)
 
-        _counting(stock, decline)
+        _count_runs(stock, decline)
         for host in ("entry-1", "entry-2"):
-            refusal = await _run(stock, host, resend=host == "entry-2")
+            refusal = await _run_order(stock, host, resend=host == "entry-2")
             assert isinstance(refusal, Refusal)
             assert refusal.kind is RefusalKind.NOT_RUN
             assert refusal.reason is RefusalReason.ORDER_NOT_RUN
@@ -178,20 +185,20 @@
     run_virtual(main())
 
 
-def test_lost_servers_are_found_before_the_dispatch(stock: World) -> None:
+def test_unreachable_servers_are_skipped_before_dispatch(stock: World) -> None:
     # Guards against an order that is refused, with its key spent, because it was
     # dispatched to a lost server while another replica lives.
     async def main() -> None:
         stock.add("stock")
-        runs = _counting(stock)
+        runs = _count_runs(stock)
         stock.down = {"stock-0", "stock-2"}
         for number in range(10):
-            answer = await _run(stock, key=f"{NOW_MS}-abcdefg{number}")
+            answer = await _run_order(stock, key=f"{NOW_MS}-abcdefg{number}")
             assert isinstance(answer, Answer)
         assert {server for server, _ in stock.sent} == {"stock-1"}
         assert set(runs.values()) == {1}
         stock.down = {"stock-0", "stock-1", "stock-2"}
-        refusal = await _run(stock)
+        refusal = await _run_order(stock)
         assert isinstance(refusal, Refusal)
         assert refusal.kind is RefusalKind.NOT_RUN
 
@@ -208,7 +215,7 @@
 
         for view in stock.servers["stock"]:
             stock.handlers[view.server] = no_connection
-        refusal = await _run(stock)
+        refusal = await _run_order(stock)
         assert isinstance(refusal, Refusal)
         assert refusal.kind is RefusalKind.NOT_RUN
 
@@ -223,7 +230,7 @@
     # Guards against a first byte before the quorum has the dispatch.
     async def main() -> None:
         stock.add("stock")
-        runs = _counting(stock)
+        runs = _count_runs(stock)
         if applied:
             stock.ledger_lost = lambda command: command["type"] == step
         else:
@@ -232,7 +239,7 @@
                 if command["type"] == step
                 else None
             )
-        refusal = await _run(stock)
+        refusal = await _run_order(stock)
         assert isinstance(refusal, Refusal)
         assert refusal.reason is RefusalReason.NO_QUORUM
         assert refusal.kind is RefusalKind.NOT_RUN
@@ -240,24 +247,24 @@
         stock.ledger_lost = lambda command: False
         stock.ledger_fault = lambda command: None
         await asyncio.sleep(60)
-        await _run(stock, "entry-2", resend=True)
+        await _run_order(stock, "entry-2", resend=True)
         assert runs[KEY] <= 1
 
     run_virtual(main())
 
 
-def test_answers_survive_an_unrecorded_outcome(stock: World) -> None:
+def test_answer_is_returned_when_outcome_is_not_recorded(stock: World) -> None:
     # Guards against an answer that is lost because the quorum went away after it.
     async def main() -> None:
         stock.add("stock")
-        _counting(stock)
+        _count_runs(stock)
         stock.ledger_fault = lambda command: (
             KingcuplugError("no quorum", "wait")
             if command["type"] == "outcome"
             else None
         )
-        assert isinstance(await _run(stock), Answer)
-        refusal = await _run(stock, "entry-2", resend=True)
+        assert isinstance(await _run_order(stock), Answer)
+        refusal = await _run_order(stock, "entry-2", resend=True)
         assert isinstance(refusal, Refusal)
         assert refusal.kind is RefusalKind.OUTCOME_UNKNOWN
         assert len(stock.sent) == 1
@@ -265,13 +272,13 @@
     run_virtual(main())
 
 
-def test_no_quorum_leaves_a_resend_in_doubt(stock: World) -> None:
+def test_resend_without_quorum_is_outcome_unknown(stock: World) -> None:
     # Guards against "not run" for a resend whose first copy may have run.
     async def main() -> None:
         stock.add("stock")
         stock.ledger_fault = lambda command: KingcuplugError("no quorum", "wait")
-        first = await _run(stock)
-        resend = await _run(stock, resend=True)
+        first = await _run_order(stock)
+        resend = await _run_order(stock, resend=True)
         assert isinstance(first, Refusal)
         assert isinstance(resend, Refusal)
         assert first.kind is RefusalKind.NOT_RUN
@@ -284,9 +291,9 @@
     # Guards against answering one order with the outcome of another.
     async def main() -> None:
         stock.add("stock")
-        runs = _counting(stock)
-        await _run(stock)
-        refusal = await _run(stock, body={"embroider": "Ana"})
+        runs = _count_runs(stock)
+        await _run_order(stock)
+        refusal = await _run_order(stock, body={"embroider": "Ana"})
         assert isinstance(refusal, Refusal)
         assert refusal.reason is RefusalReason.KEY_REUSED
         assert runs == {KEY: 1}
@@ -298,9 +305,9 @@
     # Guards against running an order again after its record was purged.
     async def main() -> None:
         stock.add("stock")
-        runs = _counting(stock)
+        runs = _count_runs(stock)
         old = f"{NOW_MS - (_RETENTION_DAYS + 1) * _DAY_MS}-abcdefgh"
-        refusal = await _run(stock, key=old)
+        refusal = await _run_order(stock, key=old)
         assert isinstance(refusal, Refusal)
         assert refusal.reason is RefusalReason.KEY_EXPIRED
         assert not runs
@@ -308,11 +315,11 @@
     run_virtual(main())
 
 
-def test_claim_of_a_lost_host_is_taken_over(stock: World) -> None:
+def test_claim_of_a_crashed_host_is_taken_over(stock: World) -> None:
     # Guards against an order that nobody can run because its holder crashed.
     async def main() -> None:
         stock.add("stock")
-        runs = _counting(stock)
+        runs = _count_runs(stock)
         stuck = asyncio.Event()
 
         def stop_at_dispatch(command: dict[str, Any]) -> Exception | None:
@@ -322,11 +329,11 @@
             return None
 
         stock.ledger_fault = stop_at_dispatch
-        crashing = asyncio.create_task(_run(stock, "entry-1"))
+        crashing = asyncio.create_task(_run_order(stock, "entry-1"))
         await stuck.wait()
         crashing.cancel()
         stock.holder_lost = lambda host, incarnation: host == "entry-1"
-        answer = await _run(stock, "entry-2", resend=True)
+        answer = await _run_order(stock, "entry-2", resend=True)
         assert isinstance(answer, Answer)
         assert runs == {KEY: 1}
 
--- a/tests/query/test_random_faults.py
+++ b/tests/query/test_random_faults.py
@@ -31,23 +31,23 @@
 _NOT_EXECUTED = {"shed", "gone", "no connection"}
 
 
-class _Scripted:
+class _ScriptedServers:
     """Servers that follow a script, and the truth about what they did."""
 
     def __init__(self, world: World, script: list[str], repartition: bool) -> None:
         self.executed = 0
-        self.truth: dict[tuple[int, int], set[float]] = defaultdict(set)
+        self.returned_coverages: dict[tuple[int, int], set[float]] = defaultdict(set)
         self._world = world
         self._script = script
-        self._next = 0
+        self._request_count = 0
         self._repartition = repartition
         for number in range(_SERVERS):
             world.handlers[f"stock-{number}"] = self._handle
 
     async def _handle(self, request: SubRequest) -> Any:
-        behaviour = self._script[self._next % len(self._script)]
-        self._next += 1
-        self._move()
+        behaviour = self._script[self._request_count % len(self._script)]
+        self._request_count += 1
+        self._repartition_if_due()
         if behaviour not in _NOT_EXECUTED:
             self.executed += 1
         await asyncio.sleep(0.3 if behaviour == "slow" else 0.004)
@@ -68,24 +68,24 @@
             case "no connection":
                 raise ConnectFailed("refused", "start it")
             case "lost":
-                raise ReplyLost("broke", "look", server_gone=False)
+                raise ReplyLost("broke", "look", server_unreachable=False)
             case "crashed":
-                raise ReplyLost("broke", "look", server_gone=True)
+                raise ReplyLost("broke", "look", server_unreachable=True)
         return self._answer(request, 1.0)
 
     def _answer(self, request: SubRequest, coverage: float) -> Any:
-        self.truth[request.snapshot, request.shard].add(coverage)
+        self.returned_coverages[request.snapshot, request.shard].add(coverage)
         status = "ok" if coverage == 1 else "partial"
         return echo(request, status, coverage=coverage)
 
-    def _move(self) -> None:
+    def _repartition_if_due(self) -> None:
         """Announce a repartitioned snapshot while the query runs."""
-        if self._repartition and self._next == 3:
+        if self._repartition and self._request_count == 3:
             held = [Holding(1, 4, (0, 1, 2, 3)), Holding(2, 6, tuple(range(6)))]
             self._world.hold("stock", {f"stock-{n}": held for n in range(_SERVERS)})
 
 
-def _check_answer(answer: Answer, scripted: _Scripted) -> None:
+def _check_answer(answer: Answer, scripted: _ScriptedServers) -> None:
     shards = {4: 1, 6: 2}
     assert shards[answer.shard_count] == answer.snapshot
     assert {part["value"][0] for part in answer.value} == {answer.snapshot}
@@ -94,7 +94,7 @@
     for part in answer.value:
         assert part["value"][1] == part["shard"]
         share = answer.partial_shards.get(part["shard"], 1.0)
-        assert share in scripted.truth[answer.snapshot, part["shard"]]
+        assert share in scripted.returned_coverages[answer.snapshot, part["shard"]]
     covered = sum(answer.partial_shards.get(shard, 1.0) for shard in answered)
     assert answer.coverage == covered / answer.shard_count
     missing = set(range(answer.shard_count)) - set(answered)
@@ -116,7 +116,7 @@
     weight=st.sampled_from([0.0, 0.5, 1.0]),
     canary=st.sampled_from(["always", "off"]),
 )
-def test_answers_and_refusals_are_true(
+def test_answers_and_refusals_match_what_servers_did(
     script: list[str], repartition: bool, minimum: float, weight: float, canary: str
 ) -> None:
     # Guards against any mix of faults that leads to a mixed snapshot, an untrue
@@ -124,7 +124,7 @@
     async def main() -> None:
         world = World()
         world.add("stock", _SERVERS, 4, coverage_weight=weight, canary=canary)
-        scripted = _Scripted(world, script, repartition)
+        scripted = _ScriptedServers(world, script, repartition)
         loop = asyncio.get_running_loop()
         for _ in range(3):
             executed, started = scripted.executed, loop.time()
--- a/tests/query/test_refusals.py
+++ b/tests/query/test_refusals.py
@@ -16,42 +16,42 @@
 from kingcuplug_testkit import World, echo, query, run_virtual
 
 
-async def _shed(request: SubRequest) -> Any:
+async def _reply_shed(request: SubRequest) -> Any:
     return echo(request, "shed")
 
 
-async def _connect_failed(request: SubRequest) -> Any:
+async def _fail_to_connect(request: SubRequest) -> Any:
     raise ConnectFailed("no connection", "start it")
 
 
-async def _lost(request: SubRequest) -> Any:
-    raise ReplyLost("broke", "look", server_gone=False)
+async def _lose_reply(request: SubRequest) -> Any:
+    raise ReplyLost("broke", "look", server_unreachable=False)
 
 
-async def _silent(request: SubRequest) -> Any:
+async def _never_reply(request: SubRequest) -> Any:
     await asyncio.sleep(10)
 
 
-async def _failed(request: SubRequest) -> Any:
+async def _reply_failed(request: SubRequest) -> Any:
     return echo(request, "failed")
 
 
-async def _crossed(request: SubRequest) -> Any:
+async def _reply_to_another_attempt(request: SubRequest) -> Any:
     return echo(request) | {"attempt_id": "another"}
 
 
 @pytest.mark.parametrize(
     ("behaviour", "kind"),
     [
-        (_shed, RefusalKind.NOT_RUN),
-        (_connect_failed, RefusalKind.NOT_RUN),
-        (_lost, RefusalKind.OUTCOME_UNKNOWN),
-        (_silent, RefusalKind.OUTCOME_UNKNOWN),
-        (_failed, RefusalKind.OUTCOME_UNKNOWN),
-        (_crossed, RefusalKind.OUTCOME_UNKNOWN),
+        (_reply_shed, RefusalKind.NOT_RUN),
+        (_fail_to_connect, RefusalKind.NOT_RUN),
+        (_lose_reply, RefusalKind.OUTCOME_UNKNOWN),
+        (_never_reply, RefusalKind.OUTCOME_UNKNOWN),
+        (_reply_failed, RefusalKind.OUTCOME_UNKNOWN),
+        (_reply_to_another_attempt, RefusalKind.OUTCOME_UNKNOWN),
     ],
 )
-def test_kind_follows_what_servers_can_have_done(
+def test_refusal_kind_says_whether_servers_may_have_run_it(
     world: World, behaviour: Any, kind: RefusalKind
 ) -> None:
     # Guards against saying "not run" of work that a backend server may have done.
@@ -65,14 +65,14 @@
     run_virtual(main())
 
 
-def test_work_before_a_restart_is_not_forgotten(world: World) -> None:
+def test_run_before_a_restart_makes_outcome_unknown(world: World) -> None:
     # Guards against "not run" of a query that ran on the snapshot before.
     async def main() -> None:
         world.add("stock", servers=4, shard_count=2)
 
         async def repartitioned(request: SubRequest) -> Any:
             if request.snapshot == 2:
-                return await _connect_failed(request)
+                return await _fail_to_connect(request)
             if request.shard == 0:
                 return echo(request, "failed")
             await asyncio.sleep(0.01)
@@ -102,7 +102,7 @@
     run_virtual(main())
 
 
-def test_deadline_and_priority_travel(world: World) -> None:
+def test_deadline_and_priority_are_propagated(world: World) -> None:
     # Guards against backend servers that work on after the caller's deadline.
     async def main() -> None:
         world.add("stock")
@@ -113,11 +113,11 @@
     run_virtual(main())
 
 
-def test_crossed_reply_is_dropped_and_retried(world: World) -> None:
+def test_reply_to_another_attempt_is_dropped_and_retried(world: World) -> None:
     # Guards against giving a caller the answer to another caller's request.
     async def main() -> None:
         world.add("stock")
-        world.handlers["stock-0"] = _crossed
+        world.handlers["stock-0"] = _reply_to_another_attempt
         answer = await world.queries().run(query(), world.view())
         assert not answer.partial
         assert world.metrics.counts["query.reply_invalid"] >= 1
--- a/tests/query/test_resent_orders.py
+++ b/tests/query/test_resent_orders.py
@@ -12,7 +12,7 @@
 from kingcuplug_testkit import run_virtual
 
 
-class Ledger:
+class LedgerStub:
     """Grants every claim and takes back every token."""
 
     def __init__(self) -> None:
@@ -27,10 +27,10 @@
         self.released.append(token)
 
 
-class Full:
+class OverloadedAdmission:
     """Admission that refuses everybody."""
 
-    def admit(self, *arguments: Any) -> "Full":
+    def admit(self, *arguments: Any) -> "OverloadedAdmission":
         """Return a context manager that refuses."""
         return self
 
@@ -45,15 +45,13 @@
     ("resend", "kind"),
     [(False, RefusalKind.NOT_RUN), (True, RefusalKind.OUTCOME_UNKNOWN)],
 )
-def test_resend_that_held_the_claim_does_not_deny_a_run(
-    resend: bool, kind: RefusalKind
-):
+def test_resend_with_released_claim_is_outcome_unknown(resend: bool, kind: RefusalKind):
     """Guards against ``not_run`` for a key that an earlier copy then runs.
 
     The resend gives its claim back when admission refuses it, and an earlier copy
     that still waits for the claim takes it.
     """
-    ledger = Ledger()
+    ledger = LedgerStub()
 
     async def run() -> Refusal:
         background = Background()
@@ -68,7 +66,7 @@
             None,
         )
         service = SimpleNamespace(depends_on=())
-        runtime = SimpleNamespace(admission=Full(), service=service)
+        runtime = SimpleNamespace(admission=OverloadedAdmission(), service=service)
         view = SimpleNamespace(number=1, find=lambda _: runtime)
         deadline = asyncio.get_running_loop().time() + 1.0
         order = OrderRequest(
--- a/tests/query/test_snapshots.py
+++ b/tests/query/test_snapshots.py
@@ -8,7 +8,7 @@
 from kingcuplug_testkit import World, echo, query, run_virtual
 
 
-def _snapshots(world: World) -> set[tuple[int, int]]:
+def _sent_snapshots(world: World) -> set[tuple[int, int]]:
     return {(request.snapshot, request.shard_count) for _, request in world.sent}
 
 
@@ -20,12 +20,12 @@
         world.hold("stock", {"stock-0": [old, new], "stock-1": [old]})
         answer = await world.queries().run(query(), world.view())
         assert (answer.snapshot, answer.coverage) == (1, 1.0)
-        assert _snapshots(world) == {(1, 2)}
+        assert _sent_snapshots(world) == {(1, 2)}
 
     run_virtual(main())
 
 
-def test_tries_another_holder(world: World) -> None:
+def test_retries_on_another_replica(world: World) -> None:
     # Guards against giving up a shard that another replica still holds.
     async def main() -> None:
         world.add("stock", snapshots=(1,))
@@ -36,7 +36,7 @@
         world.handlers["stock-0"] = moved
         answer = await world.queries().run(query(), world.view())
         assert not answer.partial
-        assert _snapshots(world) == {(1, 4)}
+        assert _sent_snapshots(world) == {(1, 4)}
 
     run_virtual(main())
 
@@ -94,7 +94,7 @@
     run_virtual(main())
 
 
-def test_partition_key_follows_the_snapshots_map(world: World) -> None:
+def test_partition_key_uses_shard_map_of_the_snapshot(world: World) -> None:
     # Guards against looking up a key in the shard map of another snapshot.
     async def main() -> None:
         shards = []
