--- a/packages/query/src/kingcuplug_query/__init__.py
+++ b/packages/query/src/kingcuplug_query/__init__.py
@@ -2,9 +2,9 @@
 
 from kingcuplug_query._backend_client import (
     CancelAttempt,
-    CheckReachable,
     ConnectFailed,
     HttpBackend,
+    IsReachable,
     ReplyLost,
     SendSubRequest,
 )
@@ -33,9 +33,9 @@
     "Answer",
     "Background",
     "CancelAttempt",
-    "CheckReachable",
     "ConnectFailed",
     "HttpBackend",
+    "IsReachable",
     "OrderExecutor",
     "OrderRequest",
     "QueryExecutor",
--- a/packages/query/src/kingcuplug_query/_attempt_results.py
+++ b/packages/query/src/kingcuplug_query/_attempt_results.py
@@ -1,4 +1,4 @@
-"""How the only attempt of an order ended, and what its caller is told."""
+"""Result of the only attempt of an order, and the answer to its caller."""
 
 import dataclasses
 from typing import Any
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How the only attempt ended."""
+    """Result of the only attempt of an order, as the ledger records it."""
 
     kind: OutcomeKind
     status: str
@@ -68,8 +68,8 @@
 
 def _result_from_stored(outcome: StoredOutcome) -> AttemptResult:
     if outcome.kind == "done" and outcome.body is None:
-        note = {"value_digest": outcome.body_digest}
-        return AttemptResult("done", outcome.status, {"value": note})
+        digest_value = {"value_digest": outcome.body_digest}
+        return AttemptResult("done", outcome.status, {"value": digest_value})
     return AttemptResult(outcome.kind, outcome.status, outcome.body)
 
 
--- a/packages/query/src/kingcuplug_query/_backend_client.py
+++ b/packages/query/src/kingcuplug_query/_backend_client.py
@@ -1,8 +1,8 @@
-"""The border to backend servers.
+"""Transport to backend servers.
 
-`Send` is the interface that tests replace; `HttpBackend` is the real one. The
-difference between "nothing was sent" and "something may have been sent" is made
-here and nowhere else, because only the transport can know it.
+`SendSubRequest`, `IsReachable` and `CancelAttempt` are the interface that tests
+replace; `HttpBackend` implements it over HTTP. Only the transport can tell whether
+nothing was sent or something may have been sent, so that distinction is made here.
 """
 
 import asyncio
@@ -20,9 +20,9 @@
 
 __all__ = [
     "CancelAttempt",
-    "CheckReachable",
     "ConnectFailed",
     "HttpBackend",
+    "IsReachable",
     "ReplyLost",
     "SendSubRequest",
 ]
@@ -35,12 +35,12 @@
 _JSON_HEADERS = {"Content-Type": "application/json"}
 
 SendSubRequest = Callable[[Ticket, SubRequest, float], Awaitable[SubReply]]
-CheckReachable = Callable[[Ticket], Awaitable[bool]]
+IsReachable = Callable[[Ticket], Awaitable[bool]]
 CancelAttempt = Callable[[Ticket, str], Awaitable[None]]
 
 
 class ConnectFailed(KingcuplugError):
-    """No connection could be made, so no byte of the sub-request was sent."""
+    """No connection was established, so no byte of the sub-request was sent."""
 
 
 class ReplyLost(KingcuplugError):
@@ -49,8 +49,8 @@
     Parameters
     ----------
     server_unreachable : bool
-        Whether the server also refused a new connection, which suggests that its
-        process ended.
+        Whether a new connection to the server failed too, which suggests that its
+        process has ended.
     """
 
     def __init__(self, message: str, remedy: str, server_unreachable: bool) -> None:
@@ -69,7 +69,7 @@
     Attributes
     ----------
     local_address : str or None
-        IP address that new pools connect from; ``None`` leaves it to the system.
+        Source IP address of new pools; ``None`` lets the system choose it.
     """
 
     def __init__(self, tls: ssl.SSLContext | None = None) -> None:
@@ -81,21 +81,21 @@
         self._connection_limits: dict[str, int] = {}
 
     def limit(self, address: str, max_connections: int) -> None:
-        """Set how many connections this host may open to one server."""
+        """Set the maximum number of connections from this host to one server."""
         self._connection_limits[address] = max_connections
         session = self._sessions.get(address)
         if session is not None and session.connector is not None:
             session.connector._limit = max_connections
 
     def forget(self, address: str) -> None:
-        """Close the pool of a server that has left."""
+        """Close the connection pool of a server that was removed."""
         self._connection_limits.pop(address, None)
         session = self._sessions.pop(address, None)
         if session is not None:
             asyncio.get_running_loop().create_task(session.close())
 
     async def close(self) -> None:
-        """Close all pools."""
+        """Close all connection pools."""
         for session in self._sessions.values():
             await session.close()
         self._sessions.clear()
@@ -103,7 +103,7 @@
     async def send(
         self, ticket: Ticket, request: SubRequest, timeout_s: float
     ) -> SubReply:
-        """Send one sub-request and return its checked reply.
+        """Send one sub-request and return its validated reply.
 
         Raises
         ------
@@ -112,9 +112,9 @@
         ReplyLost
             If the connection broke afterwards.
         ReplyInvalid
-            If the reply is not one to this attempt; the connection is closed.
+            If the reply does not match this attempt; the connection is closed.
         TimeoutError
-            If no reply came in `timeout_s` seconds.
+            If no reply arrived within `timeout_s` seconds.
         """
         url = f"{self._scheme}://{ticket.address}/sub-request"
         body = orjson.dumps(request.to_json())
@@ -134,11 +134,11 @@
             raise await self._reply_lost_error(ticket, error) from error
 
     async def reachable(self, ticket: Ticket) -> bool:
-        """Return whether a server accepts connections at this moment."""
+        """Return whether a server currently accepts connections."""
         return await self._accepts_connections(ticket.address)
 
     async def cancel(self, ticket: Ticket, attempt_id: str) -> None:
-        """Ask a server to stop an attempt whose reply is no longer wanted."""
+        """Ask a server to stop an attempt whose reply is no longer needed."""
         url = f"{self._scheme}://{ticket.address}/cancel"
         try:
             async with (
@@ -149,13 +149,13 @@
             ):
                 await response.read()
         except (aiohttp.ClientError, ConnectionError, TimeoutError):
-            return  # Cancellation only saves work; the attempt ends by its deadline.
+            return  # Cancellation only saves work; the deadline ends the attempt too.
 
     def _session(self, address: str) -> aiohttp.ClientSession:
         session = self._sessions.get(address)
         if session is None:
-            # One pool per server, so that the connection limit is per server and a
-            # slow server cannot take the connections of another.
+            # One pool per server keeps the connection limit per server, so that a
+            # slow server cannot use up the connections of the others.
             connector = aiohttp.TCPConnector(
                 limit=self._connection_limits.get(address, 0),
                 keepalive_timeout=_KEEPALIVE_TIMEOUT_S,
@@ -182,16 +182,16 @@
                 raise _unreadable_reply_error(request, f"its length is {length} bytes")
             return parse_reply(request, _decode_json(request, await response.read()))
         except ReplyInvalid:
-            # What follows on this connection cannot be trusted to be in step.
+            # Later replies on this connection may belong to other requests.
             response.close()
             raise
 
     async def _reply_lost_error(self, ticket: Ticket, error: Exception) -> ReplyLost:
-        gone = not await self._accepts_connections(ticket.address)
+        unreachable = not await self._accepts_connections(ticket.address)
         return ReplyLost(
             f"connection to backend server {ticket.server} broke: {error!r}",
-            "look at the log of the backend server",
-            server_unreachable=gone,
+            "check the log of the backend server",
+            server_unreachable=unreachable,
         )
 
     async def _accepts_connections(self, address: str) -> bool:
--- a/packages/query/src/kingcuplug_query/_background_tasks.py
+++ b/packages/query/src/kingcuplug_query/_background_tasks.py
@@ -1,4 +1,4 @@
-"""Owner of tasks that may outlive the request that started them."""
+"""Tasks that may outlive the request that started them."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -8,23 +8,23 @@
 
 
 class Background:
-    """Keeps references to running tasks, so that shutdown can wait for them."""
+    """Holds references to running tasks, so that shutdown can wait for them."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def start(self, coroutine: Coroutine[Any, Any, Any]) -> None:
-        """Run `work` as a task."""
+        """Run `coroutine` as a task."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def drain(self, timeout_s: float) -> int:
-        """Wait for all tasks; return how many had to be cancelled."""
+        """Wait for all tasks; cancel and count those that exceed the timeout."""
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=timeout_s)
-        rest = list(self._tasks)
-        for task in rest:
+        unfinished = list(self._tasks)
+        for task in unfinished:
             task.cancel()
-        await asyncio.gather(*rest, return_exceptions=True)
-        return len(rest)
+        await asyncio.gather(*unfinished, return_exceptions=True)
+        return len(unfinished)
--- a/packages/query/src/kingcuplug_query/_coarse_timeouts.py
+++ b/packages/query/src/kingcuplug_query/_coarse_timeouts.py
@@ -1,8 +1,8 @@
-"""Timeouts that share timers.
+"""Timeouts that share timers of the event loop.
 
-Attempts of many queries end within a few milliseconds of one another, and nearly
-all end in time. A timer for each of them costs more than the wait is worth, so the
-ends within one step share one timer of the event loop.
+Attempts of many queries have deadlines within a few milliseconds of one another, and
+nearly all attempts end in time. One event loop timer for each of them is expensive,
+so deadlines are grouped into buckets of fixed width, and each bucket has one timer.
 """
 
 import asyncio
@@ -14,36 +14,36 @@
 
 
 class CoarseTimer:
-    """Timeouts of the tasks of one event loop."""
+    """Schedules the timeouts of one event loop in buckets."""
 
     def __init__(self) -> None:
         self._buckets: dict[int, set[CoarseTimeout]] = {}
 
     def timeout(self, timeout_s: float) -> "CoarseTimeout":
-        """Return a context manager like `asyncio.timeout`, up to 20 ms later."""
+        """Return an equivalent of `asyncio.timeout` that fires up to 20 ms late."""
         return CoarseTimeout(self, timeout_s)
 
     def schedule(
         self, timeout: "CoarseTimeout", deadline: float, loop: asyncio.AbstractEventLoop
     ) -> int:
-        """Let `expiry` fire at the first step after the time `at`."""
-        step = int(deadline / _BUCKET_WIDTH_S) + 1
-        expiries = self._buckets.get(step)
-        if expiries is None:
-            expiries = self._buckets[step] = set()
-            loop.call_at(step * _BUCKET_WIDTH_S, self._expire_bucket, step)
-        expiries.add(timeout)
-        return step
+        """Add `timeout` to the first bucket after `deadline`; return the bucket."""
+        bucket = int(deadline / _BUCKET_WIDTH_S) + 1
+        timeouts = self._buckets.get(bucket)
+        if timeouts is None:
+            timeouts = self._buckets[bucket] = set()
+            loop.call_at(bucket * _BUCKET_WIDTH_S, self._expire_bucket, bucket)
+        timeouts.add(timeout)
+        return bucket
 
     def cancel(self, timeout: "CoarseTimeout", bucket: int) -> None:
-        """Forget an expiry that is no longer needed."""
-        expiries = self._buckets.get(bucket)
-        if expiries is not None:
-            expiries.discard(timeout)
+        """Remove a timeout whose body has ended."""
+        timeouts = self._buckets.get(bucket)
+        if timeouts is not None:
+            timeouts.discard(timeout)
 
     def _expire_bucket(self, bucket: int) -> None:
-        for expiry in self._buckets.pop(bucket):
-            expiry.expire()
+        for timeout in self._buckets.pop(bucket):
+            timeout.expire()
 
 
 class CoarseTimeout:
@@ -74,21 +74,22 @@
 
     def __exit__(
         self,
-        kind: type[BaseException] | None,
-        error: BaseException | None,
+        exc_type: type[BaseException] | None,
+        exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
         if not self._expired:
             self._timer.cancel(self, self._bucket)
             return
-        # A cancellation by somebody else goes on; only the own one is a timeout.
+        # Only this timeout's own cancellation becomes a TimeoutError; a cancellation
+        # requested elsewhere propagates.
         if (
             self._task.uncancel() <= self._cancel_requests_before
-            and kind is asyncio.CancelledError
+            and exc_type is asyncio.CancelledError
         ):
-            raise TimeoutError from error
+            raise TimeoutError from exc
 
     def expire(self) -> None:
-        """Cancel the body."""
+        """Cancel the task that runs the body."""
         self._expired = True
         self._task.cancel()
--- a/packages/query/src/kingcuplug_query/_merge.py
+++ b/packages/query/src/kingcuplug_query/_merge.py
@@ -1,4 +1,4 @@
-"""Merging of the shards' values into one answer."""
+"""Merging of the values of all shards into one answer."""
 
 from collections.abc import Mapping
 from typing import Any
--- a/packages/query/src/kingcuplug_query/_messages.py
+++ b/packages/query/src/kingcuplug_query/_messages.py
@@ -1,7 +1,7 @@
 """Messages between the tier, its callers and the backend servers.
 
-Requests of callers and replies of backend servers are validated here, at the
-border; the rest of the package sees only these dataclasses.
+Requests of callers and replies of backend servers are validated here, on receipt;
+the rest of the package handles only these dataclasses.
 """
 
 import dataclasses
@@ -25,7 +25,7 @@
 
 
 class ReplyInvalid(KingcuplugError):
-    """A reply that does not belong to its attempt or cannot be read."""
+    """A reply that does not match its attempt or cannot be parsed."""
 
 
 class ReplyStatus(StrEnum):
@@ -48,7 +48,7 @@
     deadline : float
         Time on the event loop's clock, in seconds.
     minimum_coverage : float
-        Least served share of the wanted shards, 0 to 1.
+        Smallest acceptable share of the wanted shards, 0 to 1.
     partition_key : str or None
         Restricts the query to the one shard that holds this key.
     dependency_requests : Mapping[str, Any]
@@ -91,12 +91,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SubRequest:
-    """What one attempt asks of one backend server.
+    """The request of one attempt to one backend server.
 
     Attributes
     ----------
     deadline_ms : int
-        Time that remained when the sub-request was sent.
+        Time left until the deadline when the sub-request was built.
     """
 
     request_id: str
@@ -113,7 +113,7 @@
     dependency_answers: Mapping[str, Any] | None = None
 
     def to_json(self) -> dict[str, Any]:
-        """Return the fields as JSON value, without the absent ones."""
+        """Return the fields as a JSON object, without unset optional fields."""
         value = {name: getattr(self, name) for name in _SUB_REQUEST_FIELDS}
         if self.idempotency_key is None:
             del value["idempotency_key"]
@@ -169,7 +169,7 @@
 
 
 def parse_reply(request: SubRequest, reply: Any) -> SubReply:
-    """Return the reply if it belongs to `request`.
+    """Validate a reply to `request` and return it.
 
     Raises
     ------
@@ -199,7 +199,7 @@
     if not 0 <= coverage <= 1:
         raise _invalid_reply_error(request, f"coverage is {coverage!r}, outside 0 to 1")
     if status is ReplyStatus.OK and coverage != 1:
-        # A backend server that states less than everything is believed.
+        # A coverage below 1 takes precedence over the status `ok`.
         status = ReplyStatus.PARTIAL
     return SubReply(status, reply.get("value"), float(coverage))
 
--- a/packages/query/src/kingcuplug_query/_order_refusals.py
+++ b/packages/query/src/kingcuplug_query/_order_refusals.py
@@ -1,4 +1,8 @@
-"""Refusals of orders, and what holds for all copies of one order."""
+"""Refusals of orders.
+
+A caller may send several copies of an order, with the same idempotency key. A
+refusal of one copy must not contradict the outcome of another.
+"""
 
 from typing import Any
 
@@ -30,7 +34,7 @@
 _NEW_KEY_REMEDY = "send the order again with a new idempotency key"
 SAME_KEY_REMEDY = "send the order again with the same idempotency key"
 
-# Refusals that no copy of the same order can contradict.
+# Reasons that hold for every copy of the same order.
 _REASONS_FOR_ALL_COPIES = frozenset(
     (
         RefusalReason.INVALID_REQUEST,
@@ -41,10 +45,10 @@
 
 
 def unsettled(refusal: Refusal, resend: bool) -> Refusal:
-    """Return a refusal of an order that holds for all of its copies.
+    """Return a refusal that holds for all copies of an order.
 
-    Another copy of a resent order may have run or may yet run, even if this one
-    gave its claim back, so ``not_run`` would be a claim that nobody here can make.
+    Another copy of a resent order may have run or may run later, even if this one
+    released its claim, so ``not_run`` is replaced by ``outcome_unknown``.
     """
     if not resend or refusal.kind is RefusalKind.OUTCOME_UNKNOWN:
         return refusal
@@ -83,7 +87,7 @@
 
 def key_refusal(key: str, claim_result: Any) -> Refusal:
     if isinstance(claim_result, KeyExpired):
-        # The record may be purged, so whether an earlier copy ran is not known.
+        # The record may have been purged, so it is unknown whether a copy has run.
         return Refusal(
             RefusalKind.OUTCOME_UNKNOWN,
             RefusalReason.KEY_EXPIRED,
--- a/packages/query/src/kingcuplug_query/_orders.py
+++ b/packages/query/src/kingcuplug_query/_orders.py
@@ -1,8 +1,8 @@
 """Execution of orders, which run at most once.
 
-Each step is recorded on a quorum before the step that it guards: the claim before
-any capacity is taken, the dispatch before the first byte, the outcome before the
-answer. After the dispatch there is no retry and no hedge.
+A quorum of the ledger records each step before the next one starts: the claim before
+capacity is acquired, the dispatch before the first byte is sent, the outcome before
+the answer is returned. After the dispatch there is no retry and no hedge.
 """
 
 import asyncio
@@ -38,8 +38,8 @@
     result_from_reply,
 )
 from kingcuplug_query._backend_client import (
-    CheckReachable,
     ConnectFailed,
+    IsReachable,
     ReplyLost,
     SendSubRequest,
 )
@@ -66,7 +66,7 @@
 __all__ = ["OrderExecutor"]
 
 _ONE_SECOND_MS = 1_000
-# The reply to an order is awaited beyond the caller's deadline, so that a resend
+# The reply is awaited beyond the caller's deadline, so that a resend of the order
 # finds its outcome.
 _LATE_REPLY_WAIT_S = 30.0
 _LEDGER_WRITE_TIMEOUT_S = 30.0
@@ -82,20 +82,20 @@
     ----------
     ledger : LedgerClient
         Access to the order ledger.
-    send : Send
-        The border to the backend servers.
+    send : SendSubRequest
+        Transport to the backend servers.
     crash_guard : CrashGuard
-        Shared by all services of this entry host.
+        Crash guard that all services of this entry host share.
     metrics : Metrics
         Counters.
     background_tasks : Background
-        Owner of attempts and records, which may outlive their request.
+        Runs attempts and ledger writes, which may outlive their request.
     zone : str
         The entry host's availability zone.
-    holder_lost : callable
-        Whether a run of an entry host, by name and incarnation, is known to have
-        ended.
-    reachable : Reachable
+    is_holder_lost : callable
+        Whether the process of an entry host, by host name and incarnation, is known to
+        have ended.
+    is_reachable : IsReachable
         Whether a server accepts connections.
     """
 
@@ -107,27 +107,27 @@
         metrics: Metrics,
         background_tasks: Background,
         zone: str,
-        holder_lost: IsHolderLost,
-        reachable: CheckReachable,
+        is_holder_lost: IsHolderLost,
+        is_reachable: IsReachable,
     ) -> None:
-        self._reachable = reachable
+        self._is_reachable = is_reachable
         self._ledger = ledger
         self._send = send
         self._crash_guard = crash_guard
         self._metrics = metrics
         self._background_tasks = background_tasks
         self._zone = zone
-        self._holder_lost = holder_lost
+        self._is_holder_lost = is_holder_lost
 
     async def run(
         self, request: OrderRequest, revision: RevisionView, retention_days: int
     ) -> Answer:
-        """Run the order, attach to its run, or return its recorded outcome.
+        """Run the order, wait for its run elsewhere, or return its recorded outcome.
 
         Raises
         ------
         Refusal
-            If there is no outcome to return; its kind says whether the order can
+            If there is no outcome to return; its kind says whether the order may
             have run.
         """
         try:
@@ -144,15 +144,15 @@
             require_dependency_served(name, revision.find(name).router, request.service)
         _require_time_left(request)
         retention_ms = retention_days * _MS_PER_DAY
-        token = await self._claim(request, revision.number, retention_ms)
-        if isinstance(token, OrderRecord):
-            return answer_from_record(token, request)
-        return await self._run_claimed(request, runtime, revision.number, token)
+        claim = await self._claim(request, revision.number, retention_ms)
+        if isinstance(claim, OrderRecord):
+            return answer_from_record(claim, request)
+        return await self._run_claimed(request, runtime, revision.number, claim)
 
     async def _claim(
         self, request: OrderRequest, revision: int, retention_ms: int
     ) -> str | OrderRecord:
-        """Return the token of the own claim, or the record of another's."""
+        """Claim the order; return the claim token or the record of an earlier claim."""
         takeover = False
         while True:
             try:
@@ -178,7 +178,7 @@
             record = await self._attach(request)
             if record.state in ("dispatched", "finished"):
                 return record
-            takeover = self._holder_lost(record.host, record.host_incarnation)
+            takeover = self._is_holder_lost(record.host, record.host_incarnation)
             if record.state == "claimed" and not takeover:
                 raise claim_held_refusal(request, record)
 
@@ -186,7 +186,7 @@
         self._metrics.count("order.attached")
         try:
             record = await self._ledger.attach(
-                request.key, deadline=request.deadline, holder_lost=self._holder_lost
+                request.key, deadline=request.deadline, holder_lost=self._is_holder_lost
             )
         except SubmissionUnknown as error:
             raise outcome_unknown_refusal(error.message) from error
@@ -201,25 +201,29 @@
         request: OrderRequest,
         runtime: ServiceRuntime,
         revision: int,
-        token: str,
+        claim_token: str,
     ) -> Answer:
-        sent = False
+        dispatched = False
         try:
             admission = runtime.admission.admit(request.priority, request.deadline)
             async with entering("admission", admission):
                 ticket, sub_request = await self._acquire_capacity(request, runtime)
                 try:
-                    await self._record_dispatch(request, token, ticket, sub_request)
+                    await self._record_dispatch(
+                        request, claim_token, ticket, sub_request
+                    )
                 except BaseException:
                     ticket.finish(AttemptOutcome.CANCELLED, 0.0)
                     raise
-                sent = True
+                dispatched = True
                 return await self._send_and_await_result(
-                    request, token, ticket, sub_request, revision
+                    request, claim_token, ticket, sub_request, revision
                 )
         except (Refusal, asyncio.CancelledError):
-            if not sent:
-                self._background_tasks.start(self._release_claim(request.key, token))
+            if not dispatched:
+                self._background_tasks.start(
+                    self._release_claim(request.key, claim_token)
+                )
             raise
 
     async def _acquire_capacity(
@@ -255,56 +259,60 @@
     async def _acquire_reachable_server(
         self, request: OrderRequest, runtime: ServiceRuntime, snapshot: int, shard: int
     ) -> Ticket:
-        """Return capacity at a server that accepts connections.
+        """Acquire capacity at a server that accepts connections.
 
-        After the dispatch there is no second try, so a lost server has to be found
+        There is no retry after the dispatch, so unreachable servers have to be skipped
         before it.
         """
-        unreachable: set[str] = set()
+        unreachable_servers: set[str] = set()
         while True:
             ticket = await runtime.router.acquire(
                 snapshot,
                 shard,
-                unreachable,
+                unreachable_servers,
                 request.priority,
                 request.deadline,
                 self._zone,
             )
-            if await self._reachable(ticket):
+            if await self._is_reachable(ticket):
                 return ticket
             ticket.finish(AttemptOutcome.CONNECTION_LOST, 0.0)
-            unreachable.add(ticket.server)
+            unreachable_servers.add(ticket.server)
 
     async def _record_dispatch(
-        self, request: OrderRequest, token: str, ticket: Ticket, sub_request: SubRequest
+        self,
+        request: OrderRequest,
+        claim_token: str,
+        ticket: Ticket,
+        sub_request: SubRequest,
     ) -> None:
         try:
             await self._ledger.dispatch(
                 request.key,
-                token,
+                claim_token,
                 ticket.server,
                 sub_request.attempt_id,
                 deadline=request.deadline,
             )
         except MustNotSend as error:
-            # Nobody but this task could send under this token, and it does not.
+            # Only this task may send with this claim token, and it does not.
             raise not_run(
                 RefusalReason.NO_QUORUM, error.message, SAME_KEY_REMEDY
             ) from error
         except KingcuplugError as error:
             raise no_quorum_refusal(error) from error
 
-    async def _release_claim(self, key: str, token: str) -> None:
-        """Spend the token of an order that was not sent."""
+    async def _release_claim(self, key: str, claim_token: str) -> None:
+        """Release the claim of an order that was not sent."""
         deadline = asyncio.get_running_loop().time() + _LEDGER_WRITE_TIMEOUT_S
         try:
-            result = await self._ledger.release(key, token, deadline=deadline)
+            result = await self._ledger.release(key, claim_token, deadline=deadline)
             if (
                 isinstance(result, ReleaseRefused)
                 and result.reason == "already_dispatched"
             ):
                 await self._ledger.outcome(
-                    key, token, "not_run", "not_sent", None, deadline=deadline
+                    key, claim_token, "not_run", "not_sent", None, deadline=deadline
                 )
         except KingcuplugError:
             self._metrics.count("order.release_failed")
@@ -312,37 +320,38 @@
     async def _send_and_await_result(
         self,
         request: OrderRequest,
-        token: str,
+        claim_token: str,
         ticket: Ticket,
         sub_request: SubRequest,
         revision: int,
     ) -> Answer:
-        ended: asyncio.Future[AttemptResult] = (
+        result_future: asyncio.Future[AttemptResult] = (
             asyncio.get_running_loop().create_future()
         )
-        # A caller that leaves must not cancel an order that was dispatched.
+        # The attempt runs in its own task, because a caller that disconnects must not
+        # cancel a dispatched order.
         self._background_tasks.start(
-            self._run_attempt(request, token, ticket, sub_request, ended)
+            self._run_attempt(request, claim_token, ticket, sub_request, result_future)
         )
         try:
             async with asyncio.timeout_at(request.deadline):
-                ending = await ended
+                result = await result_future
         except TimeoutError:
             raise outcome_unknown_refusal(
                 "the outcome was not known before the deadline"
             ) from None
-        return answer_from_result(ending, request, revision)
+        return answer_from_result(result, request, revision)
 
     async def _run_attempt(
         self,
         request: OrderRequest,
-        token: str,
+        claim_token: str,
         ticket: Ticket,
         sub_request: SubRequest,
         result_future: "asyncio.Future[AttemptResult]",
     ) -> None:
         loop = asyncio.get_running_loop()
-        started = loop.time()
+        started_at = loop.time()
         self._crash_guard.started(
             sub_request.attempt_id,
             _fingerprint(request),
@@ -352,12 +361,12 @@
         outcome = AttemptOutcome.CANCELLED
         hop = start_hop("sub-request")
         try:
-            timeout_s = request.deadline - started + _LATE_REPLY_WAIT_S
-            outcome, ending = await self._send_and_classify(
+            timeout_s = request.deadline - started_at + _LATE_REPLY_WAIT_S
+            outcome, result = await self._send_and_classify(
                 ticket, sub_request, timeout_s
             )
         finally:
-            ticket.finish(outcome, (loop.time() - started) * _ONE_SECOND_MS)
+            ticket.finish(outcome, (loop.time() - started_at) * _ONE_SECOND_MS)
             self._crash_guard.ended(sub_request.attempt_id, outcome)
             hop.end(
                 shard=sub_request.shard,
@@ -366,9 +375,9 @@
                 hedge=False,
                 outcome=outcome.value,
             )
-        await self._record_outcome(request.key, token, ending)
+        await self._record_outcome(request.key, claim_token, result)
         if not result_future.done():
-            result_future.set_result(ending)
+            result_future.set_result(result)
 
     async def _send_and_classify(
         self, ticket: Ticket, sub_request: SubRequest, timeout_s: float
@@ -376,8 +385,8 @@
         try:
             reply = await self._send(ticket, sub_request, timeout_s)
         except ConnectFailed as error:
-            ending = AttemptResult("not_run", "connect_failed", error.message)
-            return AttemptOutcome.CONNECTION_LOST, ending
+            result = AttemptResult("not_run", "connect_failed", error.message)
+            return AttemptOutcome.CONNECTION_LOST, result
         except ReplyLost as error:
             if error.server_unreachable:
                 self._crash_guard.server_crashed(
@@ -386,28 +395,33 @@
                     sub_request.service,
                     ticket.availability_zone,
                 )
-            ending = AttemptResult("unknown", "reply_lost", error.message)
-            return AttemptOutcome.CONNECTION_LOST, ending
+            result = AttemptResult("unknown", "reply_lost", error.message)
+            return AttemptOutcome.CONNECTION_LOST, result
         except ReplyInvalid as error:
-            ending = AttemptResult("unknown", "reply_invalid", error.message)
-            return AttemptOutcome.FAILED, ending
+            result = AttemptResult("unknown", "reply_invalid", error.message)
+            return AttemptOutcome.FAILED, result
         except TimeoutError:
-            ending = AttemptResult(
+            result = AttemptResult(
                 "unknown", "no_reply", "the backend server did not reply"
             )
-            return AttemptOutcome.TIMEOUT, ending
+            return AttemptOutcome.TIMEOUT, result
         return OUTCOME_BY_STATUS[reply.status], result_from_reply(reply, sub_request)
 
     async def _record_outcome(
-        self, key: str, token: str, result: AttemptResult
+        self, key: str, claim_token: str, result: AttemptResult
     ) -> None:
         deadline = asyncio.get_running_loop().time() + _LEDGER_WRITE_TIMEOUT_S
         try:
             await self._ledger.outcome(
-                key, token, result.kind, result.status, result.body, deadline=deadline
+                key,
+                claim_token,
+                result.kind,
+                result.status,
+                result.body,
+                deadline=deadline,
             )
         except KingcuplugError:
-            # The answer is still true; a resend will get `outcome_unknown`.
+            # The answer remains valid; a resend will be refused as `outcome_unknown`.
             self._metrics.count("order.outcome_not_recorded")
 
 
--- a/packages/query/src/kingcuplug_query/_query.py
+++ b/packages/query/src/kingcuplug_query/_query.py
@@ -1,7 +1,7 @@
 """Execution of one query under one configuration revision.
 
-The order of the steps matters: dependencies are evaluated before the service's
-own admission, so that nobody holds capacity while waiting for another layer.
+Dependencies are called before the service's own admission, so that no request holds
+capacity of one service while it waits for another.
 """
 
 import asyncio
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceRuntime:
-    """A configured service with the state that routes its requests."""
+    """A configured service with its router and its admission control."""
 
     service: Service
     router: Router
@@ -86,7 +86,7 @@
 
 
 def fingerprint_of(service: str, kind: str, body: Any) -> str:
-    """Return what identifies equal requests, whatever their ids and keys."""
+    """Return a digest that is the same for requests that differ only in id or key."""
     return digest([service, kind, body])
 
 
@@ -95,14 +95,14 @@
 
     Parameters
     ----------
-    send, cancel : Send, Cancel
-        The border to the backend servers.
+    send, cancel : SendSubRequest, CancelAttempt
+        Transport to the backend servers.
     crash_guard : CrashGuard
-        Shared by all services of this entry host.
+        Crash guard that all services of this entry host share.
     metrics : Metrics
         Counters.
     background_tasks : Background
-        Owner of the attempts, which may outlive their query.
+        Runs the attempts, which may outlive their query.
     zone : str
         The entry host's availability zone.
     """
@@ -123,12 +123,12 @@
         )
 
     async def run(self, request: QueryRequest, revision: RevisionView) -> Answer:
-        """Return the answer to `request`, whole or marked as partial.
+        """Return the answer to `request`, complete or marked as partial.
 
         Raises
         ------
         Refusal
-            If there is no answer; its kind says whether the query can have run.
+            If there is no answer; its kind says whether the query may have run.
         """
         return await self._run(
             request, revision, RequestRetryBudget(_RETRIES_PER_REQUEST)
@@ -150,9 +150,9 @@
         view = choose_snapshot(runtime.router.snapshots(), request.partition_key)
         if view is None:
             raise snapshot_unknown_refusal(request.service)
-        sub_requests = len(wanted_shards(view, request.partition_key))
+        sub_request_count = len(wanted_shards(view, request.partition_key))
         admission = runtime.admission.admit(
-            request.priority, request.deadline, sub_requests
+            request.priority, request.deadline, sub_request_count
         )
         async with entering("admission", admission):
             return await self._execute(
@@ -237,9 +237,9 @@
         if view is None:
             raise snapshot_unknown_refusal(request.service)
         restarted = False
-        ran_before = False
+        may_have_run_earlier = False
         while True:
-            require_minimum_served(request, view, ran_before)
+            require_minimum_served(request, view, may_have_run_earlier)
             gather = ScatterGather(
                 request,
                 view,
@@ -264,8 +264,10 @@
             self._metrics.count("query.restarted")
             view = newer
             restarted = True
-            ran_before = ran_before or gather.may_have_run
-        return self._answer_or_refuse(request, runtime, revision, gather, ran_before)
+            may_have_run_earlier = may_have_run_earlier or gather.may_have_run
+        return self._answer_or_refuse(
+            request, runtime, revision, gather, may_have_run_earlier
+        )
 
     async def _scatter(
         self,
@@ -275,22 +277,26 @@
         fingerprint: str,
     ) -> None:
         wanted = wanted_shards(gather.view, request.partition_key)
-        rest = list(wanted)
+        remaining_shards = list(wanted)
         if runtime.service.policy.canary == "always":
-            # A request that crashes servers then meets one server at a time.
-            async with self._crash_guard.canary(fingerprint) as alone:
-                if alone:
-                    first = _first_served_shard(gather.view, wanted)
-                    rest.remove(first)
-                    await gather.fetch([first], request.deadline, allow_hedges=False)
+            # A request that crashes servers is first run by one server only.
+            async with self._crash_guard.canary(fingerprint) as is_canary:
+                if is_canary:
+                    canary_shard = _first_served_shard(gather.view, wanted)
+                    remaining_shards.remove(canary_shard)
+                    await gather.fetch(
+                        [canary_shard], request.deadline, allow_hedges=False
+                    )
         if gather.refusal is not None or gather.snapshot_gone:
             return
-        await gather.fetch(rest, self._straggler_deadline(request, runtime, wanted[0]))
+        await gather.fetch(
+            remaining_shards, self._straggler_deadline(request, runtime, wanted[0])
+        )
 
     async def _await_stragglers(
         self, request: QueryRequest, runtime: ServiceRuntime, gather: ScatterGather
     ) -> None:
-        """Wait for what is still on its way: long, if too little is there."""
+        """Wait for late shards, until the deadline if the coverage is too low."""
         wanted = wanted_shards(gather.view, request.partition_key)
         if gather.snapshot_gone:
             await gather.fetch(
@@ -300,17 +306,25 @@
             await gather.fetch((), request.deadline)
 
     def _straggler_deadline(
-        self, request: QueryRequest, runtime: ServiceRuntime, shard: int
+        self, request: QueryRequest, runtime: ServiceRuntime, sample_shard: int
     ) -> float:
-        """Return until when stragglers are waited for once enough is there."""
-        weight = runtime.service.policy.coverage_weight
-        hedge_delay_ms = runtime.router.hedge_delay_ms(shard)
-        if hedge_delay_ms is None or weight >= 1:
+        """Return the time until which late shards are awaited.
+
+        A low coverage weight ends the wait after a few hedge delays, a weight of 1 at
+        the deadline of the request.
+        """
+        coverage_weight = runtime.service.policy.coverage_weight
+        hedge_delay_ms = runtime.router.hedge_delay_ms(sample_shard)
+        if hedge_delay_ms is None or coverage_weight >= 1:
             return request.deadline
         now = asyncio.get_running_loop().time()
-        remaining = request.deadline - now
-        tail = min(_STRAGGLER_WAIT_FACTOR * hedge_delay_ms / _MS_PER_S, remaining)
-        return now + (1 - weight) * tail + weight * remaining
+        remaining_s = request.deadline - now
+        short_wait_s = min(
+            _STRAGGLER_WAIT_FACTOR * hedge_delay_ms / _MS_PER_S, remaining_s
+        )
+        return (
+            now + (1 - coverage_weight) * short_wait_s + coverage_weight * remaining_s
+        )
 
     def _answer_or_refuse(
         self,
@@ -320,14 +334,14 @@
         gather: ScatterGather,
         may_have_run_earlier: bool,
     ) -> Answer:
-        ran = may_have_run_earlier or gather.may_have_run
+        may_have_run = may_have_run_earlier or gather.may_have_run
         if gather.refusal is not None:
-            raise with_outcome_kind(gather.refusal, ran)
+            raise with_outcome_kind(gather.refusal, may_have_run)
         wanted = wanted_shards(gather.view, request.partition_key)
         coverage = self._coverage(wanted, gather.replies)
         if not gather.replies or coverage < request.minimum_coverage:
             raise coverage_too_low_refusal(
-                request, gather.failures.values(), coverage, ran
+                request, gather.failures.values(), coverage, may_have_run
             )
         return Answer(
             value=merge(runtime.service.policy.merge, gather.replies),
@@ -335,7 +349,9 @@
             shard_count=gather.view.shard_count,
             coverage=coverage,
             revision=revision.number,
-            missing_shards=tuple(s for s in wanted if s not in gather.replies),
+            missing_shards=tuple(
+                shard for shard in wanted if shard not in gather.replies
+            ),
             partial_shards={
                 shard: reply.coverage
                 for shard, reply in sorted(gather.replies.items())
@@ -367,18 +383,18 @@
 async def _await_newer_snapshot(
     request: QueryRequest, router: Router, view: SnapshotView
 ) -> SnapshotView | None:
-    """Return a newer snapshot with every wanted shard, waiting shortly for one."""
+    """Wait briefly for a newer snapshot that serves every wanted shard."""
     loop = asyncio.get_running_loop()
-    remaining = request.deadline - loop.time()
-    wait = min(_NEWER_SNAPSHOT_WAIT_S, remaining * _NEWER_SNAPSHOT_WAIT_SHARE)
-    give_up = loop.time() + wait
+    remaining_s = request.deadline - loop.time()
+    wait_s = min(_NEWER_SNAPSHOT_WAIT_S, remaining_s * _NEWER_SNAPSHOT_WAIT_SHARE)
+    give_up_at = loop.time() + wait_s
     while True:
         newer = choose_snapshot(
             router.snapshots(), request.partition_key, newer_than=view.snapshot
         )
         if newer is not None and _serves_wanted_shards(newer, request):
             return newer
-        if loop.time() >= give_up:
+        if loop.time() >= give_up_at:
             return None
         await asyncio.sleep(_NEWER_SNAPSHOT_POLL_INTERVAL_S)
 
--- a/packages/query/src/kingcuplug_query/_query_refusals.py
+++ b/packages/query/src/kingcuplug_query/_query_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals of queries; each says whether the query can have run."""
+"""Refusals of queries; each says whether the query may have run."""
 
 import asyncio
 from collections.abc import Iterable
@@ -22,7 +22,7 @@
 
 
 def require_time_left(request: QueryRequest) -> None:
-    """Refuse if the deadline has passed."""
+    """Raise a refusal if the deadline has passed."""
     if request.deadline <= asyncio.get_running_loop().time():
         raise Refusal(
             RefusalKind.NOT_RUN,
@@ -33,7 +33,7 @@
 
 
 def require_dependency_served(name: str, router: Router, dependent: str) -> None:
-    """Refuse if no backend server serves the dependency `name`."""
+    """Raise a refusal if no backend server serves the dependency `name`."""
     if any(view.served_shards for view in router.snapshots()):
         return
     raise Refusal(
@@ -48,15 +48,15 @@
 def require_minimum_served(
     request: QueryRequest, view: SnapshotView, may_have_run_earlier: bool
 ) -> None:
-    """Refuse if too few of the wanted shards have a backend server at all."""
+    """Raise a refusal if backend servers serve too few of the wanted shards."""
     wanted = wanted_shards(view, request.partition_key)
-    served = sum(1 for shard in wanted if shard in view.served_shards)
-    if served and served / len(wanted) >= request.minimum_coverage:
+    served_count = sum(1 for shard in wanted if shard in view.served_shards)
+    if served_count and served_count / len(wanted) >= request.minimum_coverage:
         return
     raise Refusal(
         RefusalKind.OUTCOME_UNKNOWN if may_have_run_earlier else RefusalKind.NOT_RUN,
         RefusalReason.COVERAGE_TOO_LOW,
-        f"backend servers serve {served} of {len(wanted)} wanted shards of "
+        f"backend servers serve {served_count} of {len(wanted)} wanted shards of "
         f"snapshot {view.snapshot}",
         "lower minimum_coverage or start the missing backend servers",
         retry_after_ms=_RETRY_AFTER_MS,
@@ -64,7 +64,7 @@
 
 
 def snapshot_unknown_refusal(service: str) -> Refusal:
-    """Return the refusal of a query for which no shard map is known."""
+    """Return the refusal of a query on a service without a known snapshot."""
     return Refusal(
         RefusalKind.NOT_RUN,
         RefusalReason.SNAPSHOT_UNKNOWN,
@@ -75,7 +75,7 @@
 
 
 def with_outcome_kind(refusal: Refusal, may_have_run: bool) -> Refusal:
-    """Return a refusal that says whether the query can have run."""
+    """Return `refusal` with the kind that says whether the query may have run."""
     kind = RefusalKind.OUTCOME_UNKNOWN if may_have_run else RefusalKind.NOT_RUN
     return Refusal(
         kind, refusal.reason, refusal.message, refusal.remedy, refusal.retry_after_ms
@@ -85,7 +85,7 @@
 def coverage_too_low_refusal(
     request: QueryRequest, failures: Iterable[str], coverage: float, may_have_run: bool
 ) -> Refusal:
-    """Return the refusal of a query that got too little, with the shards' faults."""
+    """Return the refusal of a query whose coverage is too low, with the failures."""
     return Refusal(
         RefusalKind.OUTCOME_UNKNOWN if may_have_run else RefusalKind.NOT_RUN,
         RefusalReason.COVERAGE_TOO_LOW,
--- a/packages/query/src/kingcuplug_query/_scatter_gather.py
+++ b/packages/query/src/kingcuplug_query/_scatter_gather.py
@@ -1,7 +1,7 @@
-"""Scatter and gather of one query on one snapshot.
+"""Scatter-gather of one query on one snapshot.
 
-One task per attempt, written straight down. A shard counts once, whichever of its
-attempts answers first; everything that comes later is dropped and counted.
+Each attempt runs in one task. The first answer to arrive for a shard is used; later
+answers for it are dropped and counted in a metric.
 """
 
 import asyncio
@@ -63,14 +63,14 @@
 
 @dataclasses.dataclass(slots=True)
 class RequestRetryBudget:
-    """Retries that one caller's request may use, dependency calls included."""
+    """Retries left to one caller's request, including its dependency calls."""
 
     remaining: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ScatterGatherContext:
-    """What a gather needs of the world outside.
+    """Transport, metrics and task runner that all queries of an entry host share.
 
     Attributes
     ----------
@@ -88,7 +88,7 @@
 
 
 class _NextStep(Enum):
-    """What follows an attempt."""
+    """What to do for a shard after an attempt."""
 
     DONE = auto()
     RETRY = auto()
@@ -97,7 +97,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _InFlightAttempt:
-    """One sub-request on its way."""
+    """One sub-request that was sent and has not ended."""
 
     ticket: Ticket
     request: SubRequest
@@ -107,18 +107,18 @@
 
 
 class ScatterGather:
-    """Collects the shards of one query.
+    """Fetches the shards of one query.
 
     Parameters
     ----------
     request : QueryRequest
         The query.
     view : SnapshotView
-        The snapshot that every attempt is pinned to.
+        The snapshot that every attempt reads.
     router : Router
-        Chooses servers and keeps their limits.
+        Chooses servers and enforces their limits.
     crash_guard : CrashGuard
-        Stops fingerprints that crash servers.
+        Refuses requests that crash servers, by fingerprint.
     fingerprint : str
         The query's fingerprint.
     retry_budget : RequestRetryBudget
@@ -126,18 +126,18 @@
     context : ScatterGatherContext
         Sends and cancels sub-requests.
     dependency_answers : dict or None
-        Passed on with every sub-request.
+        Sent with every sub-request.
 
     Attributes
     ----------
     replies : dict of int to SubReply
         The accepted reply of each shard.
     failures : dict of int to str
-        The last fault of each shard.
+        The last failure of each shard.
     refusal : Refusal or None
-        Why the whole query must stop.
+        Set if the whole query must stop.
     may_have_run : bool
-        Whether a backend server can have acted on any sub-request.
+        Whether a backend server may have executed any sub-request.
     snapshot_gone : bool
         Whether no replica of some shard holds the snapshot any more.
     """
@@ -178,16 +178,16 @@
         self._loop = asyncio.get_running_loop()
 
     async def fetch(
-        self, shards: Iterable[int], until: float, allow_hedges: bool = True
+        self, shards: Iterable[int], wait_until: float, allow_hedges: bool = True
     ) -> None:
-        """Ask for `shards` and return when all ended or at the time `until`.
+        """Fetch `shards`; return when all have ended or at the time `wait_until`.
 
-        It also returns when the snapshot turns out to be gone for a shard; called
-        again, it goes on waiting for the others.
+        It also returns when no replica of a shard holds the snapshot any more; called
+        again, it continues to wait for the other shards.
 
         Parameters
         ----------
-        until : float
+        wait_until : float
             Time on the event loop's clock, in seconds.
         allow_hedges : bool
             Whether slow attempts may be hedged.
@@ -199,12 +199,12 @@
                 continue
             self._pending_shards.add(shard)
             self._context.start_background_task(self._fetch_shard(shard))
-        while self._in_progress and self._loop.time() < until:
-            hedge_at = self._start_due_hedges() if allow_hedges else until
-            await self._wait_for_completion(min(hedge_at, until))
+        while self._in_progress and self._loop.time() < wait_until:
+            hedge_at = self._start_due_hedges() if allow_hedges else wait_until
+            await self._wait_for_completion(min(hedge_at, wait_until))
 
     def close(self) -> None:
-        """Stop waiting; attempts still on their way are cancelled at the servers."""
+        """Stop waiting, and ask the servers to cancel the attempts in flight."""
         if any(self._in_flight.get(shard) for shard in self._pending_shards):
             self.may_have_run = True
         for shard in self._pending_shards:
@@ -220,11 +220,11 @@
             and self.refusal is None
         )
 
-    async def _wait_for_completion(self, until: float) -> None:
+    async def _wait_for_completion(self, wait_until: float) -> None:
         while self._in_progress:
             self._state_changed.clear()
             try:
-                async with asyncio.timeout_at(until):
+                async with asyncio.timeout_at(wait_until):
                     await self._state_changed.wait()
             except TimeoutError:
                 return
@@ -232,21 +232,21 @@
     async def _fetch_shard(
         self, shard: int, hedge_ticket: Ticket | None = None
     ) -> None:
-        """Try replicas of one shard until one answers or none is left."""
-        following = _NextStep.TRY_OTHER_REPLICA
+        """Try replicas of one shard until one answers or no replica is left."""
+        next_step = _NextStep.TRY_OTHER_REPLICA
         if hedge_ticket is not None:
-            following = await self._run_attempt(shard, hedge_ticket, is_hedge=True)
-        while shard in self._pending_shards and following is not _NextStep.DONE:
-            ticket = await self._acquire_ticket(shard, following is _NextStep.RETRY)
+            next_step = await self._run_attempt(shard, hedge_ticket, is_hedge=True)
+        while shard in self._pending_shards and next_step is not _NextStep.DONE:
+            ticket = await self._acquire_ticket(shard, next_step is _NextStep.RETRY)
             if ticket is None:
                 return
-            following = await self._run_attempt(shard, ticket, is_hedge=False)
+            next_step = await self._run_attempt(shard, ticket, is_hedge=False)
 
     async def _acquire_ticket(self, shard: int, is_retry: bool) -> Ticket | None:
-        """Return capacity at an untried replica, or end the shard."""
-        tried = self._tried_servers.setdefault(shard, set())
+        """Acquire capacity at an untried replica; if there is none, end the shard."""
+        tried_servers = self._tried_servers.setdefault(shard, set())
         if is_retry and self._retry_budget.remaining <= 0:
-            self._finish_shard(shard, "the request's retries are used up")
+            self._finish_shard(shard, "the retry budget of the request is exhausted")
             return None
         try:
             self._crash_guard.check(self._fingerprint)
@@ -254,7 +254,7 @@
                 ticket = await self._router.acquire(
                     self.view.snapshot,
                     shard,
-                    tried,
+                    tried_servers,
                     self._request.priority,
                     self._request.deadline,
                     self._context.zone,
@@ -269,43 +269,46 @@
         if is_retry:
             self._retry_budget.remaining -= 1
             self._context.metrics.count("query.retry")
-        tried.add(ticket.server)
+        tried_servers.add(ticket.server)
         return ticket
 
     def _start_due_hedges(self) -> float:
-        """Hedge the attempts that are due; return when the next one will be."""
+        """Send the hedges that are due; return the time when the next one is due."""
         now = self._loop.time()
-        following = self._request.deadline
+        next_due = self._request.deadline
         for shard in sorted(self._pending_shards - self._hedged_shards):
             attempts = self._in_flight.get(shard)
             delay_ms = self._router.hedge_delay_ms(shard)
             if delay_ms is None:
                 continue
-            # An attempt that still waits for capacity has not started its delay.
-            started = attempts[0].started_at if attempts else now
+            # The hedge delay starts when the attempt is sent, not while it waits for
+            # capacity.
+            started_at = attempts[0].started_at if attempts else now
             due = (
-                started + delay_ms * self._hedge_delay_factors.get(shard, 1) / _MS_PER_S
+                started_at
+                + delay_ms * self._hedge_delay_factors.get(shard, 1) / _MS_PER_S
             )
             if due > now:
-                following = min(following, due)
+                next_due = min(next_due, due)
             elif attempts:
                 self._try_hedge(shard)
-                following = min(following, now + delay_ms / _MS_PER_S)
-        return following
+                next_due = min(next_due, now + delay_ms / _MS_PER_S)
+        return next_due
 
     def _try_hedge(self, shard: int) -> None:
-        tried = self._tried_servers[shard]
+        tried_servers = self._tried_servers[shard]
         ticket = self._router.choose(
-            self.view.snapshot, shard, tried, self._context.zone, Attempt.HEDGE
+            self.view.snapshot, shard, tried_servers, self._context.zone, Attempt.HEDGE
         )
         if ticket is None:
-            # No replica has room or the budget is spent; later, that may change.
+            # No replica has capacity or the hedge budget is exhausted; try again after
+            # another delay.
             self._hedge_delay_factors[shard] = (
                 self._hedge_delay_factors.get(shard, 1) + 1
             )
             return
         self._hedged_shards.add(shard)
-        tried.add(ticket.server)
+        tried_servers.add(ticket.server)
         self._context.metrics.count("query.hedge")
         self._context.start_background_task(
             self._fetch_shard(shard, hedge_ticket=ticket)
@@ -314,10 +317,10 @@
     async def _run_attempt(
         self, shard: int, ticket: Ticket, is_hedge: bool
     ) -> _NextStep:
-        """Send one sub-request and return what follows."""
+        """Send one sub-request and return what to do next for its shard."""
         sub_request = self._build_sub_request(shard)
-        started = self._loop.time()
-        attempt = _InFlightAttempt(ticket, sub_request, started, is_hedge)
+        started_at = self._loop.time()
+        attempt = _InFlightAttempt(ticket, sub_request, started_at, is_hedge)
         self._in_flight.setdefault(shard, []).append(attempt)
         self._crash_guard.started(
             sub_request.attempt_id,
@@ -331,7 +334,7 @@
             reply = await self._context.send(
                 ticket,
                 sub_request,
-                self._request.deadline - started + _LATE_REPLY_GRACE_S,
+                self._request.deadline - started_at + _LATE_REPLY_GRACE_S,
             )
             outcome = OUTCOME_BY_STATUS[reply.status]
             return self._handle_reply(shard, attempt, reply)
@@ -363,7 +366,7 @@
         finally:
             if attempt.abandoned:
                 outcome = AttemptOutcome.CANCELLED
-            ticket.finish(outcome, (self._loop.time() - started) * _MS_PER_S)
+            ticket.finish(outcome, (self._loop.time() - started_at) * _MS_PER_S)
             self._crash_guard.ended(sub_request.attempt_id, outcome)
             self._in_flight[shard].remove(attempt)
             hop.end(
@@ -375,9 +378,10 @@
             )
 
     def _report_unreachable(self, sub_request: SubRequest, ticket: Ticket) -> None:
-        """Report a server that accepts no connection, as evidence of a lost zone.
+        """Report an unreachable server to the crash guard.
 
-        Nothing was sent, so this query must not be blamed for it.
+        The report helps to detect the loss of a zone. Nothing was sent, so the attempt
+        ends first and this query is not suspected of crashing the server.
         """
         self._crash_guard.ended(sub_request.attempt_id, AttemptOutcome.CANCELLED)
         self._crash_guard.server_crashed(
@@ -421,8 +425,8 @@
         if reply.status is ReplyStatus.SNAPSHOT_GONE:
             return _NextStep.TRY_OTHER_REPLICA
         if reply.status in _NOT_EXECUTED_STATUSES:
-            # The router backs off from a server that shed; excluding it for the rest
-            # of the query would send its work to the slowest replica.
+            # The router backs off from a server that sheds load. Excluding the server
+            # for the rest of the query would move its work to the slowest replica.
             self._tried_servers[shard].discard(attempt.ticket.server)
         return self._step_after_failure(
             shard, f"a replica replied {reply.status.value}"
@@ -432,7 +436,7 @@
         if shard not in self._pending_shards:
             return _NextStep.DONE
         self.failures[shard] = failure
-        # While another attempt of this shard is on its way it serves as the retry.
+        # Another attempt of this shard that is in flight serves as the retry.
         return _NextStep.DONE if len(self._in_flight[shard]) > 1 else _NextStep.RETRY
 
     def _handle_refusal(self, shard: int, refusal: Refusal) -> None:
--- a/packages/query/src/kingcuplug_query/_snapshots.py
+++ b/packages/query/src/kingcuplug_query/_snapshots.py
@@ -1,4 +1,4 @@
-"""Choice of the one snapshot that a query is answered from."""
+"""Selection of the snapshot that a query reads, and of its shards."""
 
 from collections.abc import Iterable
 
@@ -16,7 +16,7 @@
 
 
 def wanted_shards(view: SnapshotView, partition_key: str | None) -> tuple[int, ...]:
-    """Return the shards a query needs, from the snapshot's own shard map."""
+    """Return the shards that a query reads, by the shard map of the snapshot."""
     if partition_key is None:
         return tuple(range(view.shard_count))
     return (shard_of(partition_key, view.shard_count),)
@@ -29,8 +29,8 @@
 ) -> SnapshotView | None:
     """Return the newest snapshot on which every wanted shard is served.
 
-    Where there is none, return the one with the greatest served share, the newest
-    of equals; ``None`` if no snapshot is known at all.
+    If there is none, return the snapshot with the greatest share of served shards,
+    and the newest of several such snapshots; ``None`` if no snapshot is known.
 
     Parameters
     ----------
@@ -40,15 +40,15 @@
         Consider only snapshots with a greater number.
     """
     best: SnapshotView | None = None
-    best_share = -1.0
+    best_served_share = -1.0
     for view in views:
         if newer_than is not None and view.snapshot <= newer_than:
             continue
         wanted = wanted_shards(view, partition_key)
-        served = sum(1 for shard in wanted if shard in view.served_shards)
-        share = served / len(wanted)
-        if share == 1:
+        served_count = sum(1 for shard in wanted if shard in view.served_shards)
+        served_share = served_count / len(wanted)
+        if served_share == 1:
             return view
-        if share > best_share:
-            best, best_share = view, share
+        if served_share > best_served_share:
+            best, best_served_share = view, served_share
     return best
--- a/tests/query/test_crashing.py
+++ b/tests/query/test_crashing.py
@@ -11,7 +11,7 @@
 CRASHING_BODY = {"poison": True}
 
 
-def _crash_on_crashing_body(world: World, crashed: list[str]) -> None:
+def _install_crashing_handlers(world: World, crashed: list[str]) -> None:
     def handler(server: str) -> Any:
         async def handle(request: SubRequest) -> Any:
             await asyncio.sleep(0.005)
@@ -31,7 +31,7 @@
     async def main() -> None:
         world.add("stock", servers=8, shard_count=8, canary="always")
         crashed: list[str] = []
-        _crash_on_crashing_body(world, crashed)
+        _install_crashing_handlers(world, crashed)
         with pytest.raises(Refusal) as caught:
             await world.queries().run(query(body=CRASHING_BODY), world.view())
         assert caught.value.reason is RefusalReason.CRASHING_REQUEST
@@ -53,7 +53,7 @@
     async def main() -> None:
         world.add("stock", servers=8, shard_count=8, canary="always")
         crashed: list[str] = []
-        _crash_on_crashing_body(world, crashed)
+        _install_crashing_handlers(world, crashed)
         innocent = [
             world.queries().run(query(body={"colour": n}), world.view())
             for n in range(5)
--- a/tests/query/test_orders.py
+++ b/tests/query/test_orders.py
@@ -28,7 +28,7 @@
         return refusal
 
 
-def _count_runs(world: World, behaviour: Any = None) -> RunCounter:
+def _install_counting_handlers(world: World, behaviour: Any = None) -> RunCounter:
     """Let every server count its runs, then behave as told."""
     runs = RunCounter()
 
@@ -72,7 +72,7 @@
     # Guards against a retry, a hedge or a resend that runs an order again.
     async def main() -> None:
         stock.add("stock")
-        runs = _count_runs(stock, behaviour)
+        runs = _install_counting_handlers(stock, behaviour)
         for number in range(6):
             await _run_order(stock, f"entry-{number % 3}", resend=number > 0)
         await asyncio.sleep(60)
@@ -89,7 +89,7 @@
     # Guards against saying "not run" of an order that may have run.
     async def main() -> None:
         stock.add("stock")
-        _count_runs(stock, behaviour)
+        _install_counting_handlers(stock, behaviour)
         for host in ("entry-1", "entry-2"):
             refusal = await _run_order(stock, host)
             assert isinstance(refusal, Refusal)
@@ -102,7 +102,7 @@
     # Guards against a second answer that contradicts the first one.
     async def main() -> None:
         stock.add("stock")
-        _count_runs(stock)
+        _install_counting_handlers(stock)
         first = await _run_order(stock)
         second = await _run_order(stock, "entry-2", request_id="r2", resend=True)
         assert isinstance(first, Answer)
@@ -120,7 +120,7 @@
             await asyncio.sleep(0.3)
             return echo(request)
 
-        runs = _count_runs(stock, slow)
+        runs = _install_counting_handlers(stock, slow)
         first, second = await asyncio.gather(
             _run_order(stock), _run_order(stock, "entry-2", resend=True)
         )
@@ -140,7 +140,7 @@
             await asyncio.sleep(3)
             return echo(request)
 
-        _count_runs(stock, late)
+        _install_counting_handlers(stock, late)
         refusal = await _run_order(stock)
         assert isinstance(refusal, Refusal)
         assert refusal.kind is RefusalKind.OUTCOME_UNKNOWN
@@ -154,7 +154,7 @@
     # Guards against losing the outcome when the caller's connection breaks.
     async def main() -> None:
         stock.add("stock")
-        runs = _count_runs(stock)
+        runs = _install_counting_handlers(stock)
         leaving = asyncio.create_task(_run_order(stock))
         await asyncio.sleep(0.004)
         leaving.cancel()
@@ -174,7 +174,7 @@
         async def decline(request: SubRequest) -> Any:
             return echo(request, status)
 
-        _count_runs(stock, decline)
+        _install_counting_handlers(stock, decline)
         for host in ("entry-1", "entry-2"):
             refusal = await _run_order(stock, host, resend=host == "entry-2")
             assert isinstance(refusal, Refusal)
@@ -190,7 +190,7 @@
     # dispatched to a lost server while another replica lives.
     async def main() -> None:
         stock.add("stock")
-        runs = _count_runs(stock)
+        runs = _install_counting_handlers(stock)
         stock.down = {"stock-0", "stock-2"}
         for number in range(10):
             answer = await _run_order(stock, key=f"{NOW_MS}-abcdefg{number}")
@@ -230,7 +230,7 @@
     # Guards against a first byte before the quorum has the dispatch.
     async def main() -> None:
         stock.add("stock")
-        runs = _count_runs(stock)
+        runs = _install_counting_handlers(stock)
         if applied:
             stock.ledger_lost = lambda command: command["type"] == step
         else:
@@ -257,7 +257,7 @@
     # Guards against an answer that is lost because the quorum went away after it.
     async def main() -> None:
         stock.add("stock")
-        _count_runs(stock)
+        _install_counting_handlers(stock)
         stock.ledger_fault = lambda command: (
             KingcuplugError("no quorum", "wait")
             if command["type"] == "outcome"
@@ -291,7 +291,7 @@
     # Guards against answering one order with the outcome of another.
     async def main() -> None:
         stock.add("stock")
-        runs = _count_runs(stock)
+        runs = _install_counting_handlers(stock)
         await _run_order(stock)
         refusal = await _run_order(stock, body={"embroider": "Ana"})
         assert isinstance(refusal, Refusal)
@@ -305,7 +305,7 @@
     # Guards against running an order again after its record was purged.
     async def main() -> None:
         stock.add("stock")
-        runs = _count_runs(stock)
+        runs = _install_counting_handlers(stock)
         old = f"{NOW_MS - (_RETENTION_DAYS + 1) * _DAY_MS}-abcdefgh"
         refusal = await _run_order(stock, key=old)
         assert isinstance(refusal, Refusal)
@@ -319,7 +319,7 @@
     # Guards against an order that nobody can run because its holder crashed.
     async def main() -> None:
         stock.add("stock")
-        runs = _count_runs(stock)
+        runs = _install_counting_handlers(stock)
         stuck = asyncio.Event()
 
         def stop_at_dispatch(command: dict[str, Any]) -> Exception | None:
--- a/tests/query/test_random_faults.py
+++ b/tests/query/test_random_faults.py
@@ -11,8 +11,8 @@
 from kingcuplug_routing import Holding
 from kingcuplug_testkit import World, echo, query, run_virtual
 
-_SERVERS = 4
-_BEHAVIOURS = (
+_SERVER_COUNT = 4
+_SERVER_BEHAVIOURS = (
     "ok",
     "ok",
     "ok",
@@ -28,7 +28,7 @@
     "crashed",
 )
 # What a server that behaves so has certainly not executed.
-_NOT_EXECUTED = {"shed", "gone", "no connection"}
+_NOT_EXECUTED_BEHAVIOURS = {"shed", "gone", "no connection"}
 
 
 class _ScriptedServers:
@@ -41,14 +41,14 @@
         self._script = script
         self._request_count = 0
         self._repartition = repartition
-        for number in range(_SERVERS):
+        for number in range(_SERVER_COUNT):
             world.handlers[f"stock-{number}"] = self._handle
 
     async def _handle(self, request: SubRequest) -> Any:
         behaviour = self._script[self._request_count % len(self._script)]
         self._request_count += 1
         self._repartition_if_due()
-        if behaviour not in _NOT_EXECUTED:
+        if behaviour not in _NOT_EXECUTED_BEHAVIOURS:
             self.executed += 1
         await asyncio.sleep(0.3 if behaviour == "slow" else 0.004)
         match behaviour:
@@ -82,7 +82,9 @@
         """Announce a repartitioned snapshot while the query runs."""
         if self._repartition and self._request_count == 3:
             held = [Holding(1, 4, (0, 1, 2, 3)), Holding(2, 6, tuple(range(6)))]
-            self._world.hold("stock", {f"stock-{n}": held for n in range(_SERVERS)})
+            self._world.hold(
+                "stock", {f"stock-{n}": held for n in range(_SERVER_COUNT)}
+            )
 
 
 def _check_answer(answer: Answer, scripted: _ScriptedServers) -> None:
@@ -110,7 +112,7 @@
     suppress_health_check=list(HealthCheck),
 )
 @given(
-    script=st.lists(st.sampled_from(_BEHAVIOURS), min_size=1, max_size=14),
+    script=st.lists(st.sampled_from(_SERVER_BEHAVIOURS), min_size=1, max_size=14),
     repartition=st.booleans(),
     minimum=st.sampled_from([0.0, 0.5, 1.0]),
     weight=st.sampled_from([0.0, 0.5, 1.0]),
@@ -123,7 +125,7 @@
     # coverage, a shard counted twice, or "not run" of work that was executed.
     async def main() -> None:
         world = World()
-        world.add("stock", _SERVERS, 4, coverage_weight=weight, canary=canary)
+        world.add("stock", _SERVER_COUNT, 4, coverage_weight=weight, canary=canary)
         scripted = _ScriptedServers(world, script, repartition)
         loop = asyncio.get_running_loop()
         for _ in range(3):
