--- a/tests/query/test_coverage.py
+++ b/tests/query/test_coverage.py
@@ -1,4 +1,4 @@
-"""The coverage stated with an answer must be true."""
+"""An answer states its true coverage."""
 
 import asyncio
 from typing import Any
@@ -15,7 +15,7 @@
 
 
 def test_coverage_counts_all_shards_of_the_snapshot(world: World) -> None:
-    # Guards against counting only shards that some known server holds.
+    # Guards against a coverage that counts only the shards that some server holds.
     async def main() -> None:
         world.add("stock")
         held = [Holding(1, 8, (0, 1, 2))]
@@ -33,11 +33,11 @@
     async def main() -> None:
         world.add("stock", servers=1, shard_count=2)
 
-        async def half(request: SubRequest) -> Any:
+        async def reply_half_of_shard_1(request: SubRequest) -> Any:
             share = 0.5 if request.shard == 1 else 1.0
             return echo(request, "partial" if share < 1 else "ok", coverage=share)
 
-        world.handlers["stock-0"] = half
+        world.handlers["stock-0"] = reply_half_of_shard_1
         answer = await world.queries().run(query(), world.view())
         assert answer.coverage == 0.75
         assert answer.partial_shards == {1: 0.5}
@@ -52,7 +52,7 @@
         world.add("stock", shard_count=1)
         for _ in range(300):
             await world.queries().run(query(), world.view())
-        fast = world.handlers.copy()
+        default_handlers = world.handlers.copy()
 
         async def slow(request: SubRequest) -> Any:
             await asyncio.sleep(0.2)
@@ -60,7 +60,7 @@
 
         world.handlers = {f"stock-{n}": slow for n in range(3)}
         answer = await world.queries().run(query(), world.view())
-        world.handlers = fast
+        world.handlers = default_handlers
         assert world.metrics.counts["query.hedge"] == 1
         assert answer.coverage == 1.0
         assert len(answer.value) == 1
@@ -72,7 +72,7 @@
 
 
 def test_below_minimum_coverage_is_refused(world: World) -> None:
-    # Guards against passing off too little as an answer.
+    # Guards against an answer with less than the requested coverage.
     async def main() -> None:
         world.add("stock")
         world.handlers["stock-0"] = _refuse_connection
@@ -100,26 +100,29 @@
     run_virtual(main())
 
 
-@pytest.mark.parametrize(("weight", "whole"), [(1.0, True), (0.0, False)])
+@pytest.mark.parametrize(("weight", "complete"), [(1.0, True), (0.0, False)])
 def test_coverage_weight_decides_whether_stragglers_are_awaited(
-    world: World, weight: float, whole: bool
+    world: World, weight: float, complete: bool
 ) -> None:
-    # Guards against treating users who weigh coverage and latency alike.
+    # Guards against ignoring the configured weight of coverage against latency.
     async def main() -> None:
         world.add("stock", servers=2, coverage_weight=weight)
         for _ in range(100):
             await world.queries().run(query(), world.view())
 
-        async def straggle(request: SubRequest) -> Any:
+        async def reply_late_for_shard_2(request: SubRequest) -> Any:
             await asyncio.sleep(0.5 if request.shard == 2 else 0.005)
             return echo(request)
 
-        world.handlers = {"stock-0": straggle, "stock-1": straggle}
+        world.handlers = {
+            "stock-0": reply_late_for_shard_2,
+            "stock-1": reply_late_for_shard_2,
+        }
         loop = asyncio.get_running_loop()
         started = loop.time()
         answer = await world.queries().run(query(), world.view())
-        assert answer.partial is not whole
-        assert (loop.time() - started > 0.4) is whole
-        assert answer.missing_shards == (() if whole else (2,))
+        assert answer.partial is not complete
+        assert (loop.time() - started > 0.4) is complete
+        assert answer.missing_shards == (() if complete else (2,))
 
     run_virtual(main())
--- a/tests/query/test_crashing.py
+++ b/tests/query/test_crashing.py
@@ -1,4 +1,4 @@
-"""A request that crashes servers is stopped; innocent requests are not."""
+"""A request that crashes servers is stopped; other requests are not."""
 
 import asyncio
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 def _install_crashing_handlers(world: World, crashed: list[str]) -> None:
-    def handler(server: str) -> Any:
+    def make_handler(server: str) -> Any:
         async def handle(request: SubRequest) -> Any:
             await asyncio.sleep(0.005)
             if request.body == CRASHING_BODY:
@@ -23,11 +23,11 @@
         return handle
 
     for view in world.servers["stock"]:
-        world.handlers[view.server] = handler(view.server)
+        world.handlers[view.server] = make_handler(view.server)
 
 
 def test_crashing_request_stops_after_two_servers(world: World) -> None:
-    # Guards against one request that takes down every replica of every shard.
+    # Guards against one request that crashes every replica of every shard.
     async def main() -> None:
         world.add("stock", servers=8, shard_count=8, canary="always")
         crashed: list[str] = []
@@ -49,28 +49,30 @@
 
 
 def test_concurrent_requests_are_not_blamed(world: World) -> None:
-    # Guards against condemning requests that ran beside the crashing one.
+    # Guards against refusing requests that ran at the same time as a crashing one.
     async def main() -> None:
         world.add("stock", servers=8, shard_count=8, canary="always")
         crashed: list[str] = []
         _install_crashing_handlers(world, crashed)
-        innocent = [
+        harmless = [
             world.queries().run(query(body={"colour": n}), world.view())
             for n in range(5)
         ]
-        poison = world.queries().run(query(body=CRASHING_BODY), world.view())
-        results = await asyncio.gather(*innocent, poison, return_exceptions=True)
+        crashing = world.queries().run(query(body=CRASHING_BODY), world.view())
+        results = await asyncio.gather(*harmless, crashing, return_exceptions=True)
         assert isinstance(results.pop(), Refusal)
         assert all(answer.coverage == 1.0 for answer in results)
         for n in range(5):
-            again = await world.queries().run(query(body={"colour": n}), world.view())
-            assert again.coverage == 1.0
+            repeated = await world.queries().run(
+                query(body={"colour": n}), world.view()
+            )
+            assert repeated.coverage == 1.0
 
     run_virtual(main())
 
 
 def test_canary_runs_before_other_shards(world: World) -> None:
-    # Guards against sending an unknown request to every shard at once.
+    # Guards against sending a request that never completed before to every shard.
     async def main() -> None:
         world.add("stock", servers=8, shard_count=8, canary="always")
         running = asyncio.create_task(world.queries().run(query(), world.view()))
@@ -78,7 +80,7 @@
         assert len(world.sent) == 1
         await running
         assert len(world.sent) == 8
-        # A request that completed before needs no canary.
+        # A request that has completed before needs no canary.
         running = asyncio.create_task(world.queries().run(query(), world.view()))
         await asyncio.sleep(0.002)
         assert len(world.sent) == 16
--- a/tests/query/test_dependencies.py
+++ b/tests/query/test_dependencies.py
@@ -1,4 +1,4 @@
-"""Declared dependencies take part in the request path."""
+"""Calls to declared dependencies before a request runs."""
 
 import asyncio
 from typing import Any
@@ -11,7 +11,8 @@
 
 
 def test_call_inherits_deadline_and_priority_and_forwards_answers(world: World) -> None:
-    # Guards against dependency calls that outlive their caller or jump the queue.
+    # Guards against dependency calls with a longer deadline or a higher priority than
+    # the request that makes them.
     async def main() -> None:
         world.add("bands", shard_count=2)
         world.add("stock", shard_count=2, depends_on=("bands",))
@@ -21,13 +22,13 @@
             dependency_requests={"bands": {"colour": "red"}},
         )
         await world.queries().run(request, world.view())
-        called = [r for _, r in world.sent if r.service == "bands"]
-        own = [r for _, r in world.sent if r.service == "stock"]
+        bands_requests = [r for _, r in world.sent if r.service == "bands"]
+        stock_requests = [r for _, r in world.sent if r.service == "stock"]
         assert {r.request_id for _, r in world.sent} == {"r1"}
         assert {r.priority for _, r in world.sent} == {"urgent"}
-        assert all(r.deadline_ms <= 400 for r in called)
-        assert all(r.deadline_ms < 400 for r in own)
-        assert own[0].dependency_answers["bands"]["coverage"] == 1.0
+        assert all(r.deadline_ms <= 400 for r in bands_requests)
+        assert all(r.deadline_ms < 400 for r in stock_requests)
+        assert stock_requests[0].dependency_answers["bands"]["coverage"] == 1.0
 
     run_virtual(main())
 
@@ -64,7 +65,7 @@
 
 
 def test_undeclared_dependency_is_invalid(world: World) -> None:
-    # Guards against calls around the declared dependencies.
+    # Guards against calls to services that are not declared as dependencies.
     async def main() -> None:
         world.add("bands")
         world.add("stock")
@@ -84,8 +85,8 @@
 
         names = ["a", "b", "c"]
         for number, name in enumerate(names):
-            deeper = tuple(names[number + 1 : number + 2])
-            world.add(name, servers=5, shard_count=4, depends_on=deeper)
+            dependencies = tuple(names[number + 1 : number + 2])
+            world.add(name, servers=5, shard_count=4, depends_on=dependencies)
             for server in range(5):
                 world.handlers[f"{name}-{server}"] = failing
         with pytest.raises(Refusal):
@@ -99,17 +100,17 @@
 
 
 def test_no_capacity_is_held_while_a_dependency_is_called(world: World) -> None:
-    # Guards against two layers that wait for each other's slots.
+    # Guards against a deadlock of two services that wait for each other's capacity.
     async def main() -> None:
         world.add("bands")
         world.add("stock", depends_on=("bands",))
         admitted: list[str] = []
         for name in ("bands", "stock"):
             _record_admissions(world, name, admitted)
-        waiting = asyncio.Event()
+        dependency_called = asyncio.Event()
 
         async def slow(request: SubRequest) -> Any:
-            waiting.set()
+            dependency_called.set()
             await asyncio.sleep(0.05)
             return echo(request)
 
@@ -118,7 +119,7 @@
         running = asyncio.create_task(
             world.queries().run(query(dependency_requests={"bands": {}}), world.view())
         )
-        await waiting.wait()
+        await dependency_called.wait()
         assert admitted == ["bands"]
         await running
         assert admitted == ["bands", "stock"]
@@ -130,8 +131,8 @@
     admission = world.services[name].admission
     admit = admission.admit
 
-    def noted(*arguments: Any) -> Any:
+    def record_and_admit(*arguments: Any) -> Any:
         admitted.append(name)
         return admit(*arguments)
 
-    admission.admit = noted  # type: ignore[method-assign]
+    admission.admit = record_and_admit  # type: ignore[method-assign]
--- a/tests/query/test_expiry.py
+++ b/tests/query/test_expiry.py
@@ -1,4 +1,4 @@
-"""Timeouts that share timers end what is late, and nothing else."""
+"""Timeouts that share timers end late bodies only."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 def test_late_body_times_out_within_one_bucket_width():
-    """Guards against attempts that wait for ever, or are ended too early."""
+    """Guards against attempts that never time out or time out too early."""
 
     async def run() -> float:
         with pytest.raises(TimeoutError), CoarseTimer().timeout(0.5):
@@ -24,11 +24,11 @@
 
 
 def test_task_continues_after_body_ends_in_time():
-    """Guards against a shared timer that cancels work begun later."""
+    """Guards against a shared timer that cancels a task after its body has ended."""
 
     async def run() -> str:
-        expiries = CoarseTimer()
-        with expiries.timeout(0.5):
+        timer = CoarseTimer()
+        with timer.timeout(0.5):
             await asyncio.sleep(0.1)
         await asyncio.sleep(5)
         return "done"
@@ -37,18 +37,18 @@
 
 
 def test_timeouts_in_one_bucket_are_independent():
-    """Guards against a late attempt that takes a timely one with it."""
+    """Guards against a late attempt whose timeout also ends a timely attempt."""
 
     async def run() -> list[object]:
-        expiries = CoarseTimer()
+        timer = CoarseTimer()
 
         async def body(duration_s: float) -> str:
-            with expiries.timeout(0.5):
+            with timer.timeout(0.5):
                 await asyncio.sleep(duration_s)
             return "done"
 
-        work = (body(0.4), body(60), body(60))
-        return await asyncio.gather(*work, return_exceptions=True)
+        bodies = (body(0.4), body(60), body(60))
+        return await asyncio.gather(*bodies, return_exceptions=True)
 
     first, *late = run_virtual(run())
     assert first == "done"
@@ -56,7 +56,7 @@
 
 
 def test_external_cancellation_is_not_a_timeout():
-    """Guards against a shutdown that is taken for a slow backend server."""
+    """Guards against reporting a shutdown as a slow backend server."""
 
     async def run() -> bool:
         async def body() -> None:
@@ -76,9 +76,9 @@
     """Guards against a cancellation that is still counted after the timeout."""
 
     async def run() -> int:
-        expiries = CoarseTimer()
+        timer = CoarseTimer()
         for _ in range(2):
-            with pytest.raises(TimeoutError), expiries.timeout(0.1):
+            with pytest.raises(TimeoutError), timer.timeout(0.1):
                 await asyncio.sleep(60)
         task = asyncio.current_task()
         assert task is not None
--- a/tests/query/test_orders.py
+++ b/tests/query/test_orders.py
@@ -1,4 +1,4 @@
-"""An order must run at most once, and what is said about it must be true."""
+"""Orders run at most once, and their answers and refusals state the true outcome."""
 
 import asyncio
 from collections import Counter
@@ -14,7 +14,7 @@
 
 
 class RunCounter(Counter[str]):
-    """How often the backend servers ran each key."""
+    """Number of runs on the backend servers for each idempotency key."""
 
 
 async def _run_order(
@@ -29,7 +29,7 @@
 
 
 def _install_counting_handlers(world: World, behaviour: Any = None) -> RunCounter:
-    """Let every server count its runs, then behave as told."""
+    """Let every server count its runs, then reply by `behaviour`."""
     runs = RunCounter()
 
     async def handle(request: SubRequest) -> Any:
@@ -44,7 +44,7 @@
 
 @pytest.fixture
 def stock(world: World) -> World:
-    """Return a world to which `run_virtual` adds the service ``stock``."""
+    """Return the world to which each test adds the service ``stock``."""
     return world
 
 
@@ -86,7 +86,7 @@
     "behaviour", [_lose_reply, _never_reply, _reply_failed, _reply_for_wrong_shard]
 )
 def test_unclear_result_is_outcome_unknown(stock: World, behaviour: Any) -> None:
-    # Guards against saying "not run" of an order that may have run.
+    # Guards against ``not_run`` for an order that may have run.
     async def main() -> None:
         stock.add("stock")
         _install_counting_handlers(stock, behaviour)
@@ -112,7 +112,7 @@
 
 
 def test_resend_attaches_to_the_running_order(stock: World) -> None:
-    # Guards against a resend that is refused, or runs, beside the first copy.
+    # Guards against a resend that is refused, or runs, while the first copy runs.
     async def main() -> None:
         stock.add("stock")
 
@@ -132,7 +132,7 @@
 
 
 def test_late_outcome_is_recorded(stock: World) -> None:
-    # Guards against forgetting an outcome that came after the caller's deadline.
+    # Guards against losing an outcome that arrives after the caller's deadline.
     async def main() -> None:
         stock.add("stock")
 
@@ -155,9 +155,9 @@
     async def main() -> None:
         stock.add("stock")
         runs = _install_counting_handlers(stock)
-        leaving = asyncio.create_task(_run_order(stock))
+        request_task = asyncio.create_task(_run_order(stock))
         await asyncio.sleep(0.004)
-        leaving.cancel()
+        request_task.cancel()
         await asyncio.sleep(1)
         assert runs == {KEY: 1}
         assert isinstance(await _run_order(stock, "entry-2", resend=True), Answer)
@@ -167,14 +167,15 @@
 
 @pytest.mark.parametrize("status", ["shed", "not_run", "snapshot_gone"])
 def test_order_that_server_did_not_run_is_not_run(stock: World, status: str) -> None:
-    # Guards against a second dispatch, and against doubt where there is none.
+    # Guards against a second dispatch, and against ``outcome_unknown`` although the
+    # server reported that it did not run the order.
     async def main() -> None:
         stock.add("stock")
 
-        async def decline(request: SubRequest) -> Any:
+        async def reply_not_run(request: SubRequest) -> Any:
             return echo(request, status)
 
-        _install_counting_handlers(stock, decline)
+        _install_counting_handlers(stock, reply_not_run)
         for host in ("entry-1", "entry-2"):
             refusal = await _run_order(stock, host, resend=host == "entry-2")
             assert isinstance(refusal, Refusal)
@@ -186,8 +187,8 @@
 
 
 def test_unreachable_servers_are_skipped_before_dispatch(stock: World) -> None:
-    # Guards against an order that is refused, with its key spent, because it was
-    # dispatched to a lost server while another replica lives.
+    # Guards against an order that is refused, with its key used up, because it was
+    # dispatched to an unreachable server while another replica is reachable.
     async def main() -> None:
         stock.add("stock")
         runs = _install_counting_handlers(stock)
@@ -206,15 +207,15 @@
 
 
 def test_failed_connection_is_not_run(stock: World) -> None:
-    # Guards against doubt about an order of which no byte was sent.
+    # Guards against ``outcome_unknown`` for an order of which no byte was sent.
     async def main() -> None:
         stock.add("stock")
 
-        async def no_connection(request: SubRequest) -> Any:
+        async def fail_to_connect(request: SubRequest) -> Any:
             raise ConnectFailed("no", "start it")
 
         for view in stock.servers["stock"]:
-            stock.handlers[view.server] = no_connection
+            stock.handlers[view.server] = fail_to_connect
         refusal = await _run_order(stock)
         assert isinstance(refusal, Refusal)
         assert refusal.kind is RefusalKind.NOT_RUN
@@ -227,7 +228,7 @@
 def test_nothing_is_sent_without_a_recorded_dispatch(
     stock: World, step: str, applied: bool
 ) -> None:
-    # Guards against a first byte before the quorum has the dispatch.
+    # Guards against sending before a quorum has recorded the dispatch.
     async def main() -> None:
         stock.add("stock")
         runs = _install_counting_handlers(stock)
@@ -254,7 +255,8 @@
 
 
 def test_answer_is_returned_when_outcome_is_not_recorded(stock: World) -> None:
-    # Guards against an answer that is lost because the quorum went away after it.
+    # Guards against losing an answer because the ledger lost its quorum after the
+    # dispatch.
     async def main() -> None:
         stock.add("stock")
         _install_counting_handlers(stock)
@@ -273,7 +275,7 @@
 
 
 def test_resend_without_quorum_is_outcome_unknown(stock: World) -> None:
-    # Guards against "not run" for a resend whose first copy may have run.
+    # Guards against ``not_run`` for a resend whose first copy may have run.
     async def main() -> None:
         stock.add("stock")
         stock.ledger_fault = lambda command: KingcuplugError("no quorum", "wait")
@@ -306,8 +308,8 @@
     async def main() -> None:
         stock.add("stock")
         runs = _install_counting_handlers(stock)
-        old = f"{NOW_MS - (_RETENTION_DAYS + 1) * _DAY_MS}-abcdefgh"
-        refusal = await _run_order(stock, key=old)
+        expired_key = f"{NOW_MS - (_RETENTION_DAYS + 1) * _DAY_MS}-abcdefgh"
+        refusal = await _run_order(stock, key=expired_key)
         assert isinstance(refusal, Refusal)
         assert refusal.reason is RefusalReason.KEY_EXPIRED
         assert not runs
@@ -316,22 +318,22 @@
 
 
 def test_claim_of_a_crashed_host_is_taken_over(stock: World) -> None:
-    # Guards against an order that nobody can run because its holder crashed.
+    # Guards against an order that no host can run because its claim holder crashed.
     async def main() -> None:
         stock.add("stock")
         runs = _install_counting_handlers(stock)
-        stuck = asyncio.Event()
+        dispatch_failed = asyncio.Event()
 
-        def stop_at_dispatch(command: dict[str, Any]) -> Exception | None:
-            if command["type"] == "dispatch" and not stuck.is_set():
-                stuck.set()
+        def fail_first_dispatch(command: dict[str, Any]) -> Exception | None:
+            if command["type"] == "dispatch" and not dispatch_failed.is_set():
+                dispatch_failed.set()
                 return TimeoutError("the host stops here")
             return None
 
-        stock.ledger_fault = stop_at_dispatch
-        crashing = asyncio.create_task(_run_order(stock, "entry-1"))
-        await stuck.wait()
-        crashing.cancel()
+        stock.ledger_fault = fail_first_dispatch
+        first_copy = asyncio.create_task(_run_order(stock, "entry-1"))
+        await dispatch_failed.wait()
+        first_copy.cancel()
         stock.holder_lost = lambda host, incarnation: host == "entry-1"
         answer = await _run_order(stock, "entry-2", resend=True)
         assert isinstance(answer, Answer)
--- a/tests/query/test_random_faults.py
+++ b/tests/query/test_random_faults.py
@@ -1,4 +1,4 @@
-"""Random faults at every attempt must not make an answer or a refusal untrue."""
+"""Answers and refusals stay true under random faults of every attempt."""
 
 import asyncio
 from collections import defaultdict
@@ -27,12 +27,12 @@
     "lost",
     "crashed",
 )
-# What a server that behaves so has certainly not executed.
+# A server that behaves in one of these ways has not executed the sub-request.
 _NOT_EXECUTED_BEHAVIOURS = {"shed", "gone", "no connection"}
 
 
 class _ScriptedServers:
-    """Servers that follow a script, and the truth about what they did."""
+    """Servers that follow a script and record what they executed."""
 
     def __init__(self, world: World, script: list[str], repartition: bool) -> None:
         self.executed = 0
@@ -88,19 +88,21 @@
 
 
 def _check_answer(answer: Answer, scripted: _ScriptedServers) -> None:
-    shards = {4: 1, 6: 2}
-    assert shards[answer.shard_count] == answer.snapshot
+    snapshot_by_shard_count = {4: 1, 6: 2}
+    assert snapshot_by_shard_count[answer.shard_count] == answer.snapshot
     assert {part["value"][0] for part in answer.value} == {answer.snapshot}
-    answered = [part["shard"] for part in answer.value]
-    assert len(set(answered)) == len(answered)
+    answered_shards = [part["shard"] for part in answer.value]
+    assert len(set(answered_shards)) == len(answered_shards)
     for part in answer.value:
         assert part["value"][1] == part["shard"]
         share = answer.partial_shards.get(part["shard"], 1.0)
         assert share in scripted.returned_coverages[answer.snapshot, part["shard"]]
-    covered = sum(answer.partial_shards.get(shard, 1.0) for shard in answered)
-    assert answer.coverage == covered / answer.shard_count
-    missing = set(range(answer.shard_count)) - set(answered)
-    assert set(answer.missing_shards) == missing
+    covered_shards = sum(
+        answer.partial_shards.get(shard, 1.0) for shard in answered_shards
+    )
+    assert answer.coverage == covered_shards / answer.shard_count
+    missing_shards = set(range(answer.shard_count)) - set(answered_shards)
+    assert set(answer.missing_shards) == missing_shards
     assert answer.partial is (answer.coverage < 1)
 
 
@@ -121,26 +123,26 @@
 def test_answers_and_refusals_match_what_servers_did(
     script: list[str], repartition: bool, minimum: float, weight: float, canary: str
 ) -> None:
-    # Guards against any mix of faults that leads to a mixed snapshot, an untrue
-    # coverage, a shard counted twice, or "not run" of work that was executed.
+    # Guards against combinations of faults that lead to a mix of snapshots, a wrong
+    # coverage, a shard counted twice, or ``not_run`` for work that was executed.
     async def main() -> None:
         world = World()
         world.add("stock", _SERVER_COUNT, 4, coverage_weight=weight, canary=canary)
         scripted = _ScriptedServers(world, script, repartition)
         loop = asyncio.get_running_loop()
         for _ in range(3):
-            executed, started = scripted.executed, loop.time()
+            executed_before, started_at = scripted.executed, loop.time()
             try:
                 answer = await world.queries().run(
                     query(minimum_coverage=minimum), world.view()
                 )
             except Refusal as refusal:
                 if refusal.kind is RefusalKind.NOT_RUN:
-                    assert scripted.executed == executed
+                    assert scripted.executed == executed_before
             else:
                 _check_answer(answer, scripted)
                 assert answer.coverage >= minimum
-            assert loop.time() <= started + 1.0 + 1e-6
+            assert loop.time() <= started_at + 1.0 + 1e-6
             await world.background.drain(30)
 
     run_virtual(main())
--- a/tests/query/test_refusals.py
+++ b/tests/query/test_refusals.py
@@ -1,4 +1,4 @@
-"""A refusal that says ``not_run`` must be true."""
+"""A refusal says ``not_run`` only if no backend server can have run the query."""
 
 import asyncio
 from typing import Any
@@ -54,7 +54,7 @@
 def test_refusal_kind_says_whether_servers_may_have_run_it(
     world: World, behaviour: Any, kind: RefusalKind
 ) -> None:
-    # Guards against saying "not run" of work that a backend server may have done.
+    # Guards against ``not_run`` for a query that a backend server may have run.
     async def main() -> None:
         world.add("stock")
         world.handlers = {f"stock-{n}": behaviour for n in range(3)}
@@ -66,11 +66,11 @@
 
 
 def test_run_before_a_restart_makes_outcome_unknown(world: World) -> None:
-    # Guards against "not run" of a query that ran on the snapshot before.
+    # Guards against ``not_run`` for a query that ran on the previous snapshot.
     async def main() -> None:
         world.add("stock", servers=4, shard_count=2)
 
-        async def repartitioned(request: SubRequest) -> Any:
+        async def reply_while_repartitioning(request: SubRequest) -> Any:
             if request.snapshot == 2:
                 return await _fail_to_connect(request)
             if request.shard == 0:
@@ -80,7 +80,7 @@
             world.hold("stock", {f"stock-{n}": newer for n in range(4)})
             return echo(request, "snapshot_gone")
 
-        world.handlers = {f"stock-{n}": repartitioned for n in range(4)}
+        world.handlers = {f"stock-{n}": reply_while_repartitioning for n in range(4)}
         with pytest.raises(Refusal) as caught:
             await world.queries().run(query(), world.view())
         assert world.metrics.counts["query.restarted"] == 1
@@ -90,7 +90,7 @@
 
 
 def test_past_deadline_is_not_sent(world: World) -> None:
-    # Guards against work for a caller who has already left.
+    # Guards against work for a caller whose deadline has already passed.
     async def main() -> None:
         world.add("stock")
         with pytest.raises(Refusal) as caught:
@@ -103,7 +103,7 @@
 
 
 def test_deadline_and_priority_are_propagated(world: World) -> None:
-    # Guards against backend servers that work on after the caller's deadline.
+    # Guards against backend servers that continue work after the caller's deadline.
     async def main() -> None:
         world.add("stock")
         await world.queries().run(query(deadline_s=0.3), world.view())
@@ -114,7 +114,7 @@
 
 
 def test_reply_to_another_attempt_is_dropped_and_retried(world: World) -> None:
-    # Guards against giving a caller the answer to another caller's request.
+    # Guards against returning the answer to another caller's request.
     async def main() -> None:
         world.add("stock")
         world.handlers["stock-0"] = _reply_to_another_attempt
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize(
-    "change",
+    "changed_fields",
     [
         {"attempt_id": "a-2"},
         {"attempt_id": None},
@@ -143,15 +143,15 @@
         {"coverage": True},
     ],
 )
-def test_reply_must_belong_to_its_attempt(change: dict[str, Any]) -> None:
+def test_reply_must_belong_to_its_attempt(changed_fields: dict[str, Any]) -> None:
     # Guards against accepting a reply to another attempt, snapshot or shard.
     assert parse_reply(_REQUEST, echo(_REQUEST)).coverage == 1.0
     with pytest.raises(ReplyInvalid):
-        parse_reply(_REQUEST, echo(_REQUEST) | change)
+        parse_reply(_REQUEST, echo(_REQUEST) | changed_fields)
 
 
 @pytest.mark.parametrize("reply", [None, [], "ok", 7, {}])
 def test_reply_must_be_an_object(reply: Any) -> None:
-    # Guards against a traceback for a reply that is no JSON object.
+    # Guards against an unhandled error for a reply that is not a JSON object.
     with pytest.raises(ReplyInvalid):
         parse_reply(_REQUEST, reply)
--- a/tests/query/test_resent_orders.py
+++ b/tests/query/test_resent_orders.py
@@ -1,4 +1,4 @@
-"""What is said of a resent order while an earlier copy of it is on its way."""
+"""Refusals of a resent order while an earlier copy of it is in flight."""
 
 import asyncio
 from types import SimpleNamespace
@@ -13,7 +13,7 @@
 
 
 class LedgerStub:
-    """Grants every claim and takes back every token."""
+    """Ledger that grants every claim and accepts every release."""
 
     def __init__(self) -> None:
         self.released: list[str] = []
@@ -23,12 +23,12 @@
         return Claimed("token-1")
 
     async def release(self, key: str, token: str, deadline: float) -> None:
-        """Note the token."""
+        """Record the released token."""
         self.released.append(token)
 
 
 class OverloadedAdmission:
-    """Admission that refuses everybody."""
+    """Admission that refuses every request."""
 
     def admit(self, *arguments: Any) -> "OverloadedAdmission":
         """Return a context manager that refuses."""
@@ -48,8 +48,8 @@
 def test_resend_with_released_claim_is_outcome_unknown(resend: bool, kind: RefusalKind):
     """Guards against ``not_run`` for a key that an earlier copy then runs.
 
-    The resend gives its claim back when admission refuses it, and an earlier copy
-    that still waits for the claim takes it.
+    Admission refuses the resend, which then releases its claim. An earlier copy that
+    waits for the claim gets it and runs.
     """
     ledger = LedgerStub()
 
--- a/tests/query/test_snapshots.py
+++ b/tests/query/test_snapshots.py
@@ -1,4 +1,4 @@
-"""An answer must come from one snapshot, whatever moves while the query runs."""
+"""An answer comes from one snapshot, whatever changes while the query runs."""
 
 import asyncio
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 def test_pins_newest_complete_snapshot(world: World) -> None:
-    # Guards against choosing a snapshot that is only half loaded.
+    # Guards against choosing a snapshot that is only partly loaded.
     async def main() -> None:
         world.add("stock", shard_count=2)
         old, new = Holding(1, 2, (0, 1)), Holding(2, 2, (0,))
@@ -30,10 +30,10 @@
     async def main() -> None:
         world.add("stock", snapshots=(1,))
 
-        async def moved(request: SubRequest) -> Any:
+        async def reply_snapshot_gone(request: SubRequest) -> Any:
             return echo(request, "snapshot_gone")
 
-        world.handlers["stock-0"] = moved
+        world.handlers["stock-0"] = reply_snapshot_gone
         answer = await world.queries().run(query(), world.view())
         assert not answer.partial
         assert _sent_snapshots(world) == {(1, 4)}
@@ -46,23 +46,23 @@
     async def main() -> None:
         world.add("stock", snapshots=(1,), shard_count=4)
 
-        async def repartitioned(request: SubRequest) -> Any:
+        async def reply_while_repartitioning(request: SubRequest) -> Any:
             await asyncio.sleep(0.005)
             if request.snapshot == 1 and request.shard == 3:
                 return echo(request, "snapshot_gone")
             return echo(request)
 
         for server in ("stock-0", "stock-1", "stock-2"):
-            world.handlers[server] = repartitioned
+            world.handlers[server] = reply_while_repartitioning
 
-        async def announce() -> None:
+        async def announce_new_snapshot() -> None:
             await asyncio.sleep(0.006)
             held = [Holding(2, 8, tuple(range(8)))]
             world.hold("stock", {f"stock-{n}": held for n in range(3)})
 
-        announcing = asyncio.create_task(announce())
+        announcement = asyncio.create_task(announce_new_snapshot())
         answer = await world.queries().run(query(), world.view())
-        await announcing
+        await announcement
         assert (answer.snapshot, answer.shard_count) == (2, 8)
         assert [part["value"][0] for part in answer.value] == [2] * 8
         assert world.metrics.counts["query.restarted"] == 1
@@ -71,11 +71,11 @@
 
 
 def test_restarts_only_once(world: World) -> None:
-    # Guards against endless restarts while an index is changed all the time.
+    # Guards against endless restarts while an index changes continuously.
     async def main() -> None:
         world.add("stock", servers=8, snapshots=(1,))
 
-        async def gone(request: SubRequest) -> Any:
+        async def replace_snapshot(request: SubRequest) -> Any:
             await asyncio.sleep(0.001 if request.shard == 0 else 0.005)
             if request.shard == 0:
                 newer = [Holding(request.snapshot + 1, 4, (0, 1, 2, 3))]
@@ -84,7 +84,7 @@
             return echo(request)
 
         for number in range(8):
-            world.handlers[f"stock-{number}"] = gone
+            world.handlers[f"stock-{number}"] = replace_snapshot
         answer = await world.queries().run(query(), world.view())
         assert answer.partial
         assert answer.missing_shards == (0,)
@@ -97,15 +97,15 @@
 def test_partition_key_uses_shard_map_of_the_snapshot(world: World) -> None:
     # Guards against looking up a key in the shard map of another snapshot.
     async def main() -> None:
-        shards = []
+        shards_by_count = []
         for shard_count in (8, 16):
             world.add("stock", shard_count=shard_count)
             for key in ("4711", "4712", "4713", "4714", "4715"):
                 request = query(partition_key=key)
                 await world.queries().run(request, world.view())
-            shards.append([request.shard for _, request in world.sent[-5:]])
-        of_8, of_16 = shards
-        assert max(of_16) >= 8
-        assert [shard % 8 for shard in of_16] == of_8
+            shards_by_count.append([request.shard for _, request in world.sent[-5:]])
+        shards_of_8, shards_of_16 = shards_by_count
+        assert max(shards_of_16) >= 8
+        assert [shard % 8 for shard in shards_of_16] == shards_of_8
 
     run_virtual(main())
