--- a/packages/query/src/kingcuplug_query/_backend_client.py
+++ b/packages/query/src/kingcuplug_query/_backend_client.py
@@ -1,8 +1,9 @@
 """Transport to backend servers.
 
 `SendSubRequest`, `IsReachable` and `CancelAttempt` are the interface that tests
-replace; `HttpBackend` implements it over HTTP. Only the transport can tell whether
-nothing was sent or something may have been sent, so that distinction is made here.
+replace; `HttpBackend` implements it over HTTP. Only the transport can tell
+whether nothing was sent or something may have been sent, so that distinction is made
+here.
 """
 
 import asyncio
--- a/packages/query/src/kingcuplug_query/_gather.py
+++ b/packages/query/src/kingcuplug_query/_gather.py
@@ -135,7 +135,7 @@
     failures : dict of int to str
         The last failure of each shard.
     refusal : Refusal or None
-        Set if the whole query must stop.
+        The reason to stop the whole query, if there is one.
     may_have_run : bool
         Whether a backend server may have executed any sub-request.
     snapshot_gone : bool
--- a/packages/query/src/kingcuplug_query/_orders.py
+++ b/packages/query/src/kingcuplug_query/_orders.py
@@ -303,7 +303,7 @@
             raise no_quorum_refusal(error) from error
 
     async def _release_claim(self, key: str, claim_token: str) -> None:
-        """Release the claim of an order that was not sent."""
+        """Release the claim of an order that was not sent, or record it as not run."""
         deadline = asyncio.get_running_loop().time() + _LEDGER_WRITE_TIMEOUT_S
         try:
             result = await self._ledger.release(key, claim_token, deadline=deadline)
--- a/packages/query/src/kingcuplug_query/_query.py
+++ b/packages/query/src/kingcuplug_query/_query.py
@@ -47,6 +47,7 @@
 _MS_PER_S = 1_000
 _NEWER_SNAPSHOT_WAIT_S = 0.25
 _NEWER_SNAPSHOT_POLL_INTERVAL_S = 0.01
+# The other half of the remaining time is reserved for the restarted query.
 _NEWER_SNAPSHOT_WAIT_SHARE = 0.5
 
 
@@ -199,7 +200,7 @@
         retry_budget: RequestRetryBudget,
     ) -> Any:
         policy = revision.find(name).service.policy
-        call = QueryRequest(
+        dependency_request = QueryRequest(
             request_id=request.request_id,
             service=name,
             body=body,
@@ -209,7 +210,7 @@
         )
         try:
             with start_hop("dependency", service=name):
-                answer = await self._run(call, revision, retry_budget)
+                answer = await self._run(dependency_request, revision, retry_budget)
         except Refusal as refusal:
             raise Refusal(
                 refusal.kind,
