--- a/packages/query/src/kingcuplug_query/_backend.py
+++ b/packages/query/src/kingcuplug_query/_backend_client.py
@@ -1,8 +1,9 @@
-"""The border to backend servers.
+"""Transport to backend servers.
 
-`Send` is the interface that tests replace; `HttpBackend` is the real one. The
-difference between "nothing was sent" and "something may have been sent" is made
-here and nowhere else, because only the transport can know it.
+`SendSubRequest`, `IsReachable` and `CancelAttempt` are the interface that tests
+replace; `HttpBackend` implements it over HTTP. Only the transport can tell
+whether nothing was sent or something may have been sent, so that distinction is made
+here.
 """
 
 import asyncio
@@ -15,32 +16,32 @@
 from kingcuplug_common import KingcuplugError, traceparent
 from kingcuplug_routing import Ticket
 
-from kingcuplug_query._expiry import Expiries
+from kingcuplug_query._expiry import CoarseTimer
 from kingcuplug_query._messages import ReplyInvalid, SubReply, SubRequest, parse_reply
 
 __all__ = [
-    "Cancel",
+    "CancelAttempt",
     "ConnectFailed",
     "HttpBackend",
-    "Reachable",
+    "IsReachable",
     "ReplyLost",
-    "Send",
+    "SendSubRequest",
 ]
 
-_REPLY_LIMIT_BYTES = 16 * 1024 * 1024
+_MAX_REPLY_BYTES = 16 * 1024 * 1024
 _CONNECT_TIMEOUT_S = 1.0
 _PROBE_TIMEOUT_S = 0.5
 _CANCEL_TIMEOUT_S = 1.0
-_KEEPALIVE_S = 60.0
+_KEEPALIVE_TIMEOUT_S = 60.0
 _JSON_HEADERS = {"Content-Type": "application/json"}
 
-Send = Callable[[Ticket, SubRequest, float], Awaitable[SubReply]]
-Reachable = Callable[[Ticket], Awaitable[bool]]
-Cancel = Callable[[Ticket, str], Awaitable[None]]
+SendSubRequest = Callable[[Ticket, SubRequest, float], Awaitable[SubReply]]
+IsReachable = Callable[[Ticket], Awaitable[bool]]
+CancelAttempt = Callable[[Ticket, str], Awaitable[None]]
 
 
 class ConnectFailed(KingcuplugError):
-    """No connection could be made, so no byte of the sub-request was sent."""
+    """No connection was established, so no byte of the sub-request was sent."""
 
 
 class ReplyLost(KingcuplugError):
@@ -48,14 +49,14 @@
 
     Parameters
     ----------
-    server_gone : bool
-        Whether the server also refused a new connection, which suggests that its
-        process ended.
+    server_unreachable : bool
+        Whether a new connection to the server failed too, which suggests that its
+        process has ended.
     """
 
-    def __init__(self, message: str, remedy: str, server_gone: bool) -> None:
+    def __init__(self, message: str, remedy: str, server_unreachable: bool) -> None:
         super().__init__(message, remedy)
-        self.server_gone = server_gone
+        self.server_unreachable = server_unreachable
 
 
 class HttpBackend:
@@ -69,33 +70,33 @@
     Attributes
     ----------
     local_address : str or None
-        IP address that new pools connect from; ``None`` leaves it to the system.
+        Source IP address of new pools; ``None`` lets the system choose it.
     """
 
     def __init__(self, tls: ssl.SSLContext | None = None) -> None:
         self.local_address: str | None = None
         self._scheme = "https" if tls is not None else "http"
         self._tls = tls
-        self._expiries = Expiries()
+        self._timer = CoarseTimer()
         self._sessions: dict[str, aiohttp.ClientSession] = {}
         self._connection_limits: dict[str, int] = {}
 
-    def limit(self, address: str, connections: int) -> None:
-        """Set how many connections this host may open to one server."""
-        self._connection_limits[address] = connections
+    def limit(self, address: str, max_connections: int) -> None:
+        """Set the maximum number of connections from this host to one server."""
+        self._connection_limits[address] = max_connections
         session = self._sessions.get(address)
         if session is not None and session.connector is not None:
-            session.connector._limit = connections
+            session.connector._limit = max_connections
 
     def forget(self, address: str) -> None:
-        """Close the pool of a server that has left."""
+        """Close the connection pool of a server that was removed."""
         self._connection_limits.pop(address, None)
         session = self._sessions.pop(address, None)
         if session is not None:
             asyncio.get_running_loop().create_task(session.close())
 
     async def close(self) -> None:
-        """Close all pools."""
+        """Close all connection pools."""
         for session in self._sessions.values():
             await session.close()
         self._sessions.clear()
@@ -103,7 +104,7 @@
     async def send(
         self, ticket: Ticket, request: SubRequest, timeout_s: float
     ) -> SubReply:
-        """Send one sub-request and return its checked reply.
+        """Send one sub-request and return its validated reply.
 
         Raises
         ------
@@ -112,18 +113,18 @@
         ReplyLost
             If the connection broke afterwards.
         ReplyInvalid
-            If the reply is not one to this attempt; the connection is closed.
+            If the reply does not match this attempt; the connection is closed.
         TimeoutError
-            If no reply came in `timeout_s` seconds.
+            If no reply arrived within `timeout_s` seconds.
         """
         url = f"{self._scheme}://{ticket.address}/sub-request"
         body = orjson.dumps(request.to_json())
         try:
-            with self._expiries.after(timeout_s):
+            with self._timer.timeout(timeout_s):
                 async with self._session(ticket.address).post(
-                    url, data=body, headers=_headers()
+                    url, data=body, headers=_request_headers()
                 ) as response:
-                    return await self._read(response, request)
+                    return await self._read_reply(response, request)
         except aiohttp.ClientConnectorError as error:
             raise ConnectFailed(
                 f"backend server {ticket.server} at {ticket.address} "
@@ -131,14 +132,14 @@
                 "check that the server runs and that its announced address is right",
             ) from error
         except (aiohttp.ClientError, ConnectionError) as error:
-            raise await self._lost(ticket, error) from error
+            raise await self._reply_lost_error(ticket, error) from error
 
     async def reachable(self, ticket: Ticket) -> bool:
-        """Return whether a server accepts connections at this moment."""
-        return await self._accepts(ticket.address)
+        """Return whether a server currently accepts connections."""
+        return await self._accepts_connections(ticket.address)
 
     async def cancel(self, ticket: Ticket, attempt_id: str) -> None:
-        """Ask a server to stop an attempt whose reply is no longer wanted."""
+        """Ask a server to stop an attempt whose reply is no longer needed."""
         url = f"{self._scheme}://{ticket.address}/cancel"
         try:
             async with (
@@ -149,16 +150,16 @@
             ):
                 await response.read()
         except (aiohttp.ClientError, ConnectionError, TimeoutError):
-            return  # Cancellation only saves work; the attempt ends by its deadline.
+            return  # Cancellation only saves work; the deadline ends the attempt too.
 
     def _session(self, address: str) -> aiohttp.ClientSession:
         session = self._sessions.get(address)
         if session is None:
-            # One pool per server, so that the connection limit is per server and a
-            # slow server cannot take the connections of another.
+            # One pool per server keeps the connection limit per server, so that a
+            # slow server cannot use up the connections of the others.
             connector = aiohttp.TCPConnector(
                 limit=self._connection_limits.get(address, 0),
-                keepalive_timeout=_KEEPALIVE_S,
+                keepalive_timeout=_KEEPALIVE_TIMEOUT_S,
                 ssl=self._tls if self._tls is not None else True,
                 local_addr=(self.local_address, 0) if self.local_address else None,
             )
@@ -173,28 +174,28 @@
             self._sessions[address] = session
         return session
 
-    async def _read(
+    async def _read_reply(
         self, response: aiohttp.ClientResponse, request: SubRequest
     ) -> SubReply:
         try:
             length = response.content_length
-            if length is None or length > _REPLY_LIMIT_BYTES:
-                raise _unreadable(request, f"its length is {length} bytes")
-            return parse_reply(request, _decode(request, await response.read()))
+            if length is None or length > _MAX_REPLY_BYTES:
+                raise _unreadable_reply_error(request, f"its length is {length} bytes")
+            return parse_reply(request, _decode_json(request, await response.read()))
         except ReplyInvalid:
-            # What follows on this connection cannot be trusted to be in step.
+            # Later replies on this connection may belong to other requests.
             response.close()
             raise
 
-    async def _lost(self, ticket: Ticket, error: Exception) -> ReplyLost:
-        gone = not await self._accepts(ticket.address)
+    async def _reply_lost_error(self, ticket: Ticket, error: Exception) -> ReplyLost:
+        unreachable = not await self._accepts_connections(ticket.address)
         return ReplyLost(
             f"connection to backend server {ticket.server} broke: {error!r}",
-            "look at the log of the backend server",
-            server_gone=gone,
+            "check the log of the backend server",
+            server_unreachable=unreachable,
         )
 
-    async def _accepts(self, address: str) -> bool:
+    async def _accepts_connections(self, address: str) -> bool:
         host, _, port = address.rpartition(":")
         try:
             async with asyncio.timeout(_PROBE_TIMEOUT_S):
@@ -205,20 +206,20 @@
         return True
 
 
-def _headers() -> dict[str, str]:
+def _request_headers() -> dict[str, str]:
     trace = traceparent()
     return _JSON_HEADERS if trace is None else {**_JSON_HEADERS, "traceparent": trace}
 
 
-def _decode(request: SubRequest, body: bytes) -> Any:
+def _decode_json(request: SubRequest, body: bytes) -> Any:
     try:
         return orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise _unreadable(request, f"it is not JSON: {error}") from error
+        raise _unreadable_reply_error(request, f"it is not JSON: {error}") from error
 
 
-def _unreadable(request: SubRequest, fault: str) -> ReplyInvalid:
+def _unreadable_reply_error(request: SubRequest, problem: str) -> ReplyInvalid:
     return ReplyInvalid(
-        f"reply to attempt {request.attempt_id} cannot be read: {fault}",
-        f"send JSON with Content-Length up to {_REPLY_LIMIT_BYTES} bytes",
+        f"reply to attempt {request.attempt_id} cannot be read: {problem}",
+        f"send JSON with Content-Length up to {_MAX_REPLY_BYTES} bytes",
     )
--- a/packages/query/src/kingcuplug_query/_gather.py
+++ b/packages/query/src/kingcuplug_query/_gather.py
@@ -1,7 +1,7 @@
-"""Scatter and gather of one query on one snapshot.
+"""Scatter-gather of one query on one snapshot.
 
-One task per attempt, written straight down. A shard counts once, whichever of its
-attempts answers first; everything that comes later is dropped and counted.
+Each attempt runs in one task. The first answer to arrive for a shard is used; later
+answers for it are dropped and counted in a metric.
 """
 
 import asyncio
@@ -21,7 +21,12 @@
     Ticket,
 )
 
-from kingcuplug_query._backend import Cancel, ConnectFailed, ReplyLost, Send
+from kingcuplug_query._backend_client import (
+    CancelAttempt,
+    ConnectFailed,
+    ReplyLost,
+    SendSubRequest,
+)
 from kingcuplug_query._messages import (
     QueryRequest,
     ReplyInvalid,
@@ -30,12 +35,17 @@
     SubRequest,
 )
 
-__all__ = ["OUTCOME_OF_STATUS", "Allowance", "Gather", "Network"]
+__all__ = [
+    "OUTCOME_BY_STATUS",
+    "RequestRetryBudget",
+    "ScatterGather",
+    "ScatterGatherContext",
+]
 
 _LATE_REPLY_GRACE_S = 0.25
-_MILLISECONDS = 1_000
+_MS_PER_S = 1_000
 
-OUTCOME_OF_STATUS = {
+OUTCOME_BY_STATUS = {
     ReplyStatus.OK: AttemptOutcome.OK,
     ReplyStatus.PARTIAL: AttemptOutcome.OK,
     ReplyStatus.SHED: AttemptOutcome.SHED,
@@ -43,87 +53,91 @@
     ReplyStatus.SNAPSHOT_GONE: AttemptOutcome.SNAPSHOT_GONE,
     ReplyStatus.FAILED: AttemptOutcome.FAILED,
 }
-_ANSWERED = (ReplyStatus.OK, ReplyStatus.PARTIAL)
-_DID_NOT_RUN = (ReplyStatus.SHED, ReplyStatus.NOT_RUN, ReplyStatus.SNAPSHOT_GONE)
+_ANSWER_STATUSES = (ReplyStatus.OK, ReplyStatus.PARTIAL)
+_NOT_EXECUTED_STATUSES = (
+    ReplyStatus.SHED,
+    ReplyStatus.NOT_RUN,
+    ReplyStatus.SNAPSHOT_GONE,
+)
 
 
 @dataclasses.dataclass(slots=True)
-class Allowance:
-    """Retries that one caller's request may use, dependency calls included."""
+class RequestRetryBudget:
+    """Retries left to one caller's request, including its dependency calls."""
 
-    retries: int
+    remaining: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Network:
-    """What a gather needs of the world outside.
+class ScatterGatherContext:
+    """Transport, metrics and task runner that all queries of an entry host share.
 
     Attributes
     ----------
     zone : str
         The entry host's availability zone.
-    background : callable
+    start_background_task : callable
         Runs a coroutine as a task that may outlive the query.
     """
 
     zone: str
-    send: Send
-    cancel: Cancel
+    send: SendSubRequest
+    cancel: CancelAttempt
     metrics: Metrics
-    background: Callable[[Any], None]
+    start_background_task: Callable[[Any], None]
 
 
-class _Next(Enum):
-    """What follows an attempt."""
+class _NextStep(Enum):
+    """What to do for a shard after an attempt."""
 
     DONE = auto()
     RETRY = auto()
-    MOVED = auto()
+    TRY_OTHER_REPLICA = auto()
 
 
 @dataclasses.dataclass(slots=True)
-class _SubAttempt:
-    """One sub-request on its way."""
+class _InFlightAttempt:
+    """One sub-request that was sent and has not ended."""
 
     ticket: Ticket
     request: SubRequest
-    started: float
-    hedge: bool
+    started_at: float
+    is_hedge: bool
     abandoned: bool = False
 
 
-class Gather:
-    """Collects the shards of one query.
+class ScatterGather:
+    """Fetches the shards of one query.
 
     Parameters
     ----------
     request : QueryRequest
         The query.
     view : SnapshotView
-        The snapshot that every attempt is pinned to.
+        The snapshot that every attempt reads.
     router : Router
-        Chooses servers and keeps their limits.
-    guard : CrashGuard
-        Stops fingerprints that crash servers.
+        Chooses servers and enforces their limits.
+    crash_guard : CrashGuard
+        Refuses requests that crash servers, by fingerprint.
     fingerprint : str
         The query's fingerprint.
-    allowance : Allowance
+    retry_budget : RequestRetryBudget
         Retries left to the caller's request.
-    network : Network
+    context : ScatterGatherContext
         Sends and cancels sub-requests.
     dependency_answers : dict or None
-        Passed on with every sub-request.
+        Sent with every sub-request.
 
     Attributes
     ----------
     replies : dict of int to SubReply
         The accepted reply of each shard.
-    faults : dict of int to str
-        The last fault of each shard.
+    failures : dict of int to str
+        The last failure of each shard.
     refusal : Refusal or None
-        Why the whole query must stop.
+        The reason to stop the whole query, if there is one.
     may_have_run : bool
-        Whether a backend server can have acted on any sub-request.
+        Whether a backend server may have executed any sub-request.
     snapshot_gone : bool
         Whether no replica of some shard holds the snapshot any more.
     """
@@ -133,165 +147,182 @@
         request: QueryRequest,
         view: SnapshotView,
         router: Router,
-        guard: CrashGuard,
+        crash_guard: CrashGuard,
         fingerprint: str,
-        allowance: Allowance,
-        network: Network,
+        retry_budget: RequestRetryBudget,
+        context: ScatterGatherContext,
         dependency_answers: dict[str, Any] | None,
     ) -> None:
         self.view = view
         self.replies: dict[int, SubReply] = {}
-        self.faults: dict[int, str] = {}
+        self.failures: dict[int, str] = {}
         self.refusal: Refusal | None = None
         self.may_have_run = False
         self.snapshot_gone = False
         self._request = request
         self._router = router
-        self._guard = guard
+        self._crash_guard = crash_guard
         self._fingerprint = fingerprint
-        self._allowance = allowance
-        self._network = network
+        self._retry_budget = retry_budget
+        self._context = context
         self._dependency_answers = dependency_answers
-        self._open: set[int] = set()
-        self._attempts: dict[int, list[_SubAttempt]] = {}
-        self._tried: dict[int, set[str]] = {}
-        self._hedged: set[int] = set()
-        self._hedge_tries: dict[int, int] = {}
-        self._interrupted = False
-        self._changed = asyncio.Event()
-        self._numbers = itertools.count()
+        self._pending_shards: set[int] = set()
+        self._in_flight: dict[int, list[_InFlightAttempt]] = {}
+        self._tried_servers: dict[int, set[str]] = {}
+        self._hedged_shards: set[int] = set()
+        self._hedge_delay_factors: dict[int, int] = {}
+        self._stopped_by_lost_snapshot = False
+        self._state_changed = asyncio.Event()
+        self._attempt_numbers = itertools.count()
         self._attempt_prefix = identifier()
         self._loop = asyncio.get_running_loop()
 
-    async def run(
-        self, shards: Iterable[int], until: float, hedged: bool = True
+    async def fetch(
+        self, shards: Iterable[int], wait_until: float, allow_hedges: bool = True
     ) -> None:
-        """Ask for `shards` and return when all ended or at the time `until`.
+        """Fetch `shards`; return when all have ended or at the time `wait_until`.
 
-        It also returns when the snapshot turns out to be gone for a shard; called
-        again, it goes on waiting for the others.
+        It also returns when no replica of a shard holds the snapshot any more; called
+        again, it continues to wait for the other shards.
 
         Parameters
         ----------
-        until : float
+        wait_until : float
             Time on the event loop's clock, in seconds.
-        hedged : bool
+        allow_hedges : bool
             Whether slow attempts may be hedged.
         """
-        self._interrupted = False
+        self._stopped_by_lost_snapshot = False
         for shard in shards:
             if shard not in self.view.served_shards:
-                self.faults[shard] = "no backend server holds the shard"
+                self.failures[shard] = "no backend server holds the shard"
                 continue
-            self._open.add(shard)
-            self._network.background(self._serve(shard))
-        while self._running and self._loop.time() < until:
-            hedge_at = self._hedge_due() if hedged else until
-            await self._wait(min(hedge_at, until))
+            self._pending_shards.add(shard)
+            self._context.start_background_task(self._fetch_shard(shard))
+        while self._in_progress and self._loop.time() < wait_until:
+            hedge_at = self._start_due_hedges() if allow_hedges else wait_until
+            await self._wait_for_completion(min(hedge_at, wait_until))
 
     def close(self) -> None:
-        """Stop waiting; attempts still on their way are cancelled at the servers."""
-        if any(self._attempts.get(shard) for shard in self._open):
+        """Stop waiting, and ask the servers to cancel the attempts in flight."""
+        if any(self._in_flight.get(shard) for shard in self._pending_shards):
             self.may_have_run = True
-        for shard in self._open:
-            self.faults.setdefault(shard, "no reply in time")
-            self._abandon(shard)
-        self._open.clear()
+        for shard in self._pending_shards:
+            self.failures.setdefault(shard, "no reply in time")
+            self._abandon_attempts(shard)
+        self._pending_shards.clear()
 
     @property
-    def _running(self) -> bool:
-        return bool(self._open) and not self._interrupted and self.refusal is None
+    def _in_progress(self) -> bool:
+        return (
+            bool(self._pending_shards)
+            and not self._stopped_by_lost_snapshot
+            and self.refusal is None
+        )
 
-    async def _wait(self, until: float) -> None:
-        while self._running:
-            self._changed.clear()
+    async def _wait_for_completion(self, wait_until: float) -> None:
+        while self._in_progress:
+            self._state_changed.clear()
             try:
-                async with asyncio.timeout_at(until):
-                    await self._changed.wait()
+                async with asyncio.timeout_at(wait_until):
+                    await self._state_changed.wait()
             except TimeoutError:
                 return
 
-    async def _serve(self, shard: int, hedge: Ticket | None = None) -> None:
-        """Try replicas of one shard until one answers or none is left."""
-        following = _Next.MOVED
-        if hedge is not None:
-            following = await self._attempt(shard, hedge, hedge=True)
-        while shard in self._open and following is not _Next.DONE:
-            ticket = await self._ticket(shard, following is _Next.RETRY)
+    async def _fetch_shard(
+        self, shard: int, hedge_ticket: Ticket | None = None
+    ) -> None:
+        """Try replicas of one shard until one answers or no replica is left."""
+        next_step = _NextStep.TRY_OTHER_REPLICA
+        if hedge_ticket is not None:
+            next_step = await self._run_attempt(shard, hedge_ticket, is_hedge=True)
+        while shard in self._pending_shards and next_step is not _NextStep.DONE:
+            ticket = await self._acquire_ticket(shard, next_step is _NextStep.RETRY)
             if ticket is None:
                 return
-            following = await self._attempt(shard, ticket, hedge=False)
+            next_step = await self._run_attempt(shard, ticket, is_hedge=False)
 
-    async def _ticket(self, shard: int, retry: bool) -> Ticket | None:
-        """Return capacity at an untried replica, or end the shard."""
-        tried = self._tried.setdefault(shard, set())
-        if retry and self._allowance.retries <= 0:
-            self._end(shard, "the request's retries are used up")
+    async def _acquire_ticket(self, shard: int, is_retry: bool) -> Ticket | None:
+        """Acquire capacity at an untried replica; if there is none, end the shard."""
+        tried_servers = self._tried_servers.setdefault(shard, set())
+        if is_retry and self._retry_budget.remaining <= 0:
+            self._finish_shard(shard, "the retry budget of the request is exhausted")
             return None
         try:
-            self._guard.check(self._fingerprint)
+            self._crash_guard.check(self._fingerprint)
             with start_hop("capacity"):
                 ticket = await self._router.acquire(
                     self.view.snapshot,
                     shard,
-                    tried,
+                    tried_servers,
                     self._request.priority,
                     self._request.deadline,
-                    self._network.zone,
-                    Attempt.RETRY if retry else Attempt.FIRST,
+                    self._context.zone,
+                    Attempt.RETRY if is_retry else Attempt.FIRST,
                 )
         except Refusal as refusal:
-            self._refused(shard, refusal)
+            self._handle_refusal(shard, refusal)
             return None
-        if shard not in self._open:
+        if shard not in self._pending_shards:
             ticket.finish(AttemptOutcome.CANCELLED, 0.0)
             return None
-        if retry:
-            self._allowance.retries -= 1
-            self._network.metrics.count("query.retry")
-        tried.add(ticket.server)
+        if is_retry:
+            self._retry_budget.remaining -= 1
+            self._context.metrics.count("query.retry")
+        tried_servers.add(ticket.server)
         return ticket
 
-    def _hedge_due(self) -> float:
-        """Hedge the attempts that are due; return when the next one will be."""
+    def _start_due_hedges(self) -> float:
+        """Send the hedges that are due; return the time when the next one is due."""
         now = self._loop.time()
-        following = self._request.deadline
-        for shard in sorted(self._open - self._hedged):
-            attempts = self._attempts.get(shard)
+        next_due = self._request.deadline
+        for shard in sorted(self._pending_shards - self._hedged_shards):
+            attempts = self._in_flight.get(shard)
             delay_ms = self._router.hedge_delay_ms(shard)
             if delay_ms is None:
                 continue
-            # An attempt that still waits for capacity has not started its delay.
-            started = attempts[0].started if attempts else now
-            due = started + delay_ms * self._hedge_tries.get(shard, 1) / _MILLISECONDS
+            # The hedge delay starts when the attempt is sent, not while it waits for
+            # capacity.
+            started_at = attempts[0].started_at if attempts else now
+            due = (
+                started_at
+                + delay_ms * self._hedge_delay_factors.get(shard, 1) / _MS_PER_S
+            )
             if due > now:
-                following = min(following, due)
+                next_due = min(next_due, due)
             elif attempts:
-                self._hedge(shard)
-                following = min(following, now + delay_ms / _MILLISECONDS)
-        return following
+                self._try_hedge(shard)
+                next_due = min(next_due, now + delay_ms / _MS_PER_S)
+        return next_due
 
-    def _hedge(self, shard: int) -> None:
-        tried = self._tried[shard]
+    def _try_hedge(self, shard: int) -> None:
+        tried_servers = self._tried_servers[shard]
         ticket = self._router.choose(
-            self.view.snapshot, shard, tried, self._network.zone, Attempt.HEDGE
+            self.view.snapshot, shard, tried_servers, self._context.zone, Attempt.HEDGE
         )
         if ticket is None:
-            # No replica has room or the budget is spent; later, that may change.
-            self._hedge_tries[shard] = self._hedge_tries.get(shard, 1) + 1
+            # No replica has capacity or the hedge budget is exhausted; try again after
+            # another delay.
+            self._hedge_delay_factors[shard] = (
+                self._hedge_delay_factors.get(shard, 1) + 1
+            )
             return
-        self._hedged.add(shard)
-        tried.add(ticket.server)
-        self._network.metrics.count("query.hedge")
-        self._network.background(self._serve(shard, hedge=ticket))
-
-    async def _attempt(self, shard: int, ticket: Ticket, hedge: bool) -> _Next:
-        """Send one sub-request and return what follows."""
-        sub_request = self._sub_request(shard)
-        started = self._loop.time()
-        attempt = _SubAttempt(ticket, sub_request, started, hedge)
-        self._attempts.setdefault(shard, []).append(attempt)
-        self._guard.started(
+        self._hedged_shards.add(shard)
+        tried_servers.add(ticket.server)
+        self._context.metrics.count("query.hedge")
+        self._context.start_background_task(
+            self._fetch_shard(shard, hedge_ticket=ticket)
+        )
+
+    async def _run_attempt(
+        self, shard: int, ticket: Ticket, is_hedge: bool
+    ) -> _NextStep:
+        """Send one sub-request and return what to do next for its shard."""
+        sub_request = self._build_sub_request(shard)
+        started_at = self._loop.time()
+        attempt = _InFlightAttempt(ticket, sub_request, started_at, is_hedge)
+        self._in_flight.setdefault(shard, []).append(attempt)
+        self._crash_guard.started(
             sub_request.attempt_id,
             self._fingerprint,
             ticket.server,
@@ -300,132 +331,139 @@
         outcome = AttemptOutcome.CANCELLED
         hop = start_hop("sub-request")
         try:
-            reply = await self._network.send(
+            reply = await self._context.send(
                 ticket,
                 sub_request,
-                self._request.deadline - started + _LATE_REPLY_GRACE_S,
+                self._request.deadline - started_at + _LATE_REPLY_GRACE_S,
             )
-            outcome = OUTCOME_OF_STATUS[reply.status]
-            return self._receive(shard, attempt, reply)
+            outcome = OUTCOME_BY_STATUS[reply.status]
+            return self._handle_reply(shard, attempt, reply)
         except ConnectFailed:
             outcome = AttemptOutcome.CONNECTION_LOST
-            self._note_gone(sub_request, ticket)
-            return self._retryable(shard, "a replica accepts no connection")
+            self._report_unreachable(sub_request, ticket)
+            return self._step_after_failure(shard, "a replica accepts no connection")
         except ReplyLost as error:
             outcome = AttemptOutcome.CONNECTION_LOST
             self.may_have_run = True
-            if error.server_gone:
-                self._guard.server_crashed(
+            if error.server_unreachable:
+                self._crash_guard.server_crashed(
                     ticket.server,
                     ticket.incarnation,
                     self._request.service,
                     ticket.availability_zone,
                 )
-            return self._retryable(shard, "the connection to a replica broke")
+            return self._step_after_failure(shard, "the connection to a replica broke")
         except ReplyInvalid:
             outcome = AttemptOutcome.FAILED
             self.may_have_run = True
-            self._network.metrics.count("query.reply_invalid")
-            return self._retryable(shard, "a replica sent an invalid reply")
+            self._context.metrics.count("query.reply_invalid")
+            return self._step_after_failure(shard, "a replica sent an invalid reply")
         except TimeoutError:
             outcome = AttemptOutcome.TIMEOUT
             self.may_have_run = True
-            self._end(shard, "no reply in time")
-            return _Next.DONE
+            self._finish_shard(shard, "no reply in time")
+            return _NextStep.DONE
         finally:
             if attempt.abandoned:
                 outcome = AttemptOutcome.CANCELLED
-            ticket.finish(outcome, (self._loop.time() - started) * _MILLISECONDS)
-            self._guard.ended(sub_request.attempt_id, outcome)
-            self._attempts[shard].remove(attempt)
+            ticket.finish(outcome, (self._loop.time() - started_at) * _MS_PER_S)
+            self._crash_guard.ended(sub_request.attempt_id, outcome)
+            self._in_flight[shard].remove(attempt)
             hop.end(
                 shard=shard,
                 server=ticket.server,
                 attempt_id=sub_request.attempt_id,
-                hedge=hedge,
+                hedge=is_hedge,
                 outcome=outcome.value,
             )
 
-    def _note_gone(self, sub_request: SubRequest, ticket: Ticket) -> None:
-        """Report a server that accepts no connection, as evidence of a lost zone.
+    def _report_unreachable(self, sub_request: SubRequest, ticket: Ticket) -> None:
+        """Report an unreachable server to the crash guard.
 
-        Nothing was sent, so this query must not be blamed for it.
+        The report helps to detect the loss of a zone. Nothing was sent, so the attempt
+        ends first and this query is not suspected of crashing the server.
         """
-        self._guard.ended(sub_request.attempt_id, AttemptOutcome.CANCELLED)
-        self._guard.server_crashed(
+        self._crash_guard.ended(sub_request.attempt_id, AttemptOutcome.CANCELLED)
+        self._crash_guard.server_crashed(
             ticket.server,
             ticket.incarnation,
             self._request.service,
             ticket.availability_zone,
         )
 
-    def _sub_request(self, shard: int) -> SubRequest:
+    def _build_sub_request(self, shard: int) -> SubRequest:
         remaining_s = self._request.deadline - self._loop.time()
         return SubRequest(
             request_id=self._request.request_id,
-            attempt_id=f"{self._attempt_prefix}-{next(self._numbers)}",
+            attempt_id=f"{self._attempt_prefix}-{next(self._attempt_numbers)}",
             service=self._request.service,
             kind="query",
             snapshot=self.view.snapshot,
             shard=shard,
             shard_count=self.view.shard_count,
-            deadline_ms=max(int(remaining_s * _MILLISECONDS), 0),
+            deadline_ms=max(int(remaining_s * _MS_PER_S), 0),
             priority=self._request.priority.value,
             body=self._request.body,
             dependency_answers=self._dependency_answers,
         )
 
-    def _receive(self, shard: int, attempt: _SubAttempt, reply: SubReply) -> _Next:
-        if reply.status not in _DID_NOT_RUN:
+    def _handle_reply(
+        self, shard: int, attempt: _InFlightAttempt, reply: SubReply
+    ) -> _NextStep:
+        if reply.status not in _NOT_EXECUTED_STATUSES:
             self.may_have_run = True
-        if shard not in self._open:
-            self._network.metrics.count("query.late_reply")
-            return _Next.DONE
-        if reply.status in _ANSWERED:
+        if shard not in self._pending_shards:
+            self._context.metrics.count("query.late_reply")
+            return _NextStep.DONE
+        if reply.status in _ANSWER_STATUSES:
             self.replies[shard] = reply
-            if attempt.hedge:
-                self._network.metrics.count("query.hedge_won")
-            self._end(shard, None)
-            self._abandon(shard, except_for=attempt)
-            return _Next.DONE
+            if attempt.is_hedge:
+                self._context.metrics.count("query.hedge_won")
+            self._finish_shard(shard, None)
+            self._abandon_attempts(shard, except_for=attempt)
+            return _NextStep.DONE
         if reply.status is ReplyStatus.SNAPSHOT_GONE:
-            return _Next.MOVED
-        if reply.status in _DID_NOT_RUN:
-            # The router backs off from a server that shed; excluding it for the rest
-            # of the query would send its work to the slowest replica.
-            self._tried[shard].discard(attempt.ticket.server)
-        return self._retryable(shard, f"a replica replied {reply.status.value}")
-
-    def _retryable(self, shard: int, fault: str) -> _Next:
-        if shard not in self._open:
-            return _Next.DONE
-        self.faults[shard] = fault
-        # While another attempt of this shard is on its way it serves as the retry.
-        return _Next.DONE if len(self._attempts[shard]) > 1 else _Next.RETRY
-
-    def _refused(self, shard: int, refusal: Refusal) -> None:
+            return _NextStep.TRY_OTHER_REPLICA
+        if reply.status in _NOT_EXECUTED_STATUSES:
+            # The router backs off from a server that sheds load. Excluding the server
+            # for the rest of the query would move its work to the slowest replica.
+            self._tried_servers[shard].discard(attempt.ticket.server)
+        return self._step_after_failure(
+            shard, f"a replica replied {reply.status.value}"
+        )
+
+    def _step_after_failure(self, shard: int, failure: str) -> _NextStep:
+        if shard not in self._pending_shards:
+            return _NextStep.DONE
+        self.failures[shard] = failure
+        # Another attempt of this shard that is in flight serves as the retry.
+        return _NextStep.DONE if len(self._in_flight[shard]) > 1 else _NextStep.RETRY
+
+    def _handle_refusal(self, shard: int, refusal: Refusal) -> None:
         if refusal.reason is RefusalReason.CRASHING_REQUEST:
             self.refusal = refusal
-            self._changed.set()
-        if self._attempts.get(shard) or shard not in self._open:
+            self._state_changed.set()
+        if self._in_flight.get(shard) or shard not in self._pending_shards:
             return
         if refusal.reason is RefusalReason.SNAPSHOT_UNKNOWN:
-            self.snapshot_gone = self._interrupted = True
-        self._end(shard, self.faults.get(shard, refusal.message))
-
-    def _end(self, shard: int, fault: str | None) -> None:
-        self._open.discard(shard)
-        if fault is not None:
-            self.faults[shard] = fault
-        if not self._running:
-            self._changed.set()
-
-    def _abandon(self, shard: int, except_for: _SubAttempt | None = None) -> None:
-        for attempt in self._attempts.get(shard, ()):
+            self.snapshot_gone = self._stopped_by_lost_snapshot = True
+        self._finish_shard(shard, self.failures.get(shard, refusal.message))
+
+    def _finish_shard(self, shard: int, failure: str | None) -> None:
+        self._pending_shards.discard(shard)
+        if failure is not None:
+            self.failures[shard] = failure
+        if not self._in_progress:
+            self._state_changed.set()
+
+    def _abandon_attempts(
+        self, shard: int, except_for: _InFlightAttempt | None = None
+    ) -> None:
+        for attempt in self._in_flight.get(shard, ()):
             if attempt is except_for or attempt.abandoned:
                 continue
             attempt.abandoned = True
-            self._network.metrics.count("query.abandoned")
-            self._network.background(
-                self._network.cancel(attempt.ticket, attempt.request.attempt_id)
+            self._context.metrics.count("query.abandoned")
+            self._context.start_background_task(
+                self._context.cancel(attempt.ticket, attempt.request.attempt_id)
             )
--- a/packages/query/src/kingcuplug_query/_order_refusals.py
+++ b/packages/query/src/kingcuplug_query/_order_refusals.py
@@ -1,4 +1,8 @@
-"""Refusals of orders, and what holds for all copies of one order."""
+"""Refusals of orders.
+
+A caller may send several copies of an order, with the same idempotency key. A
+refusal of one copy must not contradict the outcome of another.
+"""
 
 from typing import Any
 
@@ -15,14 +19,14 @@
 
 __all__ = [
     "SAME_KEY_REMEDY",
-    "key_refused",
-    "no_quorum",
-    "still_claimed",
-    "unknown",
+    "claim_held_refusal",
+    "key_refusal",
+    "no_quorum_refusal",
+    "outcome_unknown_refusal",
     "unsettled",
 ]
 
-_MILLISECONDS = 1_000
+_RETRY_AFTER_MS = 1_000
 _UNKNOWN_REMEDY = (
     "send the order again with the same key to get its outcome, or look it up with "
     "`kingcuplug orders show`"
@@ -30,8 +34,8 @@
 _NEW_KEY_REMEDY = "send the order again with a new idempotency key"
 SAME_KEY_REMEDY = "send the order again with the same idempotency key"
 
-# Refusals that no copy of the same order can contradict.
-_SETTLED = frozenset(
+# Reasons that hold for every copy of the same order.
+_REASONS_FOR_ALL_COPIES = frozenset(
     (
         RefusalReason.INVALID_REQUEST,
         RefusalReason.KEY_REUSED,
@@ -41,14 +45,14 @@
 
 
 def unsettled(refusal: Refusal, resend: bool) -> Refusal:
-    """Return a refusal of an order that holds for all of its copies.
+    """Return a refusal that holds for all copies of an order.
 
-    Another copy of a resent order may have run or may yet run, even if this one
-    gave its claim back, so ``not_run`` would be a claim that nobody here can make.
+    Another copy of a resent order may have run or may run later, even if this one
+    released its claim, so ``not_run`` is replaced by ``outcome_unknown``.
     """
     if not resend or refusal.kind is RefusalKind.OUTCOME_UNKNOWN:
         return refusal
-    if refusal.reason in _SETTLED:
+    if refusal.reason in _REASONS_FOR_ALL_COPIES:
         return refusal
     return Refusal(
         RefusalKind.OUTCOME_UNKNOWN,
@@ -59,7 +63,7 @@
     )
 
 
-def unknown(message: str) -> Refusal:
+def outcome_unknown_refusal(message: str) -> Refusal:
     return Refusal(
         RefusalKind.OUTCOME_UNKNOWN,
         RefusalReason.ORDER_UNKNOWN,
@@ -68,32 +72,32 @@
     )
 
 
-def no_quorum(error: KingcuplugError) -> Refusal:
+def no_quorum_refusal(error: KingcuplugError) -> Refusal:
     return not_run(
         RefusalReason.NO_QUORUM,
         f"the order ledger cannot be written: {error.message}",
         SAME_KEY_REMEDY,
-        retry_after_ms=_MILLISECONDS,
+        retry_after_ms=_RETRY_AFTER_MS,
     )
 
 
-def still_claimed(request: OrderRequest, record: OrderRecord) -> Refusal:
-    return unknown(f"order {request.key} is being run by {record.host}")
+def claim_held_refusal(request: OrderRequest, record: OrderRecord) -> Refusal:
+    return outcome_unknown_refusal(f"order {request.key} is being run by {record.host}")
 
 
-def key_refused(key: str, result: Any) -> Refusal:
-    if isinstance(result, KeyExpired):
-        # The record may be purged, so whether an earlier copy ran is not known.
+def key_refusal(key: str, claim_result: Any) -> Refusal:
+    if isinstance(claim_result, KeyExpired):
+        # The record may have been purged, so it is unknown whether a copy has run.
         return Refusal(
             RefusalKind.OUTCOME_UNKNOWN,
             RefusalReason.KEY_EXPIRED,
             f"key {key} is older than the retention, so this copy was not run",
             "check whether the order was run before; else use a new key",
         )
-    if isinstance(result, KeyFromFuture):
+    if isinstance(claim_result, KeyFromFuture):
         return not_run(
             RefusalReason.KEY_FROM_FUTURE,
-            f"the issue time of key {key} is {result.ahead_ms} ms ahead",
+            f"the issue time of key {key} is {claim_result.ahead_ms} ms ahead",
             "correct the caller's clock and use a new key",
         )
     return not_run(
--- a/packages/query/src/kingcuplug_query/_orders.py
+++ b/packages/query/src/kingcuplug_query/_orders.py
@@ -1,8 +1,8 @@
 """Execution of orders, which run at most once.
 
-Each step is recorded on a quorum before the step that it guards: the claim before
-any capacity is taken, the dispatch before the first byte, the outcome before the
-answer. After the dispatch there is no retry and no hedge.
+A quorum of the ledger records each step before the next one starts: the claim before
+capacity is acquired, the dispatch before the first byte is sent, the outcome before
+the answer is returned. After the dispatch there is no retry and no hedge.
 """
 
 import asyncio
@@ -31,38 +31,48 @@
 )
 from kingcuplug_routing import AttemptOutcome, CrashGuard, Ticket
 
-from kingcuplug_query._backend import ConnectFailed, Reachable, ReplyLost, Send
-from kingcuplug_query._background import Background
-from kingcuplug_query._gather import OUTCOME_OF_STATUS
+from kingcuplug_query._attempt_results import (
+    AttemptResult,
+    answer_from_record,
+    answer_from_result,
+    result_from_reply,
+)
+from kingcuplug_query._backend_client import (
+    ConnectFailed,
+    IsReachable,
+    ReplyLost,
+    SendSubRequest,
+)
+from kingcuplug_query._background_tasks import Background
+from kingcuplug_query._gather import OUTCOME_BY_STATUS
 from kingcuplug_query._messages import (
     Answer,
     OrderRequest,
     ReplyInvalid,
     SubRequest,
 )
-from kingcuplug_query._order_endings import Ending, answer_of, ending_of, recorded
 from kingcuplug_query._order_refusals import (
     SAME_KEY_REMEDY,
-    key_refused,
-    no_quorum,
-    still_claimed,
-    unknown,
+    claim_held_refusal,
+    key_refusal,
+    no_quorum_refusal,
+    outcome_unknown_refusal,
     unsettled,
 )
 from kingcuplug_query._query import RevisionView, ServiceRuntime, fingerprint_of
-from kingcuplug_query._query_refusals import require_servable
+from kingcuplug_query._query_refusals import require_dependency_served
 from kingcuplug_query._snapshots import choose_snapshot, shard_of
 
 __all__ = ["OrderExecutor"]
 
-_MILLISECONDS = 1_000
-# The reply to an order is awaited beyond the caller's deadline, so that a resend
+_ONE_SECOND_MS = 1_000
+# The reply is awaited beyond the caller's deadline, so that a resend of the order
 # finds its outcome.
-_LATE_REPLY_S = 30.0
-_RECORD_S = 30.0
-_MILLISECONDS_PER_DAY = 86_400_000
+_LATE_REPLY_WAIT_S = 30.0
+_LEDGER_WRITE_TIMEOUT_S = 30.0
+_MS_PER_DAY = 86_400_000
 
-HolderLost = Callable[[str, int], bool]
+IsHolderLost = Callable[[str, int], bool]
 
 
 class OrderExecutor:
@@ -72,52 +82,52 @@
     ----------
     ledger : LedgerClient
         Access to the order ledger.
-    send : Send
-        The border to the backend servers.
-    guard : CrashGuard
-        Shared by all services of this entry host.
+    send : SendSubRequest
+        Transport to the backend servers.
+    crash_guard : CrashGuard
+        Crash guard that all services of this entry host share.
     metrics : Metrics
         Counters.
-    background : Background
-        Owner of attempts and records, which may outlive their request.
+    background_tasks : Background
+        Runs attempts and ledger writes, which may outlive their request.
     zone : str
         The entry host's availability zone.
-    holder_lost : callable
-        Whether a run of an entry host, by name and incarnation, is known to have
-        ended.
-    reachable : Reachable
+    is_holder_lost : callable
+        Whether the process of an entry host, by host name and incarnation, is known to
+        have ended.
+    is_reachable : IsReachable
         Whether a server accepts connections.
     """
 
     def __init__(
         self,
         ledger: LedgerClient,
-        send: Send,
-        guard: CrashGuard,
+        send: SendSubRequest,
+        crash_guard: CrashGuard,
         metrics: Metrics,
-        background: Background,
+        background_tasks: Background,
         zone: str,
-        holder_lost: HolderLost,
-        reachable: Reachable,
+        is_holder_lost: IsHolderLost,
+        is_reachable: IsReachable,
     ) -> None:
-        self._reachable = reachable
+        self._is_reachable = is_reachable
         self._ledger = ledger
         self._send = send
-        self._guard = guard
+        self._crash_guard = crash_guard
         self._metrics = metrics
-        self._background = background
+        self._background_tasks = background_tasks
         self._zone = zone
-        self._holder_lost = holder_lost
+        self._is_holder_lost = is_holder_lost
 
     async def run(
         self, request: OrderRequest, revision: RevisionView, retention_days: int
     ) -> Answer:
-        """Run the order, attach to its run, or return its recorded outcome.
+        """Run the order, wait for its run elsewhere, or return its recorded outcome.
 
         Raises
         ------
         Refusal
-            If there is no outcome to return; its kind says whether the order can
+            If there is no outcome to return; its kind says whether the order may
             have run.
         """
         try:
@@ -129,20 +139,20 @@
         self, request: OrderRequest, revision: RevisionView, retention_days: int
     ) -> Answer:
         runtime = revision.find(request.service)
-        self._guard.check(_fingerprint(request))
+        self._crash_guard.check(_fingerprint(request))
         for name in runtime.service.depends_on:
-            require_servable(name, revision.find(name).router, request.service)
-        _require_time(request)
-        retention_ms = retention_days * _MILLISECONDS_PER_DAY
-        token = await self._claim(request, revision.number, retention_ms)
-        if isinstance(token, OrderRecord):
-            return recorded(token, request)
-        return await self._run_claimed(request, runtime, revision.number, token)
+            require_dependency_served(name, revision.find(name).router, request.service)
+        _require_time_left(request)
+        retention_ms = retention_days * _MS_PER_DAY
+        claim = await self._claim(request, revision.number, retention_ms)
+        if isinstance(claim, OrderRecord):
+            return answer_from_record(claim, request)
+        return await self._run_claimed(request, runtime, revision.number, claim)
 
     async def _claim(
         self, request: OrderRequest, revision: int, retention_ms: int
     ) -> str | OrderRecord:
-        """Return the token of the own claim, or the record of another's."""
+        """Claim the order; return the claim token or the record of an earlier claim."""
         takeover = False
         while True:
             try:
@@ -160,28 +170,30 @@
                     RefusalReason.INVALID_REQUEST, error.message, error.remedy
                 ) from error
             except KingcuplugError as error:
-                raise no_quorum(error) from error
+                raise no_quorum_refusal(error) from error
             if isinstance(result, Claimed):
                 return result.token
             if not isinstance(result, Attached):
-                raise key_refused(request.key, result)
+                raise key_refusal(request.key, result)
             record = await self._attach(request)
             if record.state in ("dispatched", "finished"):
                 return record
-            takeover = self._holder_lost(record.host, record.host_incarnation)
+            takeover = self._is_holder_lost(record.host, record.host_incarnation)
             if record.state == "claimed" and not takeover:
-                raise still_claimed(request, record)
+                raise claim_held_refusal(request, record)
 
     async def _attach(self, request: OrderRequest) -> OrderRecord:
         self._metrics.count("order.attached")
         try:
             record = await self._ledger.attach(
-                request.key, deadline=request.deadline, holder_lost=self._holder_lost
+                request.key, deadline=request.deadline, holder_lost=self._is_holder_lost
             )
         except SubmissionUnknown as error:
-            raise unknown(error.message) from error
+            raise outcome_unknown_refusal(error.message) from error
         if record is None:
-            raise unknown(f"the record of order {request.key} was purged")
+            raise outcome_unknown_refusal(
+                f"the record of order {request.key} was purged"
+            )
         return record
 
     async def _run_claimed(
@@ -189,28 +201,32 @@
         request: OrderRequest,
         runtime: ServiceRuntime,
         revision: int,
-        token: str,
+        claim_token: str,
     ) -> Answer:
-        sent = False
+        dispatched = False
         try:
             admission = runtime.admission.admit(request.priority, request.deadline)
             async with entering("admission", admission):
-                ticket, sub_request = await self._acquire(request, runtime)
+                ticket, sub_request = await self._acquire_capacity(request, runtime)
                 try:
-                    await self._dispatch(request, token, ticket, sub_request)
+                    await self._record_dispatch(
+                        request, claim_token, ticket, sub_request
+                    )
                 except BaseException:
                     ticket.finish(AttemptOutcome.CANCELLED, 0.0)
                     raise
-                sent = True
-                return await self._send_once(
-                    request, token, ticket, sub_request, revision
+                dispatched = True
+                return await self._send_and_await_result(
+                    request, claim_token, ticket, sub_request, revision
                 )
         except (Refusal, asyncio.CancelledError):
-            if not sent:
-                self._background.start(self._give_back(request.key, token))
+            if not dispatched:
+                self._background_tasks.start(
+                    self._release_claim(request.key, claim_token)
+                )
             raise
 
-    async def _acquire(
+    async def _acquire_capacity(
         self, request: OrderRequest, runtime: ServiceRuntime
     ) -> tuple[Ticket, SubRequest]:
         view = choose_snapshot(runtime.router.snapshots(), request.partition_key)
@@ -219,10 +235,12 @@
                 RefusalReason.SNAPSHOT_UNKNOWN,
                 f"no backend server of {request.service!r} has announced a snapshot",
                 SAME_KEY_REMEDY,
-                retry_after_ms=_MILLISECONDS,
+                retry_after_ms=_ONE_SECOND_MS,
             )
         shard = shard_of(request.partition_key, view.shard_count)
-        ticket = await self._reachable_ticket(request, runtime, view.snapshot, shard)
+        ticket = await self._acquire_reachable_server(
+            request, runtime, view.snapshot, shard
+        )
         remaining_s = request.deadline - asyncio.get_running_loop().time()
         return ticket, SubRequest(
             request_id=request.request_id,
@@ -232,100 +250,109 @@
             snapshot=view.snapshot,
             shard=shard,
             shard_count=view.shard_count,
-            deadline_ms=max(int(remaining_s * _MILLISECONDS), 0),
+            deadline_ms=max(int(remaining_s * _ONE_SECOND_MS), 0),
             priority=request.priority.value,
             body=request.body,
             idempotency_key=request.key,
         )
 
-    async def _reachable_ticket(
+    async def _acquire_reachable_server(
         self, request: OrderRequest, runtime: ServiceRuntime, snapshot: int, shard: int
     ) -> Ticket:
-        """Return capacity at a server that accepts connections.
+        """Acquire capacity at a server that accepts connections.
 
-        After the dispatch there is no second try, so a lost server has to be found
+        There is no retry after the dispatch, so unreachable servers have to be skipped
         before it.
         """
-        unreachable: set[str] = set()
+        unreachable_servers: set[str] = set()
         while True:
             ticket = await runtime.router.acquire(
                 snapshot,
                 shard,
-                unreachable,
+                unreachable_servers,
                 request.priority,
                 request.deadline,
                 self._zone,
             )
-            if await self._reachable(ticket):
+            if await self._is_reachable(ticket):
                 return ticket
             ticket.finish(AttemptOutcome.CONNECTION_LOST, 0.0)
-            unreachable.add(ticket.server)
+            unreachable_servers.add(ticket.server)
 
-    async def _dispatch(
-        self, request: OrderRequest, token: str, ticket: Ticket, sub_request: SubRequest
+    async def _record_dispatch(
+        self,
+        request: OrderRequest,
+        claim_token: str,
+        ticket: Ticket,
+        sub_request: SubRequest,
     ) -> None:
         try:
             await self._ledger.dispatch(
                 request.key,
-                token,
+                claim_token,
                 ticket.server,
                 sub_request.attempt_id,
                 deadline=request.deadline,
             )
         except MustNotSend as error:
-            # Nobody but this task could send under this token, and it does not.
+            # Only this task may send with this claim token, and it does not.
             raise not_run(
                 RefusalReason.NO_QUORUM, error.message, SAME_KEY_REMEDY
             ) from error
         except KingcuplugError as error:
-            raise no_quorum(error) from error
+            raise no_quorum_refusal(error) from error
 
-    async def _give_back(self, key: str, token: str) -> None:
-        """Spend the token of an order that was not sent."""
-        deadline = asyncio.get_running_loop().time() + _RECORD_S
+    async def _release_claim(self, key: str, claim_token: str) -> None:
+        """Release the claim of an order that was not sent, or record it as not run."""
+        deadline = asyncio.get_running_loop().time() + _LEDGER_WRITE_TIMEOUT_S
         try:
-            result = await self._ledger.release(key, token, deadline=deadline)
+            result = await self._ledger.release(key, claim_token, deadline=deadline)
             if (
                 isinstance(result, ReleaseRefused)
                 and result.reason == "already_dispatched"
             ):
                 await self._ledger.outcome(
-                    key, token, "not_run", "not_sent", None, deadline=deadline
+                    key, claim_token, "not_run", "not_sent", None, deadline=deadline
                 )
         except KingcuplugError:
             self._metrics.count("order.release_failed")
 
-    async def _send_once(
+    async def _send_and_await_result(
         self,
         request: OrderRequest,
-        token: str,
+        claim_token: str,
         ticket: Ticket,
         sub_request: SubRequest,
         revision: int,
     ) -> Answer:
-        ended: asyncio.Future[Ending] = asyncio.get_running_loop().create_future()
-        # A caller that leaves must not cancel an order that was dispatched.
-        self._background.start(
-            self._attempt(request, token, ticket, sub_request, ended)
+        result_future: asyncio.Future[AttemptResult] = (
+            asyncio.get_running_loop().create_future()
+        )
+        # The attempt runs in its own task, because a caller that disconnects must not
+        # cancel a dispatched order.
+        self._background_tasks.start(
+            self._run_attempt(request, claim_token, ticket, sub_request, result_future)
         )
         try:
             async with asyncio.timeout_at(request.deadline):
-                ending = await ended
+                result = await result_future
         except TimeoutError:
-            raise unknown("the outcome was not known before the deadline") from None
-        return answer_of(ending, request, revision)
+            raise outcome_unknown_refusal(
+                "the outcome was not known before the deadline"
+            ) from None
+        return answer_from_result(result, request, revision)
 
-    async def _attempt(
+    async def _run_attempt(
         self,
         request: OrderRequest,
-        token: str,
+        claim_token: str,
         ticket: Ticket,
         sub_request: SubRequest,
-        ended: "asyncio.Future[Ending]",
+        result_future: "asyncio.Future[AttemptResult]",
     ) -> None:
         loop = asyncio.get_running_loop()
-        started = loop.time()
-        self._guard.started(
+        started_at = loop.time()
+        self._crash_guard.started(
             sub_request.attempt_id,
             _fingerprint(request),
             ticket.server,
@@ -334,11 +361,13 @@
         outcome = AttemptOutcome.CANCELLED
         hop = start_hop("sub-request")
         try:
-            timeout_s = request.deadline - started + _LATE_REPLY_S
-            outcome, ending = await self._exchange(ticket, sub_request, timeout_s)
+            timeout_s = request.deadline - started_at + _LATE_REPLY_WAIT_S
+            outcome, result = await self._send_and_classify(
+                ticket, sub_request, timeout_s
+            )
         finally:
-            ticket.finish(outcome, (loop.time() - started) * _MILLISECONDS)
-            self._guard.ended(sub_request.attempt_id, outcome)
+            ticket.finish(outcome, (loop.time() - started_at) * _ONE_SECOND_MS)
+            self._crash_guard.ended(sub_request.attempt_id, outcome)
             hop.end(
                 shard=sub_request.shard,
                 server=ticket.server,
@@ -346,44 +375,53 @@
                 hedge=False,
                 outcome=outcome.value,
             )
-        await self._record(request.key, token, ending)
-        if not ended.done():
-            ended.set_result(ending)
+        await self._record_outcome(request.key, claim_token, result)
+        if not result_future.done():
+            result_future.set_result(result)
 
-    async def _exchange(
+    async def _send_and_classify(
         self, ticket: Ticket, sub_request: SubRequest, timeout_s: float
-    ) -> tuple[AttemptOutcome, Ending]:
+    ) -> tuple[AttemptOutcome, AttemptResult]:
         try:
             reply = await self._send(ticket, sub_request, timeout_s)
         except ConnectFailed as error:
-            ending = Ending("not_run", "connect_failed", error.message)
-            return AttemptOutcome.CONNECTION_LOST, ending
+            result = AttemptResult("not_run", "connect_failed", error.message)
+            return AttemptOutcome.CONNECTION_LOST, result
         except ReplyLost as error:
-            if error.server_gone:
-                self._guard.server_crashed(
+            if error.server_unreachable:
+                self._crash_guard.server_crashed(
                     ticket.server,
                     ticket.incarnation,
                     sub_request.service,
                     ticket.availability_zone,
                 )
-            ending = Ending("unknown", "reply_lost", error.message)
-            return AttemptOutcome.CONNECTION_LOST, ending
+            result = AttemptResult("unknown", "reply_lost", error.message)
+            return AttemptOutcome.CONNECTION_LOST, result
         except ReplyInvalid as error:
-            ending = Ending("unknown", "reply_invalid", error.message)
-            return AttemptOutcome.FAILED, ending
+            result = AttemptResult("unknown", "reply_invalid", error.message)
+            return AttemptOutcome.FAILED, result
         except TimeoutError:
-            ending = Ending("unknown", "no_reply", "the backend server did not reply")
-            return AttemptOutcome.TIMEOUT, ending
-        return OUTCOME_OF_STATUS[reply.status], ending_of(reply, sub_request)
+            result = AttemptResult(
+                "unknown", "no_reply", "the backend server did not reply"
+            )
+            return AttemptOutcome.TIMEOUT, result
+        return OUTCOME_BY_STATUS[reply.status], result_from_reply(reply, sub_request)
 
-    async def _record(self, key: str, token: str, ending: Ending) -> None:
-        deadline = asyncio.get_running_loop().time() + _RECORD_S
+    async def _record_outcome(
+        self, key: str, claim_token: str, result: AttemptResult
+    ) -> None:
+        deadline = asyncio.get_running_loop().time() + _LEDGER_WRITE_TIMEOUT_S
         try:
             await self._ledger.outcome(
-                key, token, ending.kind, ending.status, ending.body, deadline=deadline
+                key,
+                claim_token,
+                result.kind,
+                result.status,
+                result.body,
+                deadline=deadline,
             )
         except KingcuplugError:
-            # The answer is still true; a resend will get `outcome_unknown`.
+            # The answer remains valid; a resend will be refused as `outcome_unknown`.
             self._metrics.count("order.outcome_not_recorded")
 
 
@@ -391,7 +429,7 @@
     return fingerprint_of(request.service, "order", request.body)
 
 
-def _require_time(request: OrderRequest) -> None:
+def _require_time_left(request: OrderRequest) -> None:
     if request.deadline <= asyncio.get_running_loop().time():
         raise not_run(
             RefusalReason.DEADLINE_EXCEEDED,
--- a/tests/query/test_resent_orders.py
+++ b/tests/query/test_resent_orders.py
@@ -1,4 +1,4 @@
-"""What is said of a resent order while an earlier copy of it is on its way."""
+"""Refusals of a resent order while an earlier copy of it is in flight."""
 
 import asyncio
 from types import SimpleNamespace
@@ -12,8 +12,8 @@
 from kingcuplug_testkit import run_virtual
 
 
-class Ledger:
-    """Grants every claim and takes back every token."""
+class LedgerStub:
+    """Ledger that grants every claim and accepts every release."""
 
     def __init__(self) -> None:
         self.released: list[str] = []
@@ -23,14 +23,14 @@
         return Claimed("token-1")
 
     async def release(self, key: str, token: str, deadline: float) -> None:
-        """Note the token."""
+        """Record the released token."""
         self.released.append(token)
 
 
-class Full:
-    """Admission that refuses everybody."""
+class OverloadedAdmission:
+    """Admission that refuses every request."""
 
-    def admit(self, *arguments: Any) -> "Full":
+    def admit(self, *arguments: Any) -> "OverloadedAdmission":
         """Return a context manager that refuses."""
         return self
 
@@ -45,15 +45,13 @@
     ("resend", "kind"),
     [(False, RefusalKind.NOT_RUN), (True, RefusalKind.OUTCOME_UNKNOWN)],
 )
-def test_resend_that_held_the_claim_does_not_deny_a_run(
-    resend: bool, kind: RefusalKind
-):
+def test_resend_with_released_claim_is_outcome_unknown(resend: bool, kind: RefusalKind):
     """Guards against ``not_run`` for a key that an earlier copy then runs.
 
-    The resend gives its claim back when admission refuses it, and an earlier copy
-    that still waits for the claim takes it.
+    Admission refuses the resend, which then releases its claim. An earlier copy that
+    waits for the claim gets it and runs.
     """
-    ledger = Ledger()
+    ledger = LedgerStub()
 
     async def run() -> Refusal:
         background = Background()
@@ -68,7 +66,7 @@
             None,
         )
         service = SimpleNamespace(depends_on=())
-        runtime = SimpleNamespace(admission=Full(), service=service)
+        runtime = SimpleNamespace(admission=OverloadedAdmission(), service=service)
         view = SimpleNamespace(number=1, find=lambda _: runtime)
         deadline = asyncio.get_running_loop().time() + 1.0
         order = OrderRequest(
