--- a/packages/configuration/src/kingcuplug_configuration/__init__.py
+++ b/packages/configuration/src/kingcuplug_configuration/__init__.py
@@ -14,7 +14,7 @@
     DigestMismatch,
     describe,
     difference,
-    merge,
+    merge_deltas,
     patch,
     replay,
 )
@@ -53,7 +53,7 @@
     "Service",
     "describe",
     "difference",
-    "merge",
+    "merge_deltas",
     "parse",
     "patch",
     "render",
--- a/packages/configuration/src/kingcuplug_configuration/_commands.py
+++ b/packages/configuration/src/kingcuplug_configuration/_commands.py
@@ -21,7 +21,7 @@
 
 IDENTIFIER_LIMIT_CHARACTERS = 128
 # Numbers below are exact in every JSON reader, and orjson writes them.
-NUMBER_LIMIT = 2**53
+INTEGER_LIMIT = 2**53
 
 
 class CommandInvalid(KingcuplugError):
@@ -66,7 +66,7 @@
                 )
         for name in ("base_revision", "time_ms"):
             value = getattr(self, name)
-            if type(value) is not int or not 0 <= value < NUMBER_LIMIT:
+            if type(value) is not int or not 0 <= value < INTEGER_LIMIT:
                 raise CommandInvalid(
                     f"{name} {value!r:.40} is not usable", "use a whole number from 0"
                 )
@@ -86,15 +86,15 @@
             "text": self.text,
             "author": self.author,
             "time_ms": self.time_ms,
-            "delta": _optional(self.delta),
+            "delta": _delta_to_json(self.delta),
         }
 
     @classmethod
     def from_json(cls, value: Mapping[str, Any]) -> "ApplyConfiguration":
         """Read a command; raise `CommandInvalid` if it is malformed."""
         try:
-            fields = {field.name: value[field.name] for field in _FIELDS}
-            fields["delta"] = _delta(value["delta"])
+            fields = {field.name: value[field.name] for field in _COMMAND_FIELDS}
+            fields["delta"] = _delta_from_json(value["delta"])
         except (LookupError, TypeError, ValueError, ExceptionGroup) as error:
             raise CommandInvalid(
                 f"the command is malformed: {error!r:.200}",
@@ -103,7 +103,7 @@
         return cls(**fields)
 
 
-_FIELDS = dataclasses.fields(ApplyConfiguration)
+_COMMAND_FIELDS = dataclasses.fields(ApplyConfiguration)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -142,7 +142,7 @@
             "current_revision": self.current_revision,
             "winner_author": self.winner_author,
             "winner_time_ms": self.winner_time_ms,
-            "difference": _optional(self.difference),
+            "difference": _delta_to_json(self.difference),
         }
 
     def __str__(self) -> str:
@@ -177,7 +177,7 @@
                 value["current_revision"],
                 value["winner_author"],
                 value["winner_time_ms"],
-                _delta(value["difference"]),
+                _delta_from_json(value["difference"]),
             )
         case "rejected":
             return Rejected(tuple(ConfigurationFault(**f) for f in value["faults"]))
@@ -193,9 +193,9 @@
     )
 
 
-def _optional(delta: Delta | None) -> dict[str, Any] | None:
+def _delta_to_json(delta: Delta | None) -> dict[str, Any] | None:
     return None if delta is None else delta.to_json()
 
 
-def _delta(value: Mapping[str, Any] | None) -> Delta | None:
+def _delta_from_json(value: Mapping[str, Any] | None) -> Delta | None:
     return None if value is None else Delta.from_json(value)
--- a/packages/configuration/src/kingcuplug_configuration/_delta.py
+++ b/packages/configuration/src/kingcuplug_configuration/_delta.py
@@ -14,7 +14,7 @@
     "DigestMismatch",
     "describe",
     "difference",
-    "merge",
+    "merge_deltas",
     "patch",
     "replay",
 ]
@@ -133,7 +133,7 @@
     services, retention_days = dict(old.services), old.retention_days
     for delta in deltas:
         if delta.base_digest != known:
-            raise _mismatch(delta, known)
+            raise _digest_mismatch(delta, known)
         for name in delta.removed:
             services.pop(name, None)
         services.update(delta.changed)
@@ -142,11 +142,11 @@
     new = ConfigurationText(services, retention_days)
     found = new.digest
     if found != known:
-        raise _mismatch(deltas[-1], found)
+        raise _digest_mismatch(deltas[-1], found)
     return new
 
 
-def merge(deltas: Sequence[Delta]) -> Delta:
+def merge_deltas(deltas: Sequence[Delta]) -> Delta:
     """Return one delta that does what the successive `deltas` do."""
     changed: dict[str, Service] = {}
     removed: dict[str, None] = {}
@@ -170,10 +170,10 @@
     )
 
 
-def _mismatch(delta: Delta, found: str) -> DigestMismatch:
+def _digest_mismatch(delta: Delta, actual_digest: str) -> DigestMismatch:
     return DigestMismatch(
         f"the delta from {delta.base_digest[:12]} to {delta.digest[:12]}"
-        f" (revision {delta.revision}) meets a text with digest {found[:12]}",
+        f" (revision {delta.revision}) meets a text with digest {actual_digest[:12]}",
         "fetch the whole text",
     )
 
@@ -183,25 +183,25 @@
 
     An empty text means that there is no difference.
     """
-    return "\n".join(_lines(old, new))
+    return "\n".join(_change_lines(old, new))
 
 
-def _lines(old: ConfigurationText, new: ConfigurationText) -> Iterator[str]:
+def _change_lines(old: ConfigurationText, new: ConfigurationText) -> Iterator[str]:
     if old.retention_days != new.retention_days:
         yield f"retention_days: {old.retention_days} -> {new.retention_days}"
     for name in sorted({*old.services, *new.services}):
         before, after = old.services.get(name), new.services.get(name)
         if before is None and after is not None:
             yield f"+ service {name}"
-            yield from _fields(Service(name), after)
+            yield from _service_change_lines(Service(name), after)
         elif after is None:
             yield f"- service {name}"
         elif before is not None and before != after:
             yield f"~ service {name}"
-            yield from _fields(before, after)
+            yield from _service_change_lines(before, after)
 
 
-def _fields(before: Service, after: Service) -> Iterator[str]:
+def _service_change_lines(before: Service, after: Service) -> Iterator[str]:
     for name in sorted({*before.depends_on} - {*after.depends_on}):
         yield f"    depends_on: - {name}"
     for name in sorted({*after.depends_on} - {*before.depends_on}):
--- a/packages/configuration/src/kingcuplug_configuration/_faults.py
+++ b/packages/configuration/src/kingcuplug_configuration/_faults.py
@@ -6,21 +6,29 @@
 
 from kingcuplug_common import KingcuplugError
 
-__all__ = ["ConfigurationFault", "join", "label", "shown", "translate"]
-
-_SHOWN_CHARACTERS = 60
-_PLAIN_SEGMENT = re.compile(r"[A-Za-z0-9_-]{1,63}")
-_UNITS = {"deadline_ms": "milliseconds", "retention_days": "days"}
-_STEMS = {name.rpartition("_")[0]: name for name in _UNITS}
-_SHARES = {
+__all__ = [
+    "ConfigurationFault",
+    "fault_from_pydantic_error",
+    "format_name",
+    "format_value",
+    "join_path",
+]
+
+_MAX_VALUE_CHARACTERS = 60
+_UNQUOTED_NAME = re.compile(r"[A-Za-z0-9_-]{1,63}")
+_UNITS_BY_FIELD = {"deadline_ms": "milliseconds", "retention_days": "days"}
+_FIELDS_BY_NAME_WITHOUT_UNIT = {
+    name.rpartition("_")[0]: name for name in _UNITS_BY_FIELD
+}
+_SHARE_FIELDS = {
     "coverage_weight",
     "minimum_coverage",
     "hedge_budget",
     "retry_budget",
     "urgent_reserve",
 }
-_SHARE_UNIT = re.compile(r"(\w+?)_(percent|pct|share|ratio|ms|count)")
-_REMEDIES = {
+_SHARE_FIELD_WITH_UNIT = re.compile(r"(\w+?)_(percent|pct|share|ratio|ms|count)")
+_REMEDIES_BY_ERROR_TYPE = {
     "model_type": "write a JSON object",
     "dict_type": "write a JSON object",
     "list_type": "write a JSON list",
@@ -61,36 +69,36 @@
         return {"path": self.path, "message": self.message, "remedy": self.remedy}
 
 
-def join(segments: tuple[Any, ...]) -> str:
+def join_path(segments: tuple[Any, ...]) -> str:
     """Return the path of a field; unusual keys are quoted."""
     path = ""
     for segment in segments:
         if isinstance(segment, int):
             path += f"[{segment}]"
             continue
-        path += ("." if path else "") + label(segment)
+        path += ("." if path else "") + format_name(segment)
     return path or "text"
 
 
-def label(name: str) -> str:
+def format_name(name: str) -> str:
     """Return a name as it is if it is plain, else quoted."""
-    return name if _PLAIN_SEGMENT.fullmatch(name) else shown(name)
+    return name if _UNQUOTED_NAME.fullmatch(name) else format_value(name)
 
 
-def shown(value: Any) -> str:
+def format_value(value: Any) -> str:
     """Return `value` for a message: ASCII only, and cut when it is long."""
     if isinstance(value, dict | list):
         return "an object" if isinstance(value, dict) else "a list"
-    if isinstance(value, int) and abs(value) >= 10**_SHOWN_CHARACTERS:
+    if isinstance(value, int) and abs(value) >= 10**_MAX_VALUE_CHARACTERS:
         return "a number of more than 60 digits"
     text = ascii(value)
-    if len(text) > _SHOWN_CHARACTERS:
-        return f"{text[:_SHOWN_CHARACTERS]}..."
+    if len(text) > _MAX_VALUE_CHARACTERS:
+        return f"{text[:_MAX_VALUE_CHARACTERS]}..."
     return text
 
 
-def translate(
-    error: Mapping[str, Any], fields: Mapping[str, tuple[str, ...]]
+def fault_from_pydantic_error(
+    error: Mapping[str, Any], field_names_by_level: Mapping[str, tuple[str, ...]]
 ) -> ConfigurationFault:
     """Turn one error of pydantic into a fault.
 
@@ -102,65 +110,69 @@
         Known field names by the level ``text``, ``service`` or ``policy``.
     """
     segments: tuple[Any, ...] = error["loc"]
-    path = join(segments)
+    path = join_path(segments)
     name = str(segments[-1]) if segments else "text"
     if error["type"] == "extra_forbidden":
-        return _unknown_field(path, name, fields[_level(segments)])
+        return _unknown_field_fault(path, name, field_names_by_level[_level(segments)])
     if error["type"] == "missing":
         return ConfigurationFault(path, "the field is missing", "add it")
-    return _wrong_value(path, name, error)
+    return _invalid_value_fault(path, name, error)
 
 
 def _level(segments: tuple[Any, ...]) -> str:
     return {1: "text", 3: "service", 4: "policy"}[len(segments)]
 
 
-def _unknown_field(path: str, name: str, known: tuple[str, ...]) -> ConfigurationFault:
-    stem = name if name in _STEMS else name.rpartition("_")[0]
-    field = _STEMS.get(stem)
-    if field in known and field is not None:
+def _unknown_field_fault(
+    path: str, name: str, known_fields: tuple[str, ...]
+) -> ConfigurationFault:
+    stem = name if name in _FIELDS_BY_NAME_WITHOUT_UNIT else name.rpartition("_")[0]
+    field = _FIELDS_BY_NAME_WITHOUT_UNIT.get(stem)
+    if field in known_fields and field is not None:
         return ConfigurationFault(
             path,
-            f"wrong unit in the field name {shown(name)}",
-            f"give whole {_UNITS[field]} as {field}",
+            f"wrong unit in the field name {format_value(name)}",
+            f"give whole {_UNITS_BY_FIELD[field]} as {field}",
         )
-    share = _SHARE_UNIT.fullmatch(name)
-    if share and share[1] in known and share[1] in _SHARES:
+    share = _SHARE_FIELD_WITH_UNIT.fullmatch(name)
+    if share and share[1] in known_fields and share[1] in _SHARE_FIELDS:
         return ConfigurationFault(
             path,
-            f"wrong unit in the field name {shown(name)}",
+            f"wrong unit in the field name {format_value(name)}",
             f"give a share between 0 and 1 as {share[1]}",
         )
     return ConfigurationFault(
         path,
-        f"unknown field {shown(name)}",
-        f"remove it; the fields here are {', '.join(known)}",
+        f"unknown field {format_value(name)}",
+        f"remove it; the fields here are {', '.join(known_fields)}",
     )
 
 
-def _wrong_value(path: str, name: str, error: Mapping[str, Any]) -> ConfigurationFault:
+def _invalid_value_fault(
+    path: str, name: str, error: Mapping[str, Any]
+) -> ConfigurationFault:
     value = error["input"]
-    if name in _UNITS and not _is_whole(value):
+    if name in _UNITS_BY_FIELD and not _is_integer(value):
         return ConfigurationFault(
             path,
-            f"wrong unit or type: {shown(value)}",
-            f"give a whole number of {_UNITS[name]}, without a unit",
+            f"wrong unit or type: {format_value(value)}",
+            f"give a whole number of {_UNITS_BY_FIELD[name]}, without a unit",
         )
-    if name in _SHARES:
+    if name in _SHARE_FIELDS:
         return ConfigurationFault(
             path,
-            f"{shown(value)} is not a possible share: {error['msg']}",
+            f"{format_value(value)} is not a possible share: {error['msg']}",
             "give a number between 0 and 1, for example 0.05 for 5%",
         )
-    if name in _UNITS:
+    if name in _UNITS_BY_FIELD:
         return ConfigurationFault(
             path,
-            f"impossible limit {shown(value)}",
-            f"{error['msg']}, in {_UNITS[name]}",
+            f"impossible limit {format_value(value)}",
+            f"{error['msg']}, in {_UNITS_BY_FIELD[name]}",
         )
-    remedy = _REMEDIES.get(error["type"], error["msg"])
-    return ConfigurationFault(path, f"wrong value {shown(value)}", remedy)
+    remedy = _REMEDIES_BY_ERROR_TYPE.get(error["type"], error["msg"])
+    return ConfigurationFault(path, f"wrong value {format_value(value)}", remedy)
 
 
-def _is_whole(value: Any) -> bool:
+def _is_integer(value: Any) -> bool:
     return isinstance(value, int) and not isinstance(value, bool)
--- a/packages/configuration/src/kingcuplug_configuration/_history.py
+++ b/packages/configuration/src/kingcuplug_configuration/_history.py
@@ -27,7 +27,7 @@
     Delta,
     DigestMismatch,
     difference,
-    merge,
+    merge_deltas,
     replay,
 )
 from kingcuplug_configuration._faults import ConfigurationFault
@@ -39,14 +39,14 @@
 
 # 10 days at the target of 10,000 changes a day; a resend that is older gets a
 # conflict in place of its acceptance.
-CHANGES_LIMIT = 100_000
+MAX_STORED_CHANGES = 100_000
 # 10 hours at the target rate. A host that missed more gets the whole text.
-DELTAS_LIMIT = 4_096
+MAX_STORED_DELTAS = 4_096
 # Four whole texts of the target size, so that wide changes cannot fill the memory.
-DELTA_SERVICES_LIMIT = 65_536
+MAX_SERVICES_IN_STORED_DELTAS = 65_536
 # 64 bits tell an accidental reuse of a change id from a resend.
 _SHORT_DIGEST_CHARACTERS = 16
-_FORMAT = 1
+_DUMP_FORMAT = 1
 
 
 class DumpInvalid(KingcuplugError):
@@ -82,7 +82,7 @@
         self.current = Revision(0, empty.text, empty.digest, "", "", 0)
         self._changes: dict[str, Change] = {}
         self._deltas: deque[Delta] = deque()
-        self._delta_services = 0
+        self._services_in_deltas = 0
 
     def apply(self, command: ApplyConfiguration | Mapping[str, Any]) -> Result:
         """Apply a command from the log; a malformed one is `Rejected`.
@@ -99,12 +99,12 @@
         if settled is not None:
             return settled
         if command.base_revision > self.current.number:
-            return self._conflict(command.base_revision)
+            return self._conflict_since(command.base_revision)
         try:
-            proposed = self._proposed(command)
+            proposed = self._validate_proposal(command)
         except ExceptionGroup as group:
-            return Rejected(_faults(group))
-        self._accept(command, proposed)
+            return Rejected(_faults_from_group(group))
+        self._accept_change(command, proposed)
         return Accepted(self.current.number)
 
     def settled(self, command: ApplyConfiguration) -> Result | None:
@@ -116,9 +116,9 @@
         """
         known = self._changes.get(command.change_id)
         if known is not None:
-            return _repeated(known, command)
+            return _resend_result(known, command)
         if command.base_revision < self.current.number:
-            return self._conflict(command.base_revision)
+            return self._conflict_since(command.base_revision)
         return None
 
     def condense(self, command: ApplyConfiguration) -> ApplyConfiguration:
@@ -148,13 +148,13 @@
             delta,
         )
 
-    def since(self, number: int) -> list[Delta] | None:
+    def since(self, revision: int) -> list[Delta] | None:
         """Return the deltas after revision `number`.
 
         None means that they are not kept any more, or that the revision does not
         exist; the whole text is needed then.
         """
-        missing = self.current.number - number
+        missing = self.current.number - revision
         if missing < 0 or missing > len(self._deltas):
             return None
         return list(islice(self._deltas, len(self._deltas) - missing, None))
@@ -163,14 +163,14 @@
         """Return what is remembered of the last changes, the newest first."""
         return list(islice(reversed(self._changes.values()), limit))
 
-    def lookup(self, change_id: str) -> Change | None:
+    def find_change(self, change_id: str) -> Change | None:
         """Return what is remembered of an accepted change."""
         return self._changes.get(change_id)
 
     def dump(self) -> dict[str, Any]:
         """Return the state as JSON values."""
         return {
-            "format": _FORMAT,
+            "format": _DUMP_FORMAT,
             "current": list(self.current),
             "changes": [[name, *change] for name, change in self._changes.items()],
             "deltas": [delta.to_json() for delta in self._deltas],
@@ -195,18 +195,18 @@
             ) from error
         self.current, self.configuration = current, configuration
         self._changes, self._deltas = changes, deltas
-        self._delta_services = sum(len(delta) for delta in deltas)
+        self._services_in_deltas = sum(len(delta) for delta in deltas)
 
-    def _conflict(self, base_revision: int) -> Conflict:
+    def _conflict_since(self, base_revision: int) -> Conflict:
         missed = self.since(base_revision)
         return Conflict(
             self.current.number,
             self.current.author,
             self.current.time_ms,
-            merge(missed) if missed else None,
+            merge_deltas(missed) if missed else None,
         )
 
-    def _proposed(self, command: ApplyConfiguration) -> ConfigurationText:
+    def _validate_proposal(self, command: ApplyConfiguration) -> ConfigurationText:
         if command.delta is None:
             return parse(command.text)
         try:
@@ -214,14 +214,16 @@
         except DigestMismatch as error:
             fault = ConfigurationFault("delta", error.message, "send the whole text")
             raise ExceptionGroup("the delta does not fit", [fault]) from error
-        _check_graph(self.configuration, proposed, command.delta)
+        _check_changed_dependencies(self.configuration, proposed, command.delta)
         return proposed
 
-    def _accept(self, command: ApplyConfiguration, new: ConfigurationText) -> None:
+    def _accept_change(
+        self, command: ApplyConfiguration, new: ConfigurationText
+    ) -> None:
         digest = new.digest
         number = self.current.number + 1
         author = intern(command.author)
-        delta = self._delta(command, new, number)
+        delta = self._numbered_delta(command, new, number)
         self.current = Revision(
             number, new.text, digest, command.change_id, author, command.time_ms
         )
@@ -230,10 +232,10 @@
             number, digest[:_SHORT_DIGEST_CHARACTERS], author, command.time_ms
         )
         self._deltas.append(delta)
-        self._delta_services += len(delta)
-        self._forget()
+        self._services_in_deltas += len(delta)
+        self._evict_oldest()
 
-    def _delta(
+    def _numbered_delta(
         self, command: ApplyConfiguration, new: ConfigurationText, number: int
     ) -> Delta:
         if command.delta is None:
@@ -243,17 +245,19 @@
             command.delta, base_digest=base_digest, revision=number
         )
 
-    def _forget(self) -> None:
-        while len(self._changes) > CHANGES_LIMIT:
+    def _evict_oldest(self) -> None:
+        while len(self._changes) > MAX_STORED_CHANGES:
             del self._changes[next(iter(self._changes))]
         while (
-            len(self._deltas) > DELTAS_LIMIT
-            or self._delta_services > DELTA_SERVICES_LIMIT
+            len(self._deltas) > MAX_STORED_DELTAS
+            or self._services_in_deltas > MAX_SERVICES_IN_STORED_DELTAS
         ):
-            self._delta_services -= len(self._deltas.popleft())
+            self._services_in_deltas -= len(self._deltas.popleft())
 
 
-def _check_graph(old: ConfigurationText, new: ConfigurationText, delta: Delta) -> None:
+def _check_changed_dependencies(
+    old: ConfigurationText, new: ConfigurationText, delta: Delta
+) -> None:
     """Raise an ExceptionGroup of the faults in the dependencies after a delta.
 
     Names and limits within one service need no check here, because a delta's
@@ -272,7 +276,7 @@
         raise ExceptionGroup("the delta breaks dependencies", faults)
 
 
-def _repeated(known: Change, command: ApplyConfiguration) -> Result:
+def _resend_result(known: Change, command: ApplyConfiguration) -> Result:
     """Answer a resend, or tell that the change id is used for two changes."""
     if _short_digest(command) == known.short_digest:
         return Accepted(known.revision)
@@ -295,13 +299,13 @@
     return proposed.digest[:_SHORT_DIGEST_CHARACTERS]
 
 
-def _faults(group: ExceptionGroup[Any]) -> tuple[ConfigurationFault, ...]:
+def _faults_from_group(group: ExceptionGroup[Any]) -> tuple[ConfigurationFault, ...]:
     return tuple(f for f in group.exceptions if isinstance(f, ConfigurationFault))
 
 
 def _load_current(state: Mapping[str, Any]) -> tuple[Revision, ConfigurationText]:
-    if state["format"] != _FORMAT:
-        raise ValueError(f"format {state['format']!r} is not {_FORMAT}")
+    if state["format"] != _DUMP_FORMAT:
+        raise ValueError(f"format {state['format']!r} is not {_DUMP_FORMAT}")
     current = Revision(*state["current"])
     configuration = parse(current.text)
     if configuration.digest != current.digest:
--- a/packages/configuration/src/kingcuplug_configuration/_models.py
+++ b/packages/configuration/src/kingcuplug_configuration/_models.py
@@ -78,7 +78,7 @@
         return {"depends_on": list(self.depends_on), "policy": self.policy.to_json()}
 
     @cached_property
-    def fragment(self) -> str:
+    def json_member(self) -> str:
         """Canonical JSON of the name and the fields, as a member of an object."""
         return f'"{self.name}":{canonical(self.to_json()).decode()}'
 
@@ -97,7 +97,7 @@
     @cached_property
     def text(self) -> str:
         """Canonical JSON; kept, as rendering takes most of the time of a patch."""
-        members = ",".join(service.fragment for service in self.services.values())
+        members = ",".join(service.json_member for service in self.services.values())
         return f'{{"retention_days":{self.retention_days},"services":{{{members}}}}}'
 
     @cached_property
--- a/packages/configuration/src/kingcuplug_configuration/_parse.py
+++ b/packages/configuration/src/kingcuplug_configuration/_parse.py
@@ -8,7 +8,12 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from kingcuplug_configuration._faults import ConfigurationFault, join, shown, translate
+from kingcuplug_configuration._faults import (
+    ConfigurationFault,
+    fault_from_pydantic_error,
+    format_value,
+    join_path,
+)
 from kingcuplug_configuration._graph import check_dependencies
 from kingcuplug_configuration._models import (
     DEFAULT_RETENTION_DAYS,
@@ -20,25 +25,25 @@
 __all__ = ["parse", "services_from_json"]
 
 # A text of 16,000 services, the target size, has about 4 MB.
-TEXT_LIMIT_CHARACTERS = 16_777_216
+MAX_TEXT_CHARACTERS = 16_777_216
 # Two crossings of an availability zone boundary and the backend server's work do
 # not fit into less; smaller values are most often seconds.
-_DEADLINE_MINIMUM_MS = 5
-_DEADLINE_MAXIMUM_MS = 600_000
-_RETENTION_MAXIMUM_DAYS = 730
-_NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
+_MIN_DEADLINE_MS = 5
+_MAX_DEADLINE_MS = 600_000
+_MAX_RETENTION_DAYS = 730
+_SERVICE_NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
 
 _Share = Annotated[float, Field(ge=0, le=1)]
-_STRICT = ConfigDict(extra="forbid", strict=True)
+_STRICT_MODEL = ConfigDict(extra="forbid", strict=True)
 
 
 class _PolicyModel(BaseModel):
-    model_config = _STRICT
+    model_config = _STRICT_MODEL
 
     coverage_weight: _Share = Policy().coverage_weight
     minimum_coverage: _Share = Policy().minimum_coverage
     deadline_ms: int = Field(
-        default=Policy().deadline_ms, ge=_DEADLINE_MINIMUM_MS, le=_DEADLINE_MAXIMUM_MS
+        default=Policy().deadline_ms, ge=_MIN_DEADLINE_MS, le=_MAX_DEADLINE_MS
     )
     hedge_budget: _Share = Policy().hedge_budget
     retry_budget: _Share = Policy().retry_budget
@@ -51,7 +56,7 @@
 
 
 class _ServiceModel(BaseModel):
-    model_config = _STRICT
+    model_config = _STRICT_MODEL
 
     # A factory, because pydantic copies a mutable default for each service.
     depends_on: list[str] = Field(default_factory=list)
@@ -59,30 +64,30 @@
 
 
 class _TextModel(BaseModel):
-    model_config = _STRICT
+    model_config = _STRICT_MODEL
 
     services: dict[str, _ServiceModel]
     retention_days: int = Field(
-        default=DEFAULT_RETENTION_DAYS, ge=1, le=_RETENTION_MAXIMUM_DAYS
+        default=DEFAULT_RETENTION_DAYS, ge=1, le=_MAX_RETENTION_DAYS
     )
 
 
-_FIELDS = {
+_FIELD_NAMES_BY_LEVEL = {
     "text": tuple(_TextModel.model_fields),
     "service": tuple(_ServiceModel.model_fields),
     "policy": tuple(_PolicyModel.model_fields),
 }
 
 
-class _Object(dict[str, Any]):
+class _JsonObject(dict[str, Any]):
     """JSON object that remembers which of its keys occur more than once."""
 
     def __init__(self, pairs: list[tuple[str, Any]]) -> None:
         super().__init__(pairs)
-        self.repeated: list[str] = []
+        self.duplicate_keys: list[str] = []
         if len(self) < len(pairs):
             counts = Counter(name for name, _ in pairs)
-            self.repeated = [name for name, count in counts.items() if count > 1]
+            self.duplicate_keys = [name for name, count in counts.items() if count > 1]
 
 
 def parse(text: str) -> ConfigurationText:
@@ -93,15 +98,15 @@
     ExceptionGroup
         Of `ConfigurationFault`, with every fault of the text.
     """
-    raw = _read(text)
-    faults = list(_duplicates(raw, ()))
+    raw = _load_json(text)
+    faults = list(_find_duplicate_keys(raw, ()))
     model = _validate(raw, faults)
-    faults += _check_raw(raw)
+    faults += _check_names_and_dependencies(raw)
     if model is not None:
-        faults += _check_limits(model.services)
-    _raise_any(faults)
+        faults += _check_coverage_limits(model.services)
+    _raise_if_faults(faults)
     assert model is not None
-    return ConfigurationText(_services(model.services), model.retention_days)
+    return ConfigurationText(_build_services(model.services), model.retention_days)
 
 
 def services_from_json(
@@ -119,38 +124,46 @@
     faults: list[ConfigurationFault] = []
     model = _validate({"services": value, "retention_days": retention_days}, faults)
     if model is not None:
-        faults += _check_limits(model.services)
+        faults += _check_coverage_limits(model.services)
         faults += _check_service_names(model.services)
-    _raise_any(faults)
+    _raise_if_faults(faults)
     assert model is not None
-    return _services(model.services)
+    return _build_services(model.services)
 
 
-def _raise_any(faults: list[ConfigurationFault]) -> None:
+def _raise_if_faults(faults: list[ConfigurationFault]) -> None:
     if faults:
         raise ExceptionGroup(f"the configuration has {len(faults)} faults", faults)
 
 
-def _read(text: str) -> Any:
-    if len(text) > TEXT_LIMIT_CHARACTERS:
-        _reject(f"the text has {len(text)} characters", "use at most 16777216")
+def _load_json(text: str) -> Any:
+    if len(text) > MAX_TEXT_CHARACTERS:
+        _raise_text_fault(
+            f"the text has {len(text)} characters", "use at most 16777216"
+        )
     try:
-        return json.loads(text, object_pairs_hook=_Object)
+        return json.loads(text, object_pairs_hook=_JsonObject)
     except RecursionError:
-        _reject("the text is nested too deeply", "use the four levels of the format")
+        _raise_text_fault(
+            "the text is nested too deeply", "use the four levels of the format"
+        )
     except ValueError as error:
-        _reject(f"the text is not JSON: {error}", "correct the JSON")
+        _raise_text_fault(f"the text is not JSON: {error}", "correct the JSON")
 
 
-def _reject(message: str, remedy: str) -> None:
-    _raise_any([ConfigurationFault("text", message, remedy)])
+def _raise_text_fault(message: str, remedy: str) -> None:
+    _raise_if_faults([ConfigurationFault("text", message, remedy)])
 
 
-def _duplicates(value: Any, path: tuple[Any, ...]) -> Iterator[ConfigurationFault]:
-    if isinstance(value, _Object):
-        for name in value.repeated:
+def _find_duplicate_keys(
+    value: Any, path: tuple[Any, ...]
+) -> Iterator[ConfigurationFault]:
+    if isinstance(value, _JsonObject):
+        for name in value.duplicate_keys:
             yield ConfigurationFault(
-                join((*path, name)), f"duplicate name {shown(name)}", "keep one of them"
+                join_path((*path, name)),
+                f"duplicate name {format_value(name)}",
+                "keep one of them",
             )
         items: Any = value.items()
     elif isinstance(value, list):
@@ -159,27 +172,30 @@
         return
     for key, item in items:
         if isinstance(item, dict | list):
-            yield from _duplicates(item, (*path, key))
+            yield from _find_duplicate_keys(item, (*path, key))
 
 
 def _validate(raw: Any, faults: list[ConfigurationFault]) -> _TextModel | None:
     try:
         return _TextModel.model_validate(raw)
     except ValidationError as error:
-        faults += [translate(item, _FIELDS) for item in error.errors(include_url=False)]
+        faults += [
+            fault_from_pydantic_error(item, _FIELD_NAMES_BY_LEVEL)
+            for item in error.errors(include_url=False)
+        ]
         return None
 
 
-def _check_raw(raw: Any) -> list[ConfigurationFault]:
+def _check_names_and_dependencies(raw: Any) -> list[ConfigurationFault]:
     """Check names and dependencies also where other fields have faults."""
     services = raw.get("services") if isinstance(raw, dict) else None
     if not isinstance(services, dict):
         return []
-    graph = {name: _dependencies(service) for name, service in services.items()}
+    graph = {name: _dependency_names(service) for name, service in services.items()}
     return [*_check_service_names(graph), *check_dependencies(graph)]
 
 
-def _dependencies(service: Any) -> list[str]:
+def _dependency_names(service: Any) -> list[str]:
     needed = service.get("depends_on", []) if isinstance(service, dict) else []
     if not isinstance(needed, list):
         return []
@@ -189,20 +205,22 @@
 def _check_service_names(names: Mapping[str, Any]) -> list[ConfigurationFault]:
     return [
         ConfigurationFault(
-            join(("services", name)),
-            f"wrong service name {shown(name)}",
+            join_path(("services", name)),
+            f"wrong service name {format_value(name)}",
             "use 1 to 63 lower-case letters, digits and hyphens, no hyphen first",
         )
         for name in names
-        if not _NAME.fullmatch(name)
+        if not _SERVICE_NAME.fullmatch(name)
     ]
 
 
-def _check_limits(services: Mapping[str, _ServiceModel]) -> list[ConfigurationFault]:
+def _check_coverage_limits(
+    services: Mapping[str, _ServiceModel],
+) -> list[ConfigurationFault]:
     """Find limits that are possible alone but not together."""
     return [
         ConfigurationFault(
-            join(("services", name, "policy", "minimum_coverage")),
+            join_path(("services", name, "policy", "minimum_coverage")),
             "impossible limit: coverage_weight 0 cuts the tail, but"
             " minimum_coverage 1 refuses every answer that was cut",
             "raise coverage_weight or lower minimum_coverage",
@@ -212,7 +230,7 @@
     ]
 
 
-def _services(models: Mapping[str, _ServiceModel]) -> dict[str, Service]:
+def _build_services(models: Mapping[str, _ServiceModel]) -> dict[str, Service]:
     # Most services share a few policies; one object for equal ones saves memory.
     default = Policy()
     shared = {default: default}
--- a/packages/ledger/src/kingcuplug_ledger/_client.py
+++ b/packages/ledger/src/kingcuplug_ledger/_client.py
@@ -26,15 +26,15 @@
 from kingcuplug_ledger._results import (
     Attached,
     Claimed,
-    Dispatched,
+    DispatchRecorded,
     DispatchRefused,
-    Found,
     KeyExpired,
     KeyFromFuture,
     KeyReused,
-    Malformed,
+    LookupResult,
+    MalformedCommand,
+    OutcomeRecorded,
     OutcomeRefused,
-    Recorded,
     Released,
     ReleaseRefused,
     Result,
@@ -50,15 +50,15 @@
 ]
 
 Submit = Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]
-HolderLost = Callable[[str, int], bool]
+IsHolderLost = Callable[[str, int], bool]
 
 # A body of up to this size is kept for callers that attach to the order. All
 # records together must fit into the memory of a control host (256 MB).
-BODY_LIMIT_BYTES = 65_536
+MAX_STORED_BODY_BYTES = 65_536
 # The first resend follows one election (300 to 600 ms) at the latest after four
 # attempts; the longest pause bounds the load of many waiting hosts.
-_FIRST_PAUSE_S = 0.02
-_LONGEST_PAUSE_S = 0.5
+_INITIAL_BACKOFF_S = 0.02
+_MAX_BACKOFF_S = 0.5
 
 
 class SubmissionUnknown(KingcuplugError):
@@ -150,16 +150,16 @@
             retention_ms,
             takeover,
         )
-        result = await self._send(command, deadline)
+        result = await self._send_until_answered(command, deadline)
         if isinstance(
             result, Claimed | Attached | KeyReused | KeyExpired | KeyFromFuture
         ):
             return result
-        raise _unexpected(result)
+        raise _unexpected_result_error(result)
 
     async def dispatch(
         self, key: str, token: str, server: str, attempt_id: str, *, deadline: float
-    ) -> Dispatched:
+    ) -> DispatchRecorded:
         """Record that the order is about to be sent; only a return allows that.
 
         `attempt_id` is new for every call. After `MustNotSend` without a refusal,
@@ -172,7 +172,7 @@
         """
         command = Dispatch(key, token, server, attempt_id, self._wall_ms())
         try:
-            result = await self._send(command, deadline)
+            result = await self._send_until_answered(command, deadline)
         except SubmissionUnknown as error:
             raise MustNotSend(
                 f"it is unknown whether the dispatch of {key} was recorded",
@@ -185,9 +185,9 @@
                 "attach to the order",
                 result,
             )
-        if isinstance(result, Dispatched):
+        if isinstance(result, DispatchRecorded):
             return result
-        raise _unexpected(result)
+        raise _unexpected_result_error(result)
 
     async def outcome(
         self,
@@ -198,7 +198,7 @@
         body: Any,
         *,
         deadline: float,
-    ) -> Recorded | OutcomeRefused:
+    ) -> OutcomeRecorded | OutcomeRefused:
         """Record how the order ended; a body over 64 KiB is kept as digest only.
 
         Raises
@@ -207,13 +207,13 @@
             If no answer came before the deadline.
         """
         body_digest = ""
-        if len(canonical(body)) > BODY_LIMIT_BYTES:
+        if len(canonical(body)) > MAX_STORED_BODY_BYTES:
             body_digest, body = digest(body), None
         command = Outcome(key, token, kind, status, body, self._wall_ms(), body_digest)
-        result = await self._send(command, deadline)
-        if isinstance(result, Recorded | OutcomeRefused):
+        result = await self._send_until_answered(command, deadline)
+        if isinstance(result, OutcomeRecorded | OutcomeRefused):
             return result
-        raise _unexpected(result)
+        raise _unexpected_result_error(result)
 
     async def release(
         self, key: str, token: str, *, deadline: float
@@ -228,24 +228,24 @@
             If no answer came before the deadline.
         """
         command = Release(key, token, self._wall_ms())
-        result = await self._send(command, deadline)
+        result = await self._send_until_answered(command, deadline)
         if isinstance(result, Released | ReleaseRefused):
             return result
-        raise _unexpected(result)
+        raise _unexpected_result_error(result)
 
     async def lookup(self, key: str, *, deadline: float) -> OrderRecord | None:
         """Return what is known of an order; raise `SubmissionUnknown` if late."""
-        result = await self._send(Lookup(key), deadline)
-        if isinstance(result, Found):
+        result = await self._send_until_answered(Lookup(key), deadline)
+        if isinstance(result, LookupResult):
             return result.record
-        raise _unexpected(result)
+        raise _unexpected_result_error(result)
 
     async def attach(
         self,
         key: str,
         *,
         deadline: float,
-        holder_lost: HolderLost = lambda host, incarnation: False,
+        holder_lost: IsHolderLost = lambda host, incarnation: False,
     ) -> OrderRecord | None:
         """Wait for the outcome of another holder's order.
 
@@ -258,7 +258,7 @@
             If the record could not be read once before the deadline.
         """
         loop = asyncio.get_running_loop()
-        pause_s = _FIRST_PAUSE_S
+        pause_s = _INITIAL_BACKOFF_S
         record = await self.lookup(key, deadline=deadline)
         while record is not None and record.state in ("claimed", "dispatched"):
             if holder_lost(record.host, record.host_incarnation):
@@ -266,18 +266,18 @@
             if loop.time() + pause_s >= deadline:
                 break
             await asyncio.sleep(pause_s)
-            pause_s = min(2 * pause_s, _LONGEST_PAUSE_S)
+            pause_s = min(2 * pause_s, _MAX_BACKOFF_S)
             try:
                 record = await self.lookup(key, deadline=deadline)
             except SubmissionUnknown:
                 break
         return record
 
-    async def _send(self, command: Command, deadline: float) -> Result:
+    async def _send_until_answered(self, command: Command, deadline: float) -> Result:
         """Submit until an answer arrives; the command stays the same."""
         message = command_to_json(command)
         loop = asyncio.get_running_loop()
-        pause_s = _FIRST_PAUSE_S
+        pause_s = _INITIAL_BACKOFF_S
         unknown = False
         while True:
             try:
@@ -294,11 +294,11 @@
                     "send the same key again, or look it up",
                 )
             await asyncio.sleep(pause_s)
-            pause_s = min(2 * pause_s, _LONGEST_PAUSE_S)
+            pause_s = min(2 * pause_s, _MAX_BACKOFF_S)
 
 
-def _unexpected(result: Result) -> CommandRefused:
-    if isinstance(result, Malformed):
+def _unexpected_result_error(result: Result) -> CommandRefused:
+    if isinstance(result, MalformedCommand):
         return CommandRefused(result.message, result.remedy)
     name = type(result).__name__
     return CommandRefused(f"unexpected answer {name}", "run one version on all hosts")
--- a/packages/ledger/src/kingcuplug_ledger/_codec.py
+++ b/packages/ledger/src/kingcuplug_ledger/_codec.py
@@ -25,28 +25,33 @@
         Dataclasses by the value of the field ``type``.
     """
 
-    def __init__(self, kinds: Mapping[str, type[_Message]]) -> None:
-        self._names = {kind: name for name, kind in kinds.items()}
-        self._fields = {
+    def __init__(self, message_types: Mapping[str, type[_Message]]) -> None:
+        self._type_tags = {kind: name for name, kind in message_types.items()}
+        self._field_names = {
             kind: tuple(field.name for field in dataclasses.fields(kind))  # type: ignore[arg-type]
-            for kind in kinds.values()
+            for kind in message_types.values()
+        }
+        self._adapters_by_tag = {
+            name: TypeAdapter(kind) for name, kind in message_types.items()
         }
-        self._adapters = {name: TypeAdapter(kind) for name, kind in kinds.items()}
 
     def encode(self, message: _Message) -> dict[str, Any]:
         """Return a message as a JSON object."""
         kind = type(message)
-        value = {name: _plain(getattr(message, name)) for name in self._fields[kind]}
-        return {"type": self._names[kind], **value}
+        value = {
+            name: _to_json_value(getattr(message, name))
+            for name in self._field_names[kind]
+        }
+        return {"type": self._type_tags[kind], **value}
 
     def decode(self, value: Mapping[str, Any]) -> _Message:
         """Read a message; raise `MessageInvalid` if it is malformed."""
         name = value.get("type") if isinstance(value, Mapping) else None
-        adapter = self._adapters.get(name) if isinstance(name, str) else None
+        adapter = self._adapters_by_tag.get(name) if isinstance(name, str) else None
         if adapter is None:
             raise MessageInvalid(
                 f"{ascii(name)[:60]} is no type of message",
-                f"use one of {', '.join(self._adapters)}",
+                f"use one of {', '.join(self._adapters_by_tag)}",
             )
         try:
             return adapter.validate_python(value)
@@ -59,12 +64,12 @@
             ) from error
 
 
-def _plain(value: Any) -> Any:
+def _to_json_value(value: Any) -> Any:
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
         return {
-            field.name: _plain(getattr(value, field.name))
+            field.name: _to_json_value(getattr(value, field.name))
             for field in dataclasses.fields(value)
         }
     if isinstance(value, tuple):
-        return [_plain(item) for item in value]
+        return [_to_json_value(item) for item in value]
     return value
--- a/packages/ledger/src/kingcuplug_ledger/_commands.py
+++ b/packages/ledger/src/kingcuplug_ledger/_commands.py
@@ -29,9 +29,9 @@
 OutcomeKind = Literal["done", "not_run", "unknown"]
 
 # Numbers below 2**53 are exact in every JSON reader, and orjson writes them.
-_Count = Annotated[int, Field(ge=0, lt=2**53)]
+_NonNegativeInt = Annotated[int, Field(ge=0, lt=2**53)]
 # Up to the year 9999, so that times can be printed.
-_TimeMs = Annotated[int, Field(ge=0, lt=253_402_300_800_000)]
+_Milliseconds = Annotated[int, Field(ge=0, lt=253_402_300_800_000)]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -56,11 +56,11 @@
     digest: str
     service: str
     host: str
-    host_incarnation: _Count
+    host_incarnation: _NonNegativeInt
     token: str
-    time_ms: _TimeMs
-    revision: _Count
-    retention_ms: _TimeMs
+    time_ms: _Milliseconds
+    revision: _NonNegativeInt
+    retention_ms: _Milliseconds
     takeover: bool = False
 
 
@@ -72,7 +72,7 @@
     token: str
     server: str
     attempt_id: str
-    time_ms: _TimeMs
+    time_ms: _Milliseconds
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -97,7 +97,7 @@
     kind: OutcomeKind
     status: str
     body: Any
-    time_ms: _TimeMs
+    time_ms: _Milliseconds
     body_digest: str = ""
 
 
@@ -107,7 +107,7 @@
 
     key: str
     token: str
-    time_ms: _TimeMs
+    time_ms: _Milliseconds
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/packages/ledger/src/kingcuplug_ledger/_keys.py
+++ b/packages/ledger/src/kingcuplug_ledger/_keys.py
@@ -13,7 +13,7 @@
 
 # No leading zero, so that one key cannot be written in two ways. The random text
 # has at least 8 characters because callers choose it independently.
-_KEY = re.compile(r"(0|[1-9][0-9]{0,14})-([A-Za-z0-9_.-]{8,64})", re.ASCII)
+_KEY_PATTERN = re.compile(r"(0|[1-9][0-9]{0,14})-([A-Za-z0-9_.-]{8,64})", re.ASCII)
 
 
 class KeyInvalid(KingcuplugError):
@@ -39,7 +39,7 @@
     KeyInvalid
         If `key` is no text of that form.
     """
-    found = _KEY.fullmatch(key) if isinstance(key, str) else None
+    found = _KEY_PATTERN.fullmatch(key) if isinstance(key, str) else None
     if found is None:
         raise KeyInvalid(
             f"idempotency key {ascii(key)[:100]} is malformed",
--- a/packages/ledger/src/kingcuplug_ledger/_records.py
+++ b/packages/ledger/src/kingcuplug_ledger/_records.py
@@ -66,29 +66,29 @@
         """Return what happened, one line per step, for an operator."""
         lines = [f"order {self.key} of service {self.service or 'unknown'}"]
         for past in self.past_claims:
-            holder = _holder(past.host, past.host_incarnation)
+            holder = _format_holder(past.host, past.host_incarnation)
             lines.append(
-                f"{_time(past.claimed_ms)} claimed by {holder},"
-                f" {past.ended} at {_time(past.ended_ms)}"
+                f"{_format_time(past.claimed_ms)} claimed by {holder},"
+                f" {past.ended} at {_format_time(past.ended_ms)}"
             )
-        holder = _holder(self.host, self.host_incarnation)
+        holder = _format_holder(self.host, self.host_incarnation)
         if self.claimed_ms:
             lines.append(
-                f"{_time(self.claimed_ms)} claimed by {holder}"
+                f"{_format_time(self.claimed_ms)} claimed by {holder}"
                 f" under revision {self.revision}"
             )
         if self.dispatched_ms:
             lines.append(
-                f"{_time(self.dispatched_ms)} dispatched by {holder}"
+                f"{_format_time(self.dispatched_ms)} dispatched by {holder}"
                 f" to {self.server} as attempt {self.attempt_id}"
             )
-        lines.append(self._ending())
+        lines.append(self._describe_final_state())
         return "\n".join(lines)
 
-    def _ending(self) -> str:
+    def _describe_final_state(self) -> str:
         if self.outcome is not None:
             return (
-                f"{_time(self.finished_ms)} finished: {self.outcome.kind},"
+                f"{_format_time(self.finished_ms)} finished: {self.outcome.kind},"
                 f" status {self.outcome.status}"
             )
         if self.state == "dispatched":
@@ -96,10 +96,10 @@
         return "never dispatched: the order has not run"
 
 
-def _holder(host: str, incarnation: int) -> str:
+def _format_holder(host: str, incarnation: int) -> str:
     return f"{host} (incarnation {incarnation})" if host else "an unknown host"
 
 
-def _time(time_ms: int) -> str:
+def _format_time(time_ms: int) -> str:
     moment = datetime.fromtimestamp(time_ms / 1000, UTC)
     return moment.isoformat(timespec="milliseconds")
--- a/packages/ledger/src/kingcuplug_ledger/_refusals.py
+++ b/packages/ledger/src/kingcuplug_ledger/_refusals.py
@@ -14,10 +14,10 @@
     KeyReused,
 )
 
-__all__ = ["refusal"]
+__all__ = ["order_refusal"]
 
 
-def refusal(
+def order_refusal(
     result: Attached | OrderRecord | KeyReused | KeyExpired | KeyFromFuture,
 ) -> Refusal:
     """Return the refusal for a caller whose order got no ``done`` outcome.
@@ -52,14 +52,14 @@
                 "look for the receipt of the order before issuing a new key",
             )
         case Attached() | OrderRecord():
-            return _unfinished(result)
+            return _refusal_without_result(result)
 
 
-def _unfinished(result: Attached | OrderRecord) -> Refusal:
-    outcome = result.outcome
+def _refusal_without_result(order: Attached | OrderRecord) -> Refusal:
+    outcome = order.outcome
     if outcome and outcome.kind == "done":
-        raise ValueError(f"order finished as done: {result!r:.100}")
-    if result.state == "released" or (outcome and outcome.kind == "not_run"):
+        raise ValueError(f"order finished as done: {order!r:.100}")
+    if order.state == "released" or (outcome and outcome.kind == "not_run"):
         return Refusal(
             RefusalKind.NOT_RUN,
             RefusalReason.ORDER_NOT_RUN,
@@ -71,6 +71,6 @@
     return Refusal(
         RefusalKind.OUTCOME_UNKNOWN,
         RefusalReason.ORDER_UNKNOWN,
-        f"the order is {result.state} and its outcome is not known",
+        f"the order is {order.state} and its outcome is not known",
         "send the same key again later; do not issue a new one",
     )
--- a/packages/ledger/src/kingcuplug_ledger/_results.py
+++ b/packages/ledger/src/kingcuplug_ledger/_results.py
@@ -10,15 +10,15 @@
 __all__ = [
     "Attached",
     "Claimed",
+    "DispatchRecorded",
     "DispatchRefused",
-    "Dispatched",
-    "Found",
     "KeyExpired",
     "KeyFromFuture",
     "KeyReused",
-    "Malformed",
+    "LookupResult",
+    "MalformedCommand",
+    "OutcomeRecorded",
     "OutcomeRefused",
-    "Recorded",
     "RefusedReason",
     "ReleaseRefused",
     "Released",
@@ -78,7 +78,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Dispatched:
+class DispatchRecorded:
     """The dispatch is recorded; the sender of `attempt_id` may send once."""
 
     attempt_id: str
@@ -92,7 +92,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Recorded:
+class OutcomeRecorded:
     """The outcome is in the record."""
 
 
@@ -117,14 +117,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Found:
+class LookupResult:
     """Answer to a look-up."""
 
     record: OrderRecord | None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Malformed:
+class MalformedCommand:
     """The command cannot be understood and changed nothing."""
 
     message: str
@@ -137,14 +137,14 @@
     | KeyReused
     | KeyExpired
     | KeyFromFuture
-    | Dispatched
+    | DispatchRecorded
     | DispatchRefused
-    | Recorded
+    | OutcomeRecorded
     | OutcomeRefused
     | Released
     | ReleaseRefused
-    | Found
-    | Malformed
+    | LookupResult
+    | MalformedCommand
 )
 
 _codec: Codec[Result] = Codec(
@@ -154,14 +154,14 @@
         "key_reused": KeyReused,
         "key_expired": KeyExpired,
         "key_from_future": KeyFromFuture,
-        "dispatched": Dispatched,
+        "dispatched": DispatchRecorded,
         "dispatch_refused": DispatchRefused,
-        "recorded": Recorded,
+        "recorded": OutcomeRecorded,
         "outcome_refused": OutcomeRefused,
         "released": Released,
         "release_refused": ReleaseRefused,
-        "found": Found,
-        "malformed": Malformed,
+        "found": LookupResult,
+        "malformed": MalformedCommand,
     }
 )
 
--- a/tests/configuration/test_history.py
+++ b/tests/configuration/test_history.py
@@ -21,7 +21,7 @@
     _history,
     describe,
     difference,
-    merge,
+    merge_deltas,
     parse,
     patch,
     render,
@@ -30,14 +30,18 @@
 )
 
 
-def text(*names: str, **fields: Any) -> str:
+def services_text(*names: str, **fields: Any) -> str:
     return json.dumps({"services": {name: {} for name in names}} | fields)
 
 
-def change(
-    name: str, base: int, body: str, author: str = "anna", time_ms: int = 5
+def make_change(
+    change_id: str,
+    base_revision: int,
+    text: str,
+    author: str = "anna",
+    time_ms: int = 5,
 ) -> ApplyConfiguration:
-    return ApplyConfiguration(name, base, body, author, time_ms)
+    return ApplyConfiguration(change_id, base_revision, text, author, time_ms)
 
 
 @pytest.fixture
@@ -51,22 +55,26 @@
 ) -> None:
     # Guards against a resend that is accepted twice, or that turns into a conflict
     # after other changes.
-    first = change("c1", 0, text("a"))
+    first = make_change("c1", 0, services_text("a"))
     sent = history.condense(first) if condensed else first
     assert history.apply(sent.to_json()) == Accepted(1)
     for number in range(1, 40):
-        history.apply(change(f"d{number}", number, text("a", f"b{number}")))
+        history.apply(
+            make_change(f"d{number}", number, services_text("a", f"b{number}"))
+        )
     assert history.apply(first) == history.apply(sent) == Accepted(1)
     assert history.apply(history.condense(first)) == Accepted(1)
     assert history.current.number == 40
 
 
-def test_conflict_names_the_winner(history: ConfigurationHistory) -> None:
+def test_conflict_reports_the_accepted_change(history: ConfigurationHistory) -> None:
     # Guards against an operator who cannot tell whose change is in force.
-    history.apply(change("c1", 0, text("a")))
-    history.apply(change("c2", 1, text("a", "b"), "berta", 9))
-    history.apply(change("c3", 2, text("a", "c", retention_days=5), "carl", 12))
-    result = history.apply(change("c4", 1, text("a", "z"), "zoe"))
+    history.apply(make_change("c1", 0, services_text("a")))
+    history.apply(make_change("c2", 1, services_text("a", "b"), "berta", 9))
+    history.apply(
+        make_change("c3", 2, services_text("a", "c", retention_days=5), "carl", 12)
+    )
+    result = history.apply(make_change("c4", 1, services_text("a", "z"), "zoe"))
     assert isinstance(result, Conflict)
     assert (result.current_revision, result.winner_author) == (3, "carl")
     assert result.winner_time_ms == 12
@@ -74,38 +82,40 @@
     assert unseen is not None
     assert (set(unseen.changed), unseen.removed) == ({"c"}, ("b",))
     assert unseen.retention_days == 5
-    assert render(patch(parse(text("a")), unseen)) == history.current.text
+    assert render(patch(parse(services_text("a")), unseen)) == history.current.text
     assert result_from_json(json.loads(json.dumps(result.to_json()))) == result
     assert "carl" in str(result)
 
 
-def test_base_that_does_not_exist(history: ConfigurationHistory) -> None:
+def test_nonexistent_base_revision_is_a_conflict(history: ConfigurationHistory) -> None:
     # Guards against a change that was made against another cluster.
-    result = history.apply(change("c1", 7, text("a")))
+    result = history.apply(make_change("c1", 7, services_text("a")))
     assert result == Conflict(0, "", 0, None)
 
 
 def test_reused_change_id_is_rejected(history: ConfigurationHistory) -> None:
     # Guards against an operator who is told that a text is in force and it is not.
-    history.apply(change("c1", 0, text("a")))
-    result = history.apply(change("c1", 1, text("b")))
+    history.apply(make_change("c1", 0, services_text("a")))
+    result = history.apply(make_change("c1", 1, services_text("b")))
     assert isinstance(result, Rejected)
     assert "another change, revision 1 by anna" in str(result.faults[0])
     assert result_from_json(result.to_json()) == result
 
 
-def test_faults_are_a_result(history: ConfigurationHistory) -> None:
+def test_text_with_faults_is_rejected(history: ConfigurationHistory) -> None:
     # Guards against an exception that ends every voter at the same entry.
-    result = history.apply(change("c1", 0, '{"services": {"A": {}, "b": 1}}'))
+    result = history.apply(make_change("c1", 0, '{"services": {"A": {}, "b": 1}}'))
     assert isinstance(result, Rejected)
     assert len(result.faults) == 2
     assert history.current.number == 0
 
 
-def test_delta_that_breaks_a_dependency(history: ConfigurationHistory) -> None:
+def test_delta_with_missing_dependency_is_rejected(
+    history: ConfigurationHistory,
+) -> None:
     # Guards against a delta that skips the validation of the whole text.
     both = '{"services": {"a": {}, "b": {"depends_on": ["a"]}}}'
-    history.apply(change("c1", 0, both))
+    history.apply(make_change("c1", 0, both))
     rest = {"b": history.configuration.services["b"]}
     delta = difference(history.configuration, ConfigurationText(rest))
     sent = ApplyConfiguration("c2", 1, "", "anna", 5, delta)
@@ -115,10 +125,10 @@
     assert history.current.number == 1
 
 
-def test_delta_that_closes_a_cycle(history: ConfigurationHistory) -> None:
+def test_delta_with_dependency_cycle_is_rejected(history: ConfigurationHistory) -> None:
     # Guards against a search of the graph that is left out when a delta changes it.
     both = '{"services": {"a": {}, "b": {"depends_on": ["a"]}}}'
-    history.apply(change("c1", 0, both))
+    history.apply(make_change("c1", 0, both))
     services = history.configuration.services
     cycle = ConfigurationText({**services, "a": Service("a", ("b",))})
     delta = difference(history.configuration, cycle)
@@ -141,18 +151,18 @@
         {"time_ms": None},
     ],
 )
-def test_malformed_commands(
+def test_malformed_commands_are_rejected(
     history: ConfigurationHistory, fields: dict[str, Any]
 ) -> None:
     # Guards against an entry of the log that ends every voter that applies it.
-    message = change("c1", 0, text("a")).to_json() | fields
+    message = make_change("c1", 0, services_text("a")).to_json() | fields
     with pytest.raises(CommandInvalid):
         ApplyConfiguration.from_json(message)
     assert isinstance(history.apply(message), Rejected)
     assert history.current.number == 0
 
 
-_values = st.recursive(
+_json_values = st.recursive(
     st.none()
     | st.booleans()
     | st.integers()
@@ -170,67 +180,73 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.data())
-def test_fuzzed_commands_are_answered(data: st.DataObject) -> None:
+def test_fuzzed_commands_return_a_result(data: st.DataObject) -> None:
     # Guards against an entry of the log that ends every voter that applies it.
     history = ConfigurationHistory()
-    message = history.condense(change("c1", 0, text("a"))).to_json()
+    message = history.condense(make_change("c1", 0, services_text("a"))).to_json()
     if data.draw(st.booleans()):
-        message = change("c1", 0, text("a")).to_json()
+        message = make_change("c1", 0, services_text("a")).to_json()
     place = message
     if message["delta"] and data.draw(st.booleans()):
         place = message["delta"]
-    place[data.draw(st.sampled_from(sorted(place)))] = data.draw(_values)
+    place[data.draw(st.sampled_from(sorted(place)))] = data.draw(_json_values)
     json.dumps(history.apply(message).to_json(), allow_nan=False).encode()
     canonical(history.dump())
 
 
-def test_bounds(history: ConfigurationHistory, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stored_changes_and_deltas_are_bounded(
+    history: ConfigurationHistory, monkeypatch: pytest.MonkeyPatch
+) -> None:
     # Guards against memory without a limit, and against a forgotten change that is
     # accepted a second time.
-    monkeypatch.setattr(_history, "CHANGES_LIMIT", 3)
-    monkeypatch.setattr(_history, "DELTAS_LIMIT", 4)
+    monkeypatch.setattr(_history, "MAX_STORED_CHANGES", 3)
+    monkeypatch.setattr(_history, "MAX_STORED_DELTAS", 4)
     for number in range(6):
-        history.apply(change(f"c{number}", number, text(f"s{number}")))
-    assert [history.lookup(f"c{n}") is None for n in range(6)] == [True] * 3 + [
+        history.apply(make_change(f"c{number}", number, services_text(f"s{number}")))
+    assert [history.find_change(f"c{n}") is None for n in range(6)] == [True] * 3 + [
         False
     ] * 3
     assert history.since(2) is not None
     assert history.since(1) is None
     assert history.since(7) is None
     assert history.since(6) == []
-    assert isinstance(history.apply(change("c0", 0, text("s0"))), Conflict)
+    assert isinstance(
+        history.apply(make_change("c0", 0, services_text("s0"))), Conflict
+    )
     assert history.current.number == 6
 
 
-def test_bound_of_wide_deltas(
+def test_services_in_stored_deltas_are_bounded(
     history: ConfigurationHistory, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards against changes of all services that fill the memory.
-    monkeypatch.setattr(_history, "DELTA_SERVICES_LIMIT", 6)
+    monkeypatch.setattr(_history, "MAX_SERVICES_IN_STORED_DELTAS", 6)
     for number in range(6):
-        history.apply(change(f"c{number}", number, text(f"s{number}")))
+        history.apply(make_change(f"c{number}", number, services_text(f"s{number}")))
     assert history.since(3) is not None
     assert history.since(2) is None
 
 
-def test_restarted_host_replays(history: ConfigurationHistory) -> None:
+def test_missed_deltas_lead_to_the_current_text(history: ConfigurationHistory) -> None:
     # Guards against a host that missed hundreds of changes and ends elsewhere.
     for number in range(300):
-        history.apply(change(f"c{number}", number, text("a", f"s{number % 7}")))
+        history.apply(
+            make_change(f"c{number}", number, services_text("a", f"s{number % 7}"))
+        )
     missed = history.since(0)
     assert missed is not None
-    new = replay(parse(text()), missed)
+    new = replay(parse(services_text()), missed)
     assert render(new) == history.current.text
-    assert patch(parse(text()), merge(missed)) == new
+    assert patch(parse(services_text()), merge_deltas(missed)) == new
     with pytest.raises(DigestMismatch, match="revision 3"):
-        replay(parse(text()), [missed[0], *missed[2:]])
+        replay(parse(services_text()), [missed[0], *missed[2:]])
     with pytest.raises(DigestMismatch):
-        patch(parse(text("other")), missed[0])
+        patch(parse(services_text("other")), missed[0])
 
 
-def test_patch_verifies_the_result() -> None:
+def test_apply_delta_verifies_the_digest() -> None:
     # Guards against a delta that was altered on its way.
-    old, new = parse(text("a")), parse(text("a", "b"))
+    old, new = parse(services_text("a")), parse(services_text("a", "b"))
     message = difference(old, new).to_json()
     message["changed"]["c"] = {}
     altered = type(difference(old, new)).from_json(message)
@@ -238,14 +254,14 @@
         patch(old, altered)
 
 
-def test_dump_is_checked(history: ConfigurationHistory) -> None:
+def test_damaged_dump_is_rejected(history: ConfigurationHistory) -> None:
     # Guards against a voter that goes on with a damaged snapshot.
-    history.apply(change("c1", 0, text("a")))
+    history.apply(make_change("c1", 0, services_text("a")))
     before = history.dump()
     number, _, *rest = before["current"]
     for wrong in (
         {"format": 2},
-        {"current": [number, text("b"), *rest]},
+        {"current": [number, services_text("b"), *rest]},
         {"current": [number, "{", *rest]},
         {"deltas": [{}]},
         {"changes": 5},
@@ -255,7 +271,7 @@
         assert history.dump() == before
 
 
-def test_diff_for_people() -> None:
+def test_describe_changes_lists_every_field() -> None:
     # Guards against a review that overlooks a changed field.
     old = parse(
         '{"services": {"a": {}, "b": {"depends_on": ["a"]}, "gone": {},'
--- a/tests/configuration/test_parse.py
+++ b/tests/configuration/test_parse.py
@@ -17,7 +17,7 @@
 )
 
 
-def _faults(text: str) -> dict[str, str]:
+def parse_faults(text: str) -> dict[str, str]:
     with pytest.raises(ExceptionGroup) as caught:
         parse(text)
     faults = caught.value.exceptions
@@ -25,18 +25,18 @@
     return {fault.path: str(fault) for fault in faults}  # type: ignore[attr-defined]
 
 
-def _policy(**fields: Any) -> str:
+def policy_text(**fields: Any) -> str:
     return json.dumps({"services": {"counter": {"policy": fields}}})
 
 
-def test_every_fault_at_once() -> None:
+def test_parse_reports_all_faults_at_once() -> None:
     # Guards against an operator who needs one attempt per fault.
     text = """{"retention_days": "90d", "services": {
         "a": {"depends_on": ["b", "b", "x"],
               "policy": {"deadline_s": 2, "deadline_ms": 0.5, "hedge_budget": 5}},
         "b": {"depends_on": ["a"]}, "b": {"depends_on": ["a"], "surplus": 1},
         "Bad": {}}}"""
-    assert _faults(text).keys() == {
+    assert parse_faults(text).keys() == {
         "retention_days",
         "services.Bad",
         "services.a.depends_on",
@@ -50,12 +50,12 @@
     }
 
 
-def test_prints_each_cycle() -> None:
+def test_parse_reports_each_dependency_cycle() -> None:
     # Guards against a cycle that the operator must find by hand, and against a
     # second cycle that shows only after the first is removed.
     services = {"a": ["b"], "b": ["c"], "c": ["a", "b"], "d": ["d"], "e": ["a"]}
     text = json.dumps({"services": {n: {"depends_on": d} for n, d in services.items()}})
-    messages = " ".join(_faults(text).values())
+    messages = " ".join(parse_faults(text).values())
     for cycle in ("a -> b -> c -> a", "d -> d"):
         assert cycle in messages
     with pytest.raises(ExceptionGroup) as caught:
@@ -63,7 +63,7 @@
     assert len(caught.value.exceptions) == 3
 
 
-def test_long_chain_is_no_recursion() -> None:
+def test_long_dependency_chain_is_not_checked_recursively() -> None:
     # Guards against the interpreter's recursion limit.
     chain = {f"s{n}": {"depends_on": [f"s{n + 1}"]} for n in range(5_000)}
     text = json.dumps({"services": chain | {"s5000": {}}})
@@ -91,24 +91,26 @@
         ({"deadlin_ms": 5}, "unknown field 'deadlin_ms'"),
     ],
 )
-def test_units_and_limits(fields: dict[str, Any], remedy: str) -> None:
+def test_wrong_units_and_limits_are_reported(
+    fields: dict[str, Any], remedy: str
+) -> None:
     # Guards against seconds read as milliseconds, percents read as shares, and
     # limits that no request can meet.
-    (message,) = _faults(_policy(**fields)).values()
+    (message,) = parse_faults(policy_text(**fields)).values()
     assert remedy in message
 
 
 @pytest.mark.parametrize("name", ["", "A", "a_b", "a b", "-a", "a\n", "ä", "a" * 64])
-def test_wrong_names(name: str) -> None:
+def test_invalid_service_names_are_reported(name: str) -> None:
     # Guards against names that paths, metrics and log lines cannot carry.
     text = json.dumps({"services": {name: {}}})
-    assert "wrong service name" in " ".join(_faults(text).values())
+    assert "wrong service name" in " ".join(parse_faults(text).values())
 
 
-def test_similar_name_is_suggested() -> None:
+def test_similar_service_name_is_suggested() -> None:
     # Guards against a misspelt dependency that takes long to find.
     text = '{"services": {"counter": {}, "web": {"depends_on": ["conter"]}}}'
-    assert "did you mean 'counter'?" in _faults(text)["services.web.depends_on[0]"]
+    assert "did you mean 'counter'?" in parse_faults(text)["services.web.depends_on[0]"]
 
 
 _json_values = st.recursive(
@@ -135,7 +137,7 @@
 @example('{"services":{"a":{"policy":{"hedge_budget":' + "9" * 400 + "}}}}")
 @example('{"\\ud800":1,"services":{"\\ud800":{"depends_on":["\\ud800"]}}}')
 @example('{"services":{"a":{"policy":{"deadline_ms":1e999}}}}')
-def test_fuzz_raises_only_faults(text: str) -> None:
+def test_fuzzed_text_raises_only_configuration_faults(text: str) -> None:
     # Guards against a text that ends a control host with an untyped error.
     try:
         configuration = parse(text)
--- a/tests/ledger/test_keys.py
+++ b/tests/ledger/test_keys.py
@@ -12,7 +12,7 @@
 @example("01-abcdefgh")
 @example("٣-abcdefgh")
 @example("9" * 5_000 + "-abcdefgh")
-def test_accepts_one_spelling_only(key: str) -> None:
+def test_accepted_key_has_one_spelling(key: str) -> None:
     # Guards against two spellings of one key, and against untyped errors.
     try:
         parsed = parse_key(key)
@@ -25,13 +25,13 @@
 @pytest.mark.parametrize(
     "key", ["", "-", "1", "-abcdefgh", "1-short", "1.5-abcdefgh", "+1-abcdefgh", None]
 )
-def test_refuses(key: str) -> None:
+def test_malformed_keys_are_rejected(key: str) -> None:
     # Guards against keys without an issue time or with guessable text.
     with pytest.raises(KeyInvalid):
         parse_key(key)
 
 
-def test_parts() -> None:
+def test_random_text_may_contain_hyphens() -> None:
     # Guards against a wrong split where the random text has hyphens.
     parsed = parse_key("1700000000000-ab-cd-ef-1")
     assert parsed.issue_ms == 1_700_000_000_000
--- a/tests/ledger/test_ledger.py
+++ b/tests/ledger/test_ledger.py
@@ -13,18 +13,18 @@
     Claim,
     Claimed,
     Dispatch,
-    Dispatched,
+    DispatchRecorded,
     DispatchRefused,
     DumpInvalid,
     KeyExpired,
     KeyFromFuture,
     KeyReused,
     Lookup,
-    Malformed,
+    MalformedCommand,
     OrderLedger,
     Outcome,
+    OutcomeRecorded,
     OutcomeRefused,
-    Recorded,
     Release,
     Released,
     ReleaseRefused,
@@ -62,12 +62,12 @@
     return OrderLedger()
 
 
-def test_one_order(ledger: OrderLedger) -> None:
+def test_record_explains_every_step_of_an_order(ledger: OrderLedger) -> None:
     # Guards against an order that an operator cannot trace weeks later.
     for command, result in (
         (claim(), Claimed("t1")),
-        (dispatch(), Dispatched("a1")),
-        (outcome(), Recorded()),
+        (dispatch(), DispatchRecorded("a1")),
+        (outcome(), OutcomeRecorded()),
     ):
         assert ledger.apply(command_to_json(command)) == result
     record = ledger.lookup(KEY)
@@ -82,13 +82,13 @@
         assert part in story
 
 
-def test_every_command_repeats(ledger: OrderLedger) -> None:
+def test_repeated_command_gets_the_same_result(ledger: OrderLedger) -> None:
     # Guards against a resend after a lost answer that gets another answer.
     for command in (claim(), dispatch(), outcome()):
         assert ledger.apply(command) == ledger.apply(command)
 
 
-def test_takeover_refuses_the_old_holder(ledger: OrderLedger) -> None:
+def test_takeover_supersedes_the_previous_holder(ledger: OrderLedger) -> None:
     # Guards against two hosts that both dispatch one order.
     ledger.apply(claim())
     assert ledger.apply(claim("t2", host="entry-2")) == Attached(
@@ -96,13 +96,13 @@
     )
     assert ledger.apply(claim("t2", host="entry-2", takeover=True)) == Claimed("t2")
     assert ledger.apply(dispatch("t1")) == DispatchRefused("superseded")
-    assert ledger.apply(dispatch("t2")) == Dispatched("a1")
+    assert ledger.apply(dispatch("t2")) == DispatchRecorded("a1")
     assert ledger.apply(claim("t3", takeover=True)) == Attached(
         "dispatched", None, "entry-2", 1
     )
 
 
-def test_dispatch_is_for_one_attempt(ledger: OrderLedger) -> None:
+def test_second_attempt_is_not_dispatched(ledger: OrderLedger) -> None:
     # Guards against a second attempt of the same holder.
     ledger.apply(claim())
     ledger.apply(dispatch(attempt="a1"))
@@ -112,7 +112,7 @@
     assert ledger.apply(dispatch(attempt="a1")) == refused
 
 
-def test_delayed_claim_after_release(ledger: OrderLedger) -> None:
+def test_delayed_claim_after_release_is_refused(ledger: OrderLedger) -> None:
     # Guards against a claim that nobody will use and that a live host holds.
     ledger.apply(claim())
     assert ledger.apply(release()) == Released()
@@ -122,14 +122,14 @@
     assert ledger.apply(claim("t2")) == Claimed("t2")
 
 
-def test_release_before_its_claim(ledger: OrderLedger) -> None:
+def test_claim_delivered_after_its_release_is_refused(ledger: OrderLedger) -> None:
     # Guards against a delayed claim that arrives after its own release.
     assert ledger.apply(release()) == Released()
     assert isinstance(ledger.apply(claim()), Attached)
     assert ledger.apply(claim("t2")) == Claimed("t2")
 
 
-def test_no_release_after_dispatch(ledger: OrderLedger) -> None:
+def test_release_after_dispatch_is_refused(ledger: OrderLedger) -> None:
     # Guards against a way back from dispatched to claimed.
     ledger.apply(claim())
     ledger.apply(dispatch())
@@ -144,8 +144,8 @@
     ledger.apply(claim())
     assert ledger.apply(outcome()) == OutcomeRefused("not_dispatched")
     ledger.apply(dispatch())
-    assert ledger.apply(outcome("unknown")) == Recorded()
-    assert ledger.apply(outcome("done")) == Recorded()
+    assert ledger.apply(outcome("unknown")) == OutcomeRecorded()
+    assert ledger.apply(outcome("done")) == OutcomeRecorded()
     for kind in ("not_run", "unknown"):
         result = ledger.apply(outcome(kind))
         assert isinstance(result, OutcomeRefused)
@@ -154,14 +154,14 @@
     assert ledger.apply(outcome(token="t2")) == OutcomeRefused("superseded")
 
 
-def test_key_reused(ledger: OrderLedger) -> None:
+def test_key_of_another_order_is_refused(ledger: OrderLedger) -> None:
     # Guards against an answer that belongs to another body or service.
     ledger.apply(claim())
     assert ledger.apply(claim("t2", digest="other")) == KeyReused()
     assert ledger.apply(claim("t2", service="other")) == KeyReused()
 
 
-def test_limits_of_the_issue_time(ledger: OrderLedger) -> None:
+def test_issue_time_outside_the_retention_is_refused(ledger: OrderLedger) -> None:
     # Guards against keys outside of the retention, on both sides.
     early = NOW_MS - SKEW_MS - 1
     assert ledger.apply(claim(time_ms=early)) == KeyFromFuture(1)
@@ -170,14 +170,14 @@
     assert ledger.apply(claim(time_ms=NOW_MS)) == KeyExpired()
 
 
-def test_no_dispatch_after_the_retention(ledger: OrderLedger) -> None:
+def test_dispatch_after_the_retention_is_refused(ledger: OrderLedger) -> None:
     # Guards against a claim that is used when its key has expired.
     ledger.apply(claim())
     late = dispatch(time_ms=NOW_MS + 10 * DAY_MS + 1)
     assert ledger.apply(late) == DispatchRefused("expired")
 
 
-def test_purged_key_never_runs_again(ledger: OrderLedger) -> None:
+def test_purged_key_cannot_be_claimed_again(ledger: OrderLedger) -> None:
     # Guards against a retention that is made longer after the record is gone, also
     # by way of a release that leaves an entry for the key.
     for command in (claim(), dispatch(), outcome()):
@@ -192,7 +192,7 @@
     assert "purged" in ledger.explain(KEY)
 
 
-def test_record_outlives_the_retention_by_the_skew(ledger: OrderLedger) -> None:
+def test_record_is_kept_for_the_retention_plus_clock_skew(ledger: OrderLedger) -> None:
     # Guards against an attached caller who is told that a known order expired.
     for command in (claim(), dispatch(), outcome()):
         ledger.apply(command)
@@ -200,7 +200,7 @@
     assert isinstance(ledger.apply(late), Attached)
 
 
-def test_purge_is_bounded_and_the_same_after_a_load() -> None:
+def test_purge_is_bounded_and_deterministic_after_load() -> None:
     # Guards against one command that stalls a voter, and against replicas that
     # purge different records because one of them has loaded a snapshot.
     one, two = OrderLedger(), OrderLedger()
@@ -236,7 +236,7 @@
 ) -> None:
     # Guards against an entry of the log that ends every voter that applies it.
     before = ledger.dump()
-    assert isinstance(ledger.apply(message), Malformed)
+    assert isinstance(ledger.apply(message), MalformedCommand)
     assert ledger.dump() == before
 
 
@@ -270,7 +270,7 @@
     canonical(ledger.dump())
 
 
-def test_results_survive_json(ledger: OrderLedger) -> None:
+def test_results_round_trip_through_json(ledger: OrderLedger) -> None:
     # Guards against results that mean something else at the host that asked.
     ledger.apply(claim())
     ledger.apply(claim("t2", takeover=True))
@@ -286,7 +286,7 @@
 
 
 @pytest.mark.parametrize("field", ["format", "time_ms", "entries"])
-def test_wrong_dump_changes_nothing(ledger: OrderLedger, field: str) -> None:
+def test_malformed_dump_changes_nothing(ledger: OrderLedger, field: str) -> None:
     # Guards against a voter that goes on with half a snapshot.
     ledger.apply(claim())
     before = ledger.dump()
--- a/tests/ledger/test_ledger_machine.py
+++ b/tests/ledger/test_ledger_machine.py
@@ -26,7 +26,7 @@
     Claim,
     Claimed,
     Dispatch,
-    Dispatched,
+    DispatchRecorded,
     KeyExpired,
     KeyReused,
     OrderLedger,
@@ -35,7 +35,7 @@
     Release,
     Result,
     command_to_json,
-    refusal,
+    order_refusal,
     result_to_json,
 )
 
@@ -43,11 +43,11 @@
 START_MS = 100 * DAY_MS
 RETENTIONS_MS = (10 * DAY_MS, 90 * DAY_MS)
 KEYS = (f"{START_MS}-abcdefgh", f"{START_MS - 8 * DAY_MS}-ijklmnop")
-HOSTS = 3
+HOST_COUNT = 3
 
 
 @dataclasses.dataclass
-class Task:
+class OrderTask:
     """What one host does about one key; `waits_for` is a command without answer."""
 
     host: int
@@ -55,7 +55,7 @@
     key: str
     token: str
     step: str = "claim"
-    waits_for: int | None = None
+    pending_command: int | None = None
 
 
 class LedgerMachine(RuleBasedStateMachine):
@@ -64,138 +64,155 @@
     @initialize()
     def start(self) -> None:
         """Start the replicas and the hosts."""
-        self.ledger, self.restarted = OrderLedger(), OrderLedger()
+        self.stable_replica, self.restarted_replica = OrderLedger(), OrderLedger()
         self.time_ms = START_MS
-        self.incarnations = [1] * HOSTS
-        self.tasks: list[Task] = []
-        self.sent: list[Any] = []
-        self.dispatches: dict[str, set[tuple[str, str]]] = {key: set() for key in KEYS}
-        self.sends: Counter[str] = Counter()
-        self.ran: set[str] = set()
-        self.retained_ms: dict[str, int] = {}
+        self.incarnations = [1] * HOST_COUNT
+        self.tasks: list[OrderTask] = []
+        self.sent_commands: list[Any] = []
+        self.recorded_dispatches: dict[str, set[tuple[str, str]]] = {
+            key: set() for key in KEYS
+        }
+        self.send_counts: Counter[str] = Counter()
+        self.executed_keys: set[str] = set()
+        self.longest_retention_ms: dict[str, int] = {}
 
-    def _task(self, pick: int) -> Task | None:
-        return self.tasks[pick % len(self.tasks)] if self.tasks else None
+    def _select_task(self, index: int) -> OrderTask | None:
+        return self.tasks[index % len(self.tasks)] if self.tasks else None
 
-    def _post(self, task: Task, command: Any) -> None:
-        task.waits_for = len(self.sent)
-        self.sent.append(command)
+    def _send_command(self, task: OrderTask, command: Any) -> None:
+        task.pending_command = len(self.sent_commands)
+        self.sent_commands.append(command)
 
     def _apply(self, command: Any) -> Result:
         message = {**command_to_json(command), "time_ms": self.time_ms}
         message = json.loads(json.dumps(message))
-        before = self.ledger.lookup(command.key)
-        result = self.ledger.apply(message)
-        assert result_to_json(self.restarted.apply(message)) == result_to_json(result)
-        self._observe(command, before, result)
+        before = self.stable_replica.lookup(command.key)
+        result = self.stable_replica.apply(message)
+        assert result_to_json(self.restarted_replica.apply(message)) == result_to_json(
+            result
+        )
+        self._check_result(command, before, result)
         return result
 
-    def _observe(self, command: Any, before: OrderRecord | None, result: Any) -> None:
+    def _check_result(
+        self, command: Any, before: OrderRecord | None, result: Any
+    ) -> None:
         if isinstance(result, Claimed):
-            retained = self.retained_ms.get(command.key, 0)
-            self.retained_ms[command.key] = max(retained, command.retention_ms)
-        if isinstance(result, Dispatched):
-            self.dispatches[command.key].add((command.token, command.attempt_id))
+            retained = self.longest_retention_ms.get(command.key, 0)
+            self.longest_retention_ms[command.key] = max(retained, command.retention_ms)
+        if isinstance(result, DispatchRecorded):
+            self.recorded_dispatches[command.key].add(
+                (command.token, command.attempt_id)
+            )
             assert before is not None
             if before.state == "claimed":
                 issue_ms = int(command.key.split("-")[0])
-                assert self.ledger.time_ms <= issue_ms + self.retained_ms[command.key]
+                assert (
+                    self.stable_replica.time_ms
+                    <= issue_ms + self.longest_retention_ms[command.key]
+                )
         if isinstance(result, Attached | KeyExpired | KeyReused):
-            self._tell(command.key, result)
+            self._check_reply_to_caller(command.key, result)
 
-    def _tell(self, key: str, result: Any) -> None:
+    def _check_reply_to_caller(self, key: str, result: Any) -> None:
         outcome = getattr(result, "outcome", None)
         if outcome is not None and outcome.kind == "done":
-            assert key in self.ran, "a caller gets an answer of nothing"
-        elif refusal(result).kind == RefusalKind.NOT_RUN:
-            assert key not in self.ran, "a caller is told not_run of an order that ran"
+            assert key in self.executed_keys, "a caller gets an answer of nothing"
+        elif order_refusal(result).kind == RefusalKind.NOT_RUN:
+            assert key not in self.executed_keys, (
+                "a caller is told not_run of an order that ran"
+            )
 
     @rule(
-        host=st.integers(0, HOSTS - 1),
+        host=st.integers(0, HOST_COUNT - 1),
         key=st.sampled_from(KEYS),
         takeover=st.booleans(),
         retention_ms=st.sampled_from(RETENTIONS_MS),
     )
-    def claim(self, host: int, key: str, takeover: bool, retention_ms: int) -> None:
+    def claim_key(self, host: int, key: str, takeover: bool, retention_ms: int) -> None:
         """Let a host claim a key, also by takeover of a host that still lives."""
-        token = f"t{len(self.sent)}"
+        token = f"t{len(self.sent_commands)}"
         incarnation = self.incarnations[host]
-        task = Task(host, incarnation, key, token)
+        task = OrderTask(host, incarnation, key, token)
         self.tasks.append(task)
         name = f"entry-{host}"
-        self._post(
+        self._send_command(
             task,
             Claim(
                 key, "d", "s", name, incarnation, token, 0, 1, retention_ms, takeover
             ),
         )
 
-    @precondition(lambda self: self.sent)
+    @precondition(lambda self: self.sent_commands)
     @rule(pick=st.integers(0, 99), answered=st.booleans())
-    def deliver(self, pick: int, answered: bool) -> None:
+    def deliver_command(self, pick: int, answered: bool) -> None:
         """Apply any command ever sent; its sender may get the answer."""
-        number = pick % len(self.sent)
-        result = self._apply(self.sent[number])
+        number = pick % len(self.sent_commands)
+        result = self._apply(self.sent_commands[number])
         for task in self.tasks:
-            if answered and task.waits_for == number:
-                task.waits_for = None
-                self._go_on(task, result)
+            if answered and task.pending_command == number:
+                task.pending_command = None
+                self._advance_task(task, result)
 
-    @precondition(lambda self: self.sent)
+    @precondition(lambda self: self.sent_commands)
     @rule(answered=st.booleans())
-    def deliver_last(self, answered: bool) -> None:
+    def deliver_newest_command(self, answered: bool) -> None:
         """Apply the newest command, so that orders get to their end."""
-        self.deliver(len(self.sent) - 1, answered)
+        self.deliver_command(len(self.sent_commands) - 1, answered)
 
-    def _go_on(self, task: Task, result: Result) -> None:
-        expected = {"claim": Claimed, "dispatch": Dispatched}.get(task.step)
+    def _advance_task(self, task: OrderTask, result: Result) -> None:
+        expected = {"claim": Claimed, "dispatch": DispatchRecorded}.get(task.step)
         if expected is None or not isinstance(result, expected):
             task.step = "ended"
         elif task.step == "claim":
             task.step = "dispatch"
-            attempt = f"a{len(self.sent)}"
-            self._post(task, Dispatch(task.key, task.token, "server", attempt, 0))
+            attempt = f"a{len(self.sent_commands)}"
+            self._send_command(
+                task, Dispatch(task.key, task.token, "server", attempt, 0)
+            )
         else:
             task.step = "send"
 
     @rule(pick=st.integers(0, 99), how=st.sampled_from(["done", "not_run", "lost"]))
-    def send(self, pick: int, how: str) -> None:
+    def send_order(self, pick: int, how: str) -> None:
         """Send a dispatched order; the backend server runs it unless it says not."""
         ready = [task for task in self.tasks if task.step == "send"]
         if not ready:
             return
         task = ready[pick % len(ready)]
-        self.sends[task.key] += 1
+        self.send_counts[task.key] += 1
         if how != "not_run":
-            self.ran.add(task.key)
+            self.executed_keys.add(task.key)
         kind: Any = "unknown" if how == "lost" else how
         task.step = "outcome"
-        self._post(task, Outcome(task.key, task.token, kind, "ok", None, 0))
+        self._send_command(task, Outcome(task.key, task.token, kind, "ok", None, 0))
 
     @rule(pick=st.integers(0, 99))
-    def late_reply(self, pick: int) -> None:
+    def record_late_reply(self, pick: int) -> None:
         """Report what the backend server says after its attempt was given up."""
-        ran = [task for task in self.tasks if task.key in self.ran]
+        ran = [task for task in self.tasks if task.key in self.executed_keys]
         if ran:
             task = ran[pick % len(ran)]
-            self.sent.append(Outcome(task.key, task.token, "done", "late", None, 0))
+            self.sent_commands.append(
+                Outcome(task.key, task.token, "done", "late", None, 0)
+            )
 
     @rule(pick=st.integers(0, 99))
-    def give_up(self, pick: int) -> None:
+    def release_claim(self, pick: int) -> None:
         """Release a claim, whatever became of it."""
-        task = self._task(pick)
+        task = self._select_task(pick)
         if task is not None and task.step in ("claim", "dispatch"):
             task.step = "ended"
-            self._post(task, Release(task.key, task.token, 0))
+            self._send_command(task, Release(task.key, task.token, 0))
 
-    @rule(host=st.integers(0, HOSTS - 1))
-    def crash(self, host: int) -> None:
+    @rule(host=st.integers(0, HOST_COUNT - 1))
+    def crash_host(self, host: int) -> None:
         """End a host at any step; its commands in flight remain."""
         self.incarnations[host] += 1
         self.tasks = [task for task in self.tasks if task.host != host]
 
     @rule(step_ms=st.sampled_from([1, 600_000, DAY_MS, 9 * DAY_MS, 85 * DAY_MS]))
-    def wait(self, step_ms: int) -> None:
+    def advance_time(self, step_ms: int) -> None:
         """Let time pass, also beyond the retention."""
         self.time_ms += step_ms
 
@@ -205,35 +222,37 @@
         self.time_ms = max(START_MS, self.time_ms - back_ms)
 
     @rule()
-    def restart(self) -> None:
+    def restart_replica(self) -> None:
         """Restart one replica from its snapshot."""
-        state = json.loads(json.dumps(self.restarted.dump()))
-        self.restarted = OrderLedger()
-        self.restarted.load(state)
+        state = json.loads(json.dumps(self.restarted_replica.dump()))
+        self.restarted_replica = OrderLedger()
+        self.restarted_replica.load(state)
 
     @rule(key=st.sampled_from(KEYS))
-    def look_up(self, key: str) -> None:
+    def check_record(self, key: str) -> None:
         """Compare what an operator is told with what happened."""
-        record = self.ledger.lookup(key)
+        record = self.stable_replica.lookup(key)
         if record is not None and not (record.outcome or record.state == "claimed"):
-            self._tell(key, record)
-        if "has not run" in self.ledger.explain(key):
-            assert key not in self.ran
+            self._check_reply_to_caller(key, record)
+        if "has not run" in self.stable_replica.explain(key):
+            assert key not in self.executed_keys
 
     @invariant()
-    def at_most_once(self) -> None:
+    def orders_run_at_most_once(self) -> None:
         """Compare the world and the replicas with the ledger's promises."""
         for key in KEYS:
-            assert len(self.dispatches[key]) <= 1, "two dispatches of one key"
-            assert self.sends[key] <= 1, "one order was sent twice"
-            record = self.ledger.lookup(key)
+            assert len(self.recorded_dispatches[key]) <= 1, "two dispatches of one key"
+            assert self.send_counts[key] <= 1, "one order was sent twice"
+            record = self.stable_replica.lookup(key)
             outcome = record.outcome if record else None
             if outcome is not None and outcome.kind == "not_run":
-                assert key not in self.ran
-        assert self.restarted.dump() == self.ledger.dump(), "replicas disagree"
+                assert key not in self.executed_keys
+        assert self.restarted_replica.dump() == self.stable_replica.dump(), (
+            "replicas disagree"
+        )
 
 
-def test_ledger_machine() -> None:
+def test_orders_run_at_most_once() -> None:
     # Guards against an order that runs twice or after its retention, and against
     # not_run for one that ran, at a crash between any two steps.
     run_state_machine_as_test(  # type: ignore[no-untyped-call]
