--- a/packages/configuration/src/kingcuplug_configuration/_commands.py
+++ b/packages/configuration/src/kingcuplug_configuration/_commands.py
@@ -1,4 +1,4 @@
-"""The command that changes the configuration, and its results, with their JSON."""
+"""The command that changes the configuration, its results and their JSON."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -20,33 +20,33 @@
 ]
 
 IDENTIFIER_LIMIT_CHARACTERS = 128
-# Numbers below are exact in every JSON reader, and orjson writes them.
+# Integers below are exact in every JSON reader, and orjson can write them.
 INTEGER_LIMIT = 2**53
 
 
 class CommandInvalid(KingcuplugError):
-    """A command or a result that is malformed."""
+    """A command or result is malformed."""
 
 
 @dataclasses.dataclass(frozen=True)
 class ApplyConfiguration:
-    """Replace the configuration if it is still at the base revision.
+    """Replace the configuration if it is still at the base revision (compare-and-set).
 
     Attributes
     ----------
     change_id : str
-        Names the change; a resend carries the same one.
+        Unique id of the change; a resend carries the same id.
     base_revision : int
-        Revision that the author has seen.
+        Revision that the change is based on.
     text : str
         The whole new text; empty if `delta` is given.
     author : str
-        Who makes the change.
+        Name of the operator who makes the change.
     time_ms : int
         Wall clock, milliseconds since the epoch.
     delta : Delta or None
-        The change against the base revision, in place of the whole text. It
-        keeps the log small; see `ConfigurationHistory.condense`.
+        The change relative to the base revision, in place of the whole text, so
+        that log entries stay small; see `ConfigurationHistory.condense`.
     """
 
     change_id: str
@@ -61,17 +61,19 @@
             value = getattr(self, name)
             if not _is_identifier(value):
                 raise CommandInvalid(
-                    f"{name} {value!r:.40} is not usable",
+                    f"{name} {value!r:.40} is not valid",
                     "use 1 to 128 printable characters",
                 )
         for name in ("base_revision", "time_ms"):
             value = getattr(self, name)
             if type(value) is not int or not 0 <= value < INTEGER_LIMIT:
                 raise CommandInvalid(
-                    f"{name} {value!r:.40} is not usable", "use a whole number from 0"
+                    f"{name} {value!r:.40} is not valid", "use a non-negative integer"
                 )
         if not isinstance(self.text, str):
-            raise CommandInvalid(f"text {self.text!r:.40} is no text", "send a text")
+            raise CommandInvalid(
+                f"text {self.text!r:.40} is not a string", "send a string"
+            )
         if bool(self.text) == (self.delta is not None):
             raise CommandInvalid(
                 "a change needs either text or delta", "give exactly one of them"
@@ -108,7 +110,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Accepted:
-    """The change is in the history as this revision."""
+    """The change was accepted as this revision."""
 
     revision: int
 
@@ -119,15 +121,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Conflict:
-    """Another change was accepted first.
+    """Another change was accepted since the base revision.
 
     Attributes
     ----------
     current_revision, winner_author, winner_time_ms
-        The revision in force, who made it and when.
+        The current revision, its author and its time.
     difference : Delta or None
-        What differs between the base revision of the losing change and the
-        revision in force; None if the base is too old or does not exist.
+        Delta from the base revision of the conflicting change to the current
+        revision; None if the base is too old or does not exist.
     """
 
     current_revision: int
@@ -154,7 +156,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Rejected:
-    """The change can never be accepted; every fault is listed."""
+    """The change is invalid and will never be accepted; lists all its faults."""
 
     faults: tuple[ConfigurationFault, ...]
 
@@ -168,7 +170,7 @@
 
 
 def result_from_json(value: Mapping[str, Any]) -> Result:
-    """Read what `to_json` of a result returned."""
+    """Read a result from the JSON object that its `to_json` returned."""
     match value["type"]:
         case "accepted":
             return Accepted(value["revision"])
@@ -180,7 +182,9 @@
                 _delta_from_json(value["difference"]),
             )
         case "rejected":
-            return Rejected(tuple(ConfigurationFault(**f) for f in value["faults"]))
+            return Rejected(
+                tuple(ConfigurationFault(**fault) for fault in value["faults"])
+            )
         case other:
             raise CommandInvalid(f"unknown result {other!r:.40}", "update this program")
 
--- a/packages/configuration/src/kingcuplug_configuration/_delta.py
+++ b/packages/configuration/src/kingcuplug_configuration/_delta.py
@@ -1,4 +1,4 @@
-"""Differences between two configurations, for machines and for people."""
+"""Deltas between configurations, and their description for operators."""
 
 import dataclasses
 from collections.abc import Iterator, Mapping, Sequence
@@ -21,25 +21,25 @@
 
 
 class DigestMismatch(KingcuplugError):
-    """A delta that does not fit the configuration it is applied to."""
+    """A delta does not match the configuration that it is applied to."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Delta:
-    """What turns one configuration into the next.
+    """Changes that turn one configuration into another.
 
     Attributes
     ----------
     changed : Mapping
-        Services that are new or differ, by name.
+        Added and changed services, by name.
     removed : tuple of str
-        Names of services that are gone.
+        Names of removed services.
     retention_days : int or None
-        New value, or None if it stays.
+        New value, or None if it is unchanged.
     base_digest, digest : str
         Digests of the rendered text before and after.
     revision : int
-        Revision that the delta leads to; 0 outside of a history.
+        Revision that the delta produces; 0 if the delta is not part of a history.
     """
 
     changed: Mapping[str, Service]
@@ -50,7 +50,7 @@
     revision: int = 0
 
     def __len__(self) -> int:
-        """Return the number of services that the delta touches."""
+        """Return the number of services that the delta adds, changes or removes."""
         return len(self.changed) + len(self.removed)
 
     def to_json(self) -> dict[str, Any]:
@@ -71,35 +71,35 @@
         Raises
         ------
         ExceptionGroup
-            Of `ConfigurationFault`, if a service or the retention is wrong.
+            Of `ConfigurationFault`, if a service or the retention is invalid.
         KeyError, TypeError
             If a field is missing or has another type.
         """
         retention_days = value["retention_days"]
-        checked = () if retention_days is None else (retention_days,)
-        services = services_from_json(value["changed"], *checked)
+        retention_arguments = () if retention_days is None else (retention_days,)
+        services = services_from_json(value["changed"], *retention_arguments)
         removed = tuple(value["removed"])
         digests = value["base_digest"], value["digest"]
         if not all(isinstance(text, str) for text in (*removed, *digests)):
-            raise TypeError("names and digests are texts")
+            raise TypeError("names and digests must be strings")
         revision = value["revision"]
         if type(revision) is not int:
-            raise TypeError("the revision is a whole number")
+            raise TypeError("the revision must be an integer")
         return cls(services, removed, retention_days, *digests, revision)
 
 
 def difference(
     old: ConfigurationText, new: ConfigurationText, revision: int = 0
 ) -> Delta:
-    """Return what turns `old` into `new`."""
+    """Return the delta that turns `old` into `new`."""
     changed = {
         name: service
         for name, service in new.services.items()
         if (before := old.services.get(name)) is not service and before != service
     }
     removed = tuple(name for name in old.services if name not in new.services)
-    same = new.retention_days == old.retention_days
-    retention_days = None if same else new.retention_days
+    same_retention = new.retention_days == old.retention_days
+    retention_days = None if same_retention else new.retention_days
     return Delta(changed, removed, retention_days, old.digest, new.digest, revision)
 
 
@@ -109,45 +109,45 @@
     Raises
     ------
     DigestMismatch
-        If the result has another digest, as when `old` is not the base.
+        If the result has another digest, for example because `old` is not the base.
     """
     return replay(old, [delta])
 
 
 def replay(old: ConfigurationText, deltas: Sequence[Delta]) -> ConfigurationText:
-    """Apply successive deltas and verify the digest of the last result.
+    """Apply successive deltas and verify the digest of the final result.
 
-    Digests in between are compared with one another only: hashing the whole text
-    for each of the hundreds of changes that a restarted host has missed would
-    take longer than the 4 s in which a change must be in force. The base is not
-    hashed either, because a wrong base shows in the last result.
+    Each delta's base digest is only compared with the digest of the delta before it:
+    hashing the whole text for each of the hundreds of changes that a restarted host
+    has missed would take longer than the 4 s in which a change must be in force. The
+    base is not hashed either, because a wrong base changes the final digest.
 
     Raises
     ------
     DigestMismatch
-        If the deltas do not follow one another or do not fit `old`.
+        If the deltas are not consecutive or do not match `old`.
     """
     if not deltas:
         return old
-    known = deltas[0].base_digest
+    expected_digest = deltas[0].base_digest
     services, retention_days = dict(old.services), old.retention_days
     for delta in deltas:
-        if delta.base_digest != known:
-            raise _digest_mismatch(delta, known)
+        if delta.base_digest != expected_digest:
+            raise _digest_mismatch(delta, expected_digest)
         for name in delta.removed:
             services.pop(name, None)
         services.update(delta.changed)
         retention_days = delta.retention_days or retention_days
-        known = delta.digest
+        expected_digest = delta.digest
     new = ConfigurationText(services, retention_days)
-    found = new.digest
-    if found != known:
-        raise _digest_mismatch(deltas[-1], found)
+    actual_digest = new.digest
+    if actual_digest != expected_digest:
+        raise _digest_mismatch(deltas[-1], actual_digest)
     return new
 
 
 def merge_deltas(deltas: Sequence[Delta]) -> Delta:
-    """Return one delta that does what the successive `deltas` do."""
+    """Return one delta that is equivalent to the consecutive `deltas`."""
     changed: dict[str, Service] = {}
     removed: dict[str, None] = {}
     retention_days = None
@@ -173,15 +173,15 @@
 def _digest_mismatch(delta: Delta, actual_digest: str) -> DigestMismatch:
     return DigestMismatch(
         f"the delta from {delta.base_digest[:12]} to {delta.digest[:12]}"
-        f" (revision {delta.revision}) meets a text with digest {actual_digest[:12]}",
+        f" (revision {delta.revision}) does not match digest {actual_digest[:12]}",
         "fetch the whole text",
     )
 
 
 def describe(old: ConfigurationText, new: ConfigurationText) -> str:
-    """Return the difference for a person, one line per change.
+    """Return the changes as text for operators, one line per change.
 
-    An empty text means that there is no difference.
+    The text is empty if the configurations are equal.
     """
     return "\n".join(_change_lines(old, new))
 
@@ -206,10 +206,10 @@
         yield f"    depends_on: - {name}"
     for name in sorted({*after.depends_on} - {*before.depends_on}):
         yield f"    depends_on: + {name}"
-    moved = before.depends_on != after.depends_on
-    if moved and sorted(before.depends_on) == sorted(after.depends_on):
+    dependencies_differ = before.depends_on != after.depends_on
+    if dependencies_differ and sorted(before.depends_on) == sorted(after.depends_on):
         yield f"    depends_on: order is now {', '.join(after.depends_on)}"
-    values = before.policy.to_json()
+    values_before = before.policy.to_json()
     for field, value in after.policy.to_json().items():
-        if value != values[field]:
-            yield f"    policy.{field}: {values[field]} -> {value}"
+        if value != values_before[field]:
+            yield f"    policy.{field}: {values_before[field]} -> {value}"
--- a/packages/configuration/src/kingcuplug_configuration/_faults.py
+++ b/packages/configuration/src/kingcuplug_configuration/_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a configuration text, worded for the operator who wrote it."""
+"""Validation faults of a configuration text, as messages for its author."""
 
 import re
 from collections.abc import Mapping
@@ -37,16 +37,16 @@
 
 
 class ConfigurationFault(KingcuplugError):
-    """One fault of a text.
+    """One validation fault of a configuration text.
 
     Parameters
     ----------
     path : str
-        Where, for example ``services.counter.policy.deadline_ms``.
+        Path of the faulty field, such as ``services.counter.policy.deadline_ms``.
     message : str
-        What is wrong, with the offending value.
+        Description of the fault, with the offending value.
     remedy : str
-        What to write instead.
+        How to correct the text.
     """
 
     def __init__(self, path: str, message: str, remedy: str) -> None:
@@ -65,12 +65,12 @@
         return hash((self.path, self.message, self.remedy))
 
     def to_json(self) -> dict[str, str]:
-        """Return path, message and remedy."""
+        """Return path, message and remedy as a JSON object."""
         return {"path": self.path, "message": self.message, "remedy": self.remedy}
 
 
 def join_path(segments: tuple[Any, ...]) -> str:
-    """Return the path of a field; unusual keys are quoted."""
+    """Return the path of a field; keys with special characters are quoted."""
     path = ""
     for segment in segments:
         if isinstance(segment, int):
@@ -81,12 +81,12 @@
 
 
 def format_name(name: str) -> str:
-    """Return a name as it is if it is plain, else quoted."""
+    """Return a name, quoted if it has special characters or is too long."""
     return name if _UNQUOTED_NAME.fullmatch(name) else format_value(name)
 
 
 def format_value(value: Any) -> str:
-    """Return `value` for a message: ASCII only, and cut when it is long."""
+    """Return `value` for a message, in ASCII and truncated to 60 characters."""
     if isinstance(value, dict | list):
         return "an object" if isinstance(value, dict) else "a list"
     if isinstance(value, int) and abs(value) >= 10**_MAX_VALUE_CHARACTERS:
@@ -100,14 +100,14 @@
 def fault_from_pydantic_error(
     error: Mapping[str, Any], field_names_by_level: Mapping[str, tuple[str, ...]]
 ) -> ConfigurationFault:
-    """Turn one error of pydantic into a fault.
+    """Convert a validation error of pydantic to a fault.
 
     Parameters
     ----------
     error : Mapping
         Item of ``ValidationError.errors()``.
-    fields : Mapping
-        Known field names by the level ``text``, ``service`` or ``policy``.
+    field_names_by_level : Mapping
+        Valid field names by the level ``text``, ``service`` or ``policy``.
     """
     segments: tuple[Any, ...] = error["loc"]
     path = join_path(segments)
@@ -126,20 +126,26 @@
 def _unknown_field_fault(
     path: str, name: str, known_fields: tuple[str, ...]
 ) -> ConfigurationFault:
-    stem = name if name in _FIELDS_BY_NAME_WITHOUT_UNIT else name.rpartition("_")[0]
-    field = _FIELDS_BY_NAME_WITHOUT_UNIT.get(stem)
+    name_without_unit = (
+        name if name in _FIELDS_BY_NAME_WITHOUT_UNIT else name.rpartition("_")[0]
+    )
+    field = _FIELDS_BY_NAME_WITHOUT_UNIT.get(name_without_unit)
     if field in known_fields and field is not None:
         return ConfigurationFault(
             path,
             f"wrong unit in the field name {format_value(name)}",
             f"give whole {_UNITS_BY_FIELD[field]} as {field}",
         )
-    share = _SHARE_FIELD_WITH_UNIT.fullmatch(name)
-    if share and share[1] in known_fields and share[1] in _SHARE_FIELDS:
+    share_match = _SHARE_FIELD_WITH_UNIT.fullmatch(name)
+    if (
+        share_match
+        and share_match[1] in known_fields
+        and share_match[1] in _SHARE_FIELDS
+    ):
         return ConfigurationFault(
             path,
             f"wrong unit in the field name {format_value(name)}",
-            f"give a share between 0 and 1 as {share[1]}",
+            f"give a share between 0 and 1 as {share_match[1]}",
         )
     return ConfigurationFault(
         path,
--- a/packages/configuration/src/kingcuplug_configuration/_history.py
+++ b/packages/configuration/src/kingcuplug_configuration/_history.py
@@ -1,9 +1,9 @@
-"""The history of accepted configurations, a state machine that the log applies.
+"""History of accepted configurations, a state machine replicated by the log.
 
-A change replaces the configuration only if its base revision is still in force.
-So a change that was accepted once can never be accepted again, whatever this
-history has forgotten: its base revision stays behind. The memory of change ids
-serves only to give a resend the same answer as the first one.
+A change replaces the configuration only if its base revision is the current one.
+So an accepted change can never be accepted again, even after its id has been
+evicted, because its base revision is outdated. Change ids are stored only so that a
+resend gets the same result as the first submission.
 """
 
 import dataclasses
@@ -37,20 +37,21 @@
 
 __all__ = ["Change", "ConfigurationHistory", "DumpInvalid", "Revision"]
 
-# 10 days at the target of 10,000 changes a day; a resend that is older gets a
-# conflict in place of its acceptance.
+# 10 days at the target of 10,000 changes a day. A resend of an older change returns a
+# conflict, although the change was accepted.
 MAX_STORED_CHANGES = 100_000
-# 10 hours at the target rate. A host that missed more gets the whole text.
+# 10 hours at the target rate. A host that missed more deltas fetches the whole text.
 MAX_STORED_DELTAS = 4_096
-# Four whole texts of the target size, so that wide changes cannot fill the memory.
+# Four whole texts of the target size; bounds the memory of deltas that change many
+# services.
 MAX_SERVICES_IN_STORED_DELTAS = 65_536
-# 64 bits tell an accidental reuse of a change id from a resend.
+# 64 bits are enough to tell an accidental reuse of a change id from a resend.
 _SHORT_DIGEST_CHARACTERS = 16
 _DUMP_FORMAT = 1
 
 
 class DumpInvalid(KingcuplugError):
-    """A dump that cannot be loaded."""
+    """A dump cannot be loaded."""
 
 
 class Revision(NamedTuple):
@@ -65,7 +66,7 @@
 
 
 class Change(NamedTuple):
-    """What is remembered of an accepted change."""
+    """Summary of an accepted change."""
 
     revision: int
     short_digest: str
@@ -74,7 +75,7 @@
 
 
 class ConfigurationHistory:
-    """All that voters agree on about the configuration."""
+    """Configuration state that is replicated on all voters."""
 
     def __init__(self) -> None:
         self.configuration = ConfigurationText()
@@ -85,9 +86,9 @@
         self._services_in_deltas = 0
 
     def apply(self, command: ApplyConfiguration | Mapping[str, Any]) -> Result:
-        """Apply a command from the log; a malformed one is `Rejected`.
+        """Apply a command from the log; return `Rejected` if it is malformed.
 
-        An exception here would end every voter that applies the same entry.
+        An exception here would crash every voter that applies the same log entry.
         """
         if not isinstance(command, ApplyConfiguration):
             try:
@@ -95,9 +96,9 @@
             except CommandInvalid as error:
                 fault = ConfigurationFault("command", error.message, error.remedy)
                 return Rejected((fault,))
-        settled = self.settled(command)
-        if settled is not None:
-            return settled
+        known_result = self.settled(command)
+        if known_result is not None:
+            return known_result
         if command.base_revision > self.current.number:
             return self._conflict_since(command.base_revision)
         try:
@@ -108,15 +109,16 @@
         return Accepted(self.current.number)
 
     def settled(self, command: ApplyConfiguration) -> Result | None:
-        """Return the result if it is certain without an entry in the log.
+        """Return the result of a command if it is known without a log entry.
 
-        A resend of a known change and a change whose base revision has been
-        replaced have their results already, on any replica that knows the
-        revision after the base. None means that the change must be proposed.
+        The result of a resend of a stored change, and of a change whose base
+        revision has been replaced, is already determined on any replica that has
+        applied the revision after the base. None means that the change must be
+        proposed.
         """
-        known = self._changes.get(command.change_id)
-        if known is not None:
-            return _resend_result(known, command)
+        accepted = self._changes.get(command.change_id)
+        if accepted is not None:
+            return _resend_result(accepted, command)
         if command.base_revision < self.current.number:
             return self._conflict_since(command.base_revision)
         return None
@@ -124,9 +126,9 @@
     def condense(self, command: ApplyConfiguration) -> ApplyConfiguration:
         """Validate a change and return it with a delta in place of its text.
 
-        Hosts that propose a change call this before they do so. A change whose
-        base revision is not in force here is returned as it is: it may be a
-        resend, and `apply` finds the answer.
+        Hosts call this before they propose a change. A change whose base revision
+        is not the current one is returned unchanged: it may be a resend, whose
+        result `apply` determines.
 
         Raises
         ------
@@ -149,10 +151,10 @@
         )
 
     def since(self, revision: int) -> list[Delta] | None:
-        """Return the deltas after revision `number`.
+        """Return the deltas after a revision.
 
-        None means that they are not kept any more, or that the revision does not
-        exist; the whole text is needed then.
+        None means that they have been evicted or that the revision does not exist,
+        so that the whole text must be fetched.
         """
         missing = self.current.number - revision
         if missing < 0 or missing > len(self._deltas):
@@ -160,11 +162,11 @@
         return list(islice(self._deltas, len(self._deltas) - missing, None))
 
     def recent(self, limit: int) -> list[Change]:
-        """Return what is remembered of the last changes, the newest first."""
+        """Return the last accepted changes, newest first."""
         return list(islice(reversed(self._changes.values()), limit))
 
     def find_change(self, change_id: str) -> Change | None:
-        """Return what is remembered of an accepted change."""
+        """Return an accepted change, or None if its id is not stored."""
         return self._changes.get(change_id)
 
     def dump(self) -> dict[str, Any]:
@@ -172,21 +174,25 @@
         return {
             "format": _DUMP_FORMAT,
             "current": list(self.current),
-            "changes": [[name, *change] for name, change in self._changes.items()],
+            "changes": [
+                [change_id, *change] for change_id, change in self._changes.items()
+            ],
             "deltas": [delta.to_json() for delta in self._deltas],
         }
 
     def load(self, state: Mapping[str, Any]) -> None:
-        """Replace the state by a dump; on an error nothing is changed.
+        """Replace the state with a dump; on an error the state is unchanged.
 
         Raises
         ------
         DumpInvalid
-            If the dump has another format or its digest is wrong.
+            If the dump has another format, is malformed or has a wrong digest.
         """
         try:
             current, configuration = _load_current(state)
-            changes = {name: Change(*rest) for name, *rest in state["changes"]}
+            changes = {
+                change_id: Change(*fields) for change_id, *fields in state["changes"]
+            }
             deltas = deque(Delta.from_json(item) for item in state["deltas"])
         except (KeyError, TypeError, ValueError, ExceptionGroup) as error:
             raise DumpInvalid(
@@ -198,12 +204,12 @@
         self._services_in_deltas = sum(len(delta) for delta in deltas)
 
     def _conflict_since(self, base_revision: int) -> Conflict:
-        missed = self.since(base_revision)
+        deltas = self.since(base_revision)
         return Conflict(
             self.current.number,
             self.current.author,
             self.current.time_ms,
-            merge_deltas(missed) if missed else None,
+            merge_deltas(deltas) if deltas else None,
         )
 
     def _validate_proposal(self, command: ApplyConfiguration) -> ConfigurationText:
@@ -213,7 +219,9 @@
             proposed = replay(self.configuration, [command.delta])
         except DigestMismatch as error:
             fault = ConfigurationFault("delta", error.message, "send the whole text")
-            raise ExceptionGroup("the delta does not fit", [fault]) from error
+            raise ExceptionGroup(
+                "the delta does not match its base", [fault]
+            ) from error
         _check_changed_dependencies(self.configuration, proposed, command.delta)
         return proposed
 
@@ -221,28 +229,28 @@
         self, command: ApplyConfiguration, new: ConfigurationText
     ) -> None:
         digest = new.digest
-        number = self.current.number + 1
+        revision = self.current.number + 1
         author = intern(command.author)
-        delta = self._numbered_delta(command, new, number)
+        delta = self._numbered_delta(command, new, revision)
         self.current = Revision(
-            number, new.text, digest, command.change_id, author, command.time_ms
+            revision, new.text, digest, command.change_id, author, command.time_ms
         )
         self.configuration = new
         self._changes[command.change_id] = Change(
-            number, digest[:_SHORT_DIGEST_CHARACTERS], author, command.time_ms
+            revision, digest[:_SHORT_DIGEST_CHARACTERS], author, command.time_ms
         )
         self._deltas.append(delta)
         self._services_in_deltas += len(delta)
         self._evict_oldest()
 
     def _numbered_delta(
-        self, command: ApplyConfiguration, new: ConfigurationText, number: int
+        self, command: ApplyConfiguration, new: ConfigurationText, revision: int
     ) -> Delta:
         if command.delta is None:
-            return difference(self.configuration, new, number)
+            return difference(self.configuration, new, revision)
         base_digest = self.current.digest
         return dataclasses.replace(
-            command.delta, base_digest=base_digest, revision=number
+            command.delta, base_digest=base_digest, revision=revision
         )
 
     def _evict_oldest(self) -> None:
@@ -258,17 +266,17 @@
 def _check_changed_dependencies(
     old: ConfigurationText, new: ConfigurationText, delta: Delta
 ) -> None:
-    """Raise an ExceptionGroup of the faults in the dependencies after a delta.
+    """Raise an ExceptionGroup if a delta makes the dependencies invalid.
 
-    Names and limits within one service need no check here, because a delta's
-    services come from `parse` or `Delta.from_json`. The graph is searched only if
-    the delta changes it, which most changes do not.
+    Names and limits within one service need no check here, because the services of
+    a delta were validated by `parse` or `Delta.from_json`. The graph is checked only
+    if the delta changes it, which few changes do.
     """
-    same = not delta.removed and all(
+    graph_is_unchanged = not delta.removed and all(
         name in old.services and old.services[name].depends_on == service.depends_on
         for name, service in delta.changed.items()
     )
-    if same:
+    if graph_is_unchanged:
         return
     graph = {name: service.depends_on for name, service in new.services.items()}
     faults = list(check_dependencies(graph))
@@ -276,14 +284,14 @@
         raise ExceptionGroup("the delta breaks dependencies", faults)
 
 
-def _resend_result(known: Change, command: ApplyConfiguration) -> Result:
-    """Answer a resend, or tell that the change id is used for two changes."""
-    if _short_digest(command) == known.short_digest:
-        return Accepted(known.revision)
+def _resend_result(accepted: Change, command: ApplyConfiguration) -> Result:
+    """Return the result of a resend, or reject the reuse of a change id."""
+    if _short_digest(command) == accepted.short_digest:
+        return Accepted(accepted.revision)
     fault = ConfigurationFault(
         "change_id",
-        f"{command.change_id!r} names another change, revision {known.revision}"
-        f" by {known.author}",
+        f"{command.change_id!r} names another change, revision {accepted.revision}"
+        f" by {accepted.author}",
         "use a new change id for each change",
     )
     return Rejected((fault,))
@@ -300,7 +308,9 @@
 
 
 def _faults_from_group(group: ExceptionGroup[Any]) -> tuple[ConfigurationFault, ...]:
-    return tuple(f for f in group.exceptions if isinstance(f, ConfigurationFault))
+    return tuple(
+        fault for fault in group.exceptions if isinstance(fault, ConfigurationFault)
+    )
 
 
 def _load_current(state: Mapping[str, Any]) -> tuple[Revision, ConfigurationText]:
--- a/packages/configuration/src/kingcuplug_configuration/_models.py
+++ b/packages/configuration/src/kingcuplug_configuration/_models.py
@@ -1,9 +1,9 @@
-"""The configuration inside the system: immutable values and their JSON.
+"""Immutable values of the configuration, and their JSON.
 
-Every field is written out, also the defaults, so that a text means the same to a
-host whose software has other defaults. The JSON of a service is computed once:
-at the target size a change touches a few of some 16,000 services, and rendering
-the others again would take most of the time of a change.
+Every field is written out, including defaults, so that a text has the same meaning
+on hosts whose software version has other defaults. The JSON of a service is cached:
+at the target size a change affects a few of some 16,000 services, and rendering the
+others again would take most of the time of a change.
 """
 
 import dataclasses
@@ -33,19 +33,20 @@
     Attributes
     ----------
     coverage_weight : float
-        0 to 1; 1 waits for whole answers, 0 cuts the tail.
+        0 to 1; 1 waits for complete answers, 0 does not wait for slow shards.
     minimum_coverage : float
         Share of the shards, 0 to 1, below which a query is refused.
     deadline_ms : int
         Default and upper bound of a request's deadline.
     hedge_budget, retry_budget : float
-        Extra sub-requests and retries, as a share of the sub-requests.
+        Hedged sub-requests and retries, as a share of all sub-requests.
     merge : str
-        ``collect`` or ``concat``.
+        How replies of the shards are merged, ``collect`` or ``concat``.
     canary : str
-        ``always`` sends the first sub-request of an unknown fingerprint alone.
+        ``always`` sends a single sub-request first if the fingerprint of the
+        request is unknown.
     urgent_reserve : float
-        Share of admission that is kept for urgent requests; below 1.
+        Share of the admitted requests that is reserved for urgent ones; below 1.
     """
 
     coverage_weight: float = 0.5
@@ -74,7 +75,7 @@
     policy: Policy = Policy()
 
     def to_json(self) -> dict[str, Any]:
-        """Return the fields but for the name, which is the key in the text."""
+        """Return the fields except the name, which is the key in the text."""
         return {"depends_on": list(self.depends_on), "policy": self.policy.to_json()}
 
     @cached_property
@@ -85,7 +86,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ConfigurationText:
-    """All services by name, and how long orders are kept."""
+    """All services by name, and the retention of orders."""
 
     services: Mapping[str, Service] = dataclasses.field(default_factory=dict)
     retention_days: int = DEFAULT_RETENTION_DAYS
@@ -96,7 +97,7 @@
 
     @cached_property
     def text(self) -> str:
-        """Canonical JSON; kept, as rendering takes most of the time of a patch."""
+        """Canonical JSON; cached, because rendering dominates the time of a patch."""
         members = ",".join(service.json_member for service in self.services.values())
         return f'{{"retention_days":{self.retention_days},"services":{{{members}}}}}'
 
--- a/packages/configuration/src/kingcuplug_configuration/_parse.py
+++ b/packages/configuration/src/kingcuplug_configuration/_parse.py
@@ -1,4 +1,4 @@
-"""Reads a configuration text and reports every fault at once."""
+"""Parser of configuration texts that reports all faults at once."""
 
 import json
 import re
@@ -24,10 +24,10 @@
 
 __all__ = ["parse", "services_from_json"]
 
-# A text of 16,000 services, the target size, has about 4 MB.
+# A text of 16,000 services, the target size, is about 4 MB long.
 MAX_TEXT_CHARACTERS = 16_777_216
-# Two crossings of an availability zone boundary and the backend server's work do
-# not fit into less; smaller values are most often seconds.
+# A shorter deadline does not suffice for a round trip to another availability zone and
+# the backend server's work; smaller values are usually given in seconds by mistake.
 _MIN_DEADLINE_MS = 5
 _MAX_DEADLINE_MS = 600_000
 _MAX_RETENTION_DAYS = 730
@@ -58,7 +58,7 @@
 class _ServiceModel(BaseModel):
     model_config = _STRICT_MODEL
 
-    # A factory, because pydantic copies a mutable default for each service.
+    # A factory, because pydantic copies a mutable default for each instance.
     depends_on: list[str] = Field(default_factory=list)
     policy: _PolicyModel = Field(default_factory=lambda: _DEFAULT_POLICY)
 
@@ -80,7 +80,7 @@
 
 
 class _JsonObject(dict[str, Any]):
-    """JSON object that remembers which of its keys occur more than once."""
+    """JSON object that records which of its keys occur more than once."""
 
     def __init__(self, pairs: list[tuple[str, Any]]) -> None:
         super().__init__(pairs)
@@ -96,7 +96,7 @@
     Raises
     ------
     ExceptionGroup
-        Of `ConfigurationFault`, with every fault of the text.
+        Of `ConfigurationFault`, with all faults of the text.
     """
     raw = _load_json(text)
     faults = list(_find_duplicate_keys(raw, ()))
@@ -187,7 +187,7 @@
 
 
 def _check_names_and_dependencies(raw: Any) -> list[ConfigurationFault]:
-    """Check names and dependencies also where other fields have faults."""
+    """Check names and dependencies even if other fields have faults."""
     services = raw.get("services") if isinstance(raw, dict) else None
     if not isinstance(services, dict):
         return []
@@ -196,10 +196,10 @@
 
 
 def _dependency_names(service: Any) -> list[str]:
-    needed = service.get("depends_on", []) if isinstance(service, dict) else []
-    if not isinstance(needed, list):
+    dependencies = service.get("depends_on", []) if isinstance(service, dict) else []
+    if not isinstance(dependencies, list):
         return []
-    return [name for name in needed if isinstance(name, str)]
+    return [name for name in dependencies if isinstance(name, str)]
 
 
 def _check_service_names(names: Mapping[str, Any]) -> list[ConfigurationFault]:
@@ -217,7 +217,7 @@
 def _check_coverage_limits(
     services: Mapping[str, _ServiceModel],
 ) -> list[ConfigurationFault]:
-    """Find limits that are possible alone but not together."""
+    """Find limits that are valid on their own but contradict each other."""
     return [
         ConfigurationFault(
             join_path(("services", name, "policy", "minimum_coverage")),
@@ -231,7 +231,7 @@
 
 
 def _build_services(models: Mapping[str, _ServiceModel]) -> dict[str, Service]:
-    # Most services share a few policies; one object for equal ones saves memory.
+    # Most services have one of a few policies; sharing equal objects saves memory.
     default = Policy()
     shared = {default: default}
     services = {}
--- a/packages/ledger/src/kingcuplug_ledger/_client.py
+++ b/packages/ledger/src/kingcuplug_ledger/_client.py
@@ -1,8 +1,8 @@
-"""Sends commands to the ledger over a connection that may lose answers.
+"""Client that sends commands to the ledger over an unreliable connection.
 
-Resending the same command is safe, because the ledger recognises it by its token.
-A submission whose outcome is unknown stays unknown until an answer arrives: a
-later refusal by another host says nothing about the earlier copy.
+Resending a command is safe, because the ledger identifies it by its token. After a
+submission has timed out, its result stays unknown until the ledger answers: an
+error from another host for a resend says nothing about the earlier copy.
 """
 
 import asyncio
@@ -52,17 +52,17 @@
 Submit = Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]
 IsHolderLost = Callable[[str, int], bool]
 
-# A body of up to this size is kept for callers that attach to the order. All
-# records together must fit into the memory of a control host (256 MB).
+# Larger bodies are stored as a digest only, because all records together must fit
+# into the memory of a control host (256 MB).
 MAX_STORED_BODY_BYTES = 65_536
-# The first resend follows one election (300 to 600 ms) at the latest after four
-# attempts; the longest pause bounds the load of many waiting hosts.
+# The delay doubles with each resend, so four delays span the shortest election (300
+# to 600 ms). The maximum bounds the load that many waiting hosts put on the ledger.
 _INITIAL_BACKOFF_S = 0.02
 _MAX_BACKOFF_S = 0.5
 
 
 class SubmissionUnknown(KingcuplugError):
-    """The command may have been applied, now or later, or not."""
+    """No result arrived; the command may have been applied or may yet be."""
 
 
 class MustNotSend(KingcuplugError):
@@ -72,7 +72,8 @@
     ----------
     refused : DispatchRefused or None
         The ledger's refusal; None if it is unknown whether the dispatch was
-        recorded. Then the order may count as dispatched, though nobody sends it.
+        recorded. In that case the record may be in state ``dispatched`` although
+        the order is not sent.
     """
 
     def __init__(
@@ -83,11 +84,11 @@
 
 
 class CommandRefused(KingcuplugError):
-    """The ledger did not understand the command, or the answer is not one."""
+    """The ledger rejected the command as malformed, or its result is unexpected."""
 
 
 class LedgerClient:
-    """One host's access to the ledger.
+    """Ledger client of one host.
 
     Parameters
     ----------
@@ -96,9 +97,9 @@
         TimeoutError if the command may have been applied or may yet be, and a
         KingcuplugError if it certainly was not and will not be.
     host, host_incarnation
-        Holder of the claims made here.
+        Identify this host as the holder of the claims that it makes.
     wall_ms : callable
-        Wall clock in milliseconds since the epoch.
+        Returns the wall clock in milliseconds since the epoch.
     """
 
     def __init__(
@@ -127,8 +128,8 @@
     ) -> Claimed | Attached | KeyReused | KeyExpired | KeyFromFuture:
         """Claim a key.
 
-        `deadline` is a time of the running loop's clock, in seconds. A caller
-        that gives its own `token` can release a claim whose fate is unknown.
+        `deadline` is a time of the running loop's clock, in seconds. A caller that
+        passes its own `token` can release the claim even if its result is unknown.
 
         Raises
         ------
@@ -160,15 +161,16 @@
     async def dispatch(
         self, key: str, token: str, server: str, attempt_id: str, *, deadline: float
     ) -> DispatchRecorded:
-        """Record that the order is about to be sent; only a return allows that.
+        """Record that the order is about to be sent to a backend server.
 
-        `attempt_id` is new for every call. After `MustNotSend` without a refusal,
-        `release` settles whether the dispatch was recorded.
+        The order may be sent only if this method returns. `attempt_id` must be
+        unique for every call. After `MustNotSend` without a refusal, `release`
+        determines whether the dispatch was recorded.
 
         Raises
         ------
         MustNotSend
-            In every other case: the ledger refused, or its answer is unknown.
+            If the ledger refused, or its result is unknown.
         """
         command = Dispatch(key, token, server, attempt_id, self._wall_ms())
         try:
@@ -182,7 +184,7 @@
         if isinstance(result, DispatchRefused):
             raise MustNotSend(
                 f"the dispatch of {key} was refused: {result.reason}",
-                "attach to the order",
+                "wait for the outcome of the order",
                 result,
             )
         if isinstance(result, DispatchRecorded):
@@ -199,7 +201,9 @@
         *,
         deadline: float,
     ) -> OutcomeRecorded | OutcomeRefused:
-        """Record how the order ended; a body over 64 KiB is kept as digest only.
+        """Record the outcome of the order.
+
+        A body over 64 KiB is stored as a digest only.
 
         Raises
         ------
@@ -218,9 +222,9 @@
     async def release(
         self, key: str, token: str, *, deadline: float
     ) -> Released | ReleaseRefused:
-        """Give a claim back.
+        """Release a claim.
 
-        `Released` is certain: nothing was or will be dispatched with `token`.
+        After `Released`, no dispatch with `token` has been or will be recorded.
 
         Raises
         ------
@@ -234,7 +238,13 @@
         raise _unexpected_result_error(result)
 
     async def lookup(self, key: str, *, deadline: float) -> OrderRecord | None:
-        """Return what is known of an order; raise `SubmissionUnknown` if late."""
+        """Return the record of an order, or None if there is none.
+
+        Raises
+        ------
+        SubmissionUnknown
+            If no answer came before the deadline.
+        """
         result = await self._send_until_answered(Lookup(key), deadline)
         if isinstance(result, LookupResult):
             return result.record
@@ -247,10 +257,11 @@
         deadline: float,
         holder_lost: IsHolderLost = lambda host, incarnation: False,
     ) -> OrderRecord | None:
-        """Wait for the outcome of another holder's order.
+        """Wait for the outcome of an order that another host has claimed.
 
-        Returns the record when it is finished or released, when its holder is
-        lost, or as last seen at the deadline; None if there is no record.
+        Return the record as soon as it is finished or released or its holder is
+        lost, or the last one that was read before the deadline; None if there is
+        no record.
 
         Raises
         ------
@@ -258,15 +269,15 @@
             If the record could not be read once before the deadline.
         """
         loop = asyncio.get_running_loop()
-        pause_s = _INITIAL_BACKOFF_S
+        backoff_s = _INITIAL_BACKOFF_S
         record = await self.lookup(key, deadline=deadline)
         while record is not None and record.state in ("claimed", "dispatched"):
             if holder_lost(record.host, record.host_incarnation):
                 break
-            if loop.time() + pause_s >= deadline:
+            if loop.time() + backoff_s >= deadline:
                 break
-            await asyncio.sleep(pause_s)
-            pause_s = min(2 * pause_s, _MAX_BACKOFF_S)
+            await asyncio.sleep(backoff_s)
+            backoff_s = min(2 * backoff_s, _MAX_BACKOFF_S)
             try:
                 record = await self.lookup(key, deadline=deadline)
             except SubmissionUnknown:
@@ -274,31 +285,31 @@
         return record
 
     async def _send_until_answered(self, command: Command, deadline: float) -> Result:
-        """Submit until an answer arrives; the command stays the same."""
+        """Resend the unchanged command until the ledger answers it."""
         message = command_to_json(command)
         loop = asyncio.get_running_loop()
-        pause_s = _INITIAL_BACKOFF_S
-        unknown = False
+        backoff_s = _INITIAL_BACKOFF_S
+        may_be_applied = False
         while True:
             try:
                 async with asyncio.timeout_at(deadline):
                     return result_from_json(await self._submit(message))
             except TimeoutError:
-                unknown = True
+                may_be_applied = True
             except KingcuplugError:
-                if not unknown:
+                if not may_be_applied:
                     raise
-            if loop.time() + pause_s >= deadline:
+            if loop.time() + backoff_s >= deadline:
                 raise SubmissionUnknown(
                     f"the ledger did not answer {message['type']} of {command.key}",
                     "send the same key again, or look it up",
                 )
-            await asyncio.sleep(pause_s)
-            pause_s = min(2 * pause_s, _MAX_BACKOFF_S)
+            await asyncio.sleep(backoff_s)
+            backoff_s = min(2 * backoff_s, _MAX_BACKOFF_S)
 
 
 def _unexpected_result_error(result: Result) -> CommandRefused:
     if isinstance(result, MalformedCommand):
         return CommandRefused(result.message, result.remedy)
     name = type(result).__name__
-    return CommandRefused(f"unexpected answer {name}", "run one version on all hosts")
+    return CommandRefused(f"unexpected result {name}", "run one version on all hosts")
--- a/packages/ledger/src/kingcuplug_ledger/_codec.py
+++ b/packages/ledger/src/kingcuplug_ledger/_codec.py
@@ -1,4 +1,4 @@
-"""JSON of dataclasses, tagged with their type."""
+"""JSON encoding of dataclasses, tagged with their type."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -13,7 +13,7 @@
 
 
 class MessageInvalid(KingcuplugError):
-    """A command or a result that is malformed."""
+    """A command or result is malformed."""
 
 
 class Codec(Generic[_Message]):
@@ -21,46 +21,52 @@
 
     Parameters
     ----------
-    kinds : Mapping
+    message_types : Mapping
         Dataclasses by the value of the field ``type``.
     """
 
     def __init__(self, message_types: Mapping[str, type[_Message]]) -> None:
-        self._type_tags = {kind: name for name, kind in message_types.items()}
+        self._type_tags = {
+            message_type: tag for tag, message_type in message_types.items()
+        }
         self._field_names = {
-            kind: tuple(field.name for field in dataclasses.fields(kind))  # type: ignore[arg-type]
-            for kind in message_types.values()
+            message_type: tuple(
+                field.name for field in dataclasses.fields(message_type)
+            )  # type: ignore[arg-type]
+            for message_type in message_types.values()
         }
         self._adapters_by_tag = {
-            name: TypeAdapter(kind) for name, kind in message_types.items()
+            tag: TypeAdapter(message_type)
+            for tag, message_type in message_types.items()
         }
 
     def encode(self, message: _Message) -> dict[str, Any]:
         """Return a message as a JSON object."""
-        kind = type(message)
+        message_type = type(message)
         value = {
             name: _to_json_value(getattr(message, name))
-            for name in self._field_names[kind]
+            for name in self._field_names[message_type]
         }
-        return {"type": self._type_tags[kind], **value}
+        return {"type": self._type_tags[message_type], **value}
 
     def decode(self, value: Mapping[str, Any]) -> _Message:
         """Read a message; raise `MessageInvalid` if it is malformed."""
-        name = value.get("type") if isinstance(value, Mapping) else None
-        adapter = self._adapters_by_tag.get(name) if isinstance(name, str) else None
+        tag = value.get("type") if isinstance(value, Mapping) else None
+        adapter = self._adapters_by_tag.get(tag) if isinstance(tag, str) else None
         if adapter is None:
             raise MessageInvalid(
-                f"{ascii(name)[:60]} is no type of message",
+                f"{ascii(tag)[:60]} is not a message type",
                 f"use one of {', '.join(self._adapters_by_tag)}",
             )
         try:
             return adapter.validate_python(value)
         except ValidationError as error:
-            places = ", ".join(
-                ".".join(str(part) for part in fault["loc"]) for fault in error.errors()
+            locations = ", ".join(
+                ".".join(str(part) for part in detail["loc"])
+                for detail in error.errors()
             )
             raise MessageInvalid(
-                f"the {name} is malformed in {places[:200]}", "correct these fields"
+                f"the {tag} is malformed at {locations[:200]}", "correct these fields"
             ) from error
 
 
--- a/packages/ledger/src/kingcuplug_ledger/_commands.py
+++ b/packages/ledger/src/kingcuplug_ledger/_commands.py
@@ -1,8 +1,8 @@
-"""Commands of the ledger. They travel through the replicated log as JSON.
+"""Commands of the ledger, replicated through the log as JSON.
 
-Every command carries `time_ms`. The leader replaces it by its own wall clock
-(see `stamp`) before it writes the entry, so that one entry host with a wrong clock
-cannot move the ledger's time.
+Every command has a `time_ms`. The leader replaces it with its own wall clock (see
+`stamp`) before it appends the log entry, so that an entry host with a wrong clock
+cannot advance the ledger's time.
 """
 
 import dataclasses
@@ -28,9 +28,9 @@
 
 OutcomeKind = Literal["done", "not_run", "unknown"]
 
-# Numbers below 2**53 are exact in every JSON reader, and orjson writes them.
+# Integers below 2**53 are exact in every JSON reader, and orjson can write them.
 _NonNegativeInt = Annotated[int, Field(ge=0, lt=2**53)]
-# Up to the year 9999, so that times can be printed.
+# Up to the year 9999, so that datetime can format the times.
 _Milliseconds = Annotated[int, Field(ge=0, lt=253_402_300_800_000)]
 
 
@@ -41,15 +41,16 @@
     Attributes
     ----------
     digest : str
-        Digest of the request; another body under the same key is refused.
+        Digest of the request; a request with another digest under the same key
+        is refused.
     token : str
-        Names this claim; new for every claim, the same in its resends.
+        Identifies this claim; unique per claim and repeated in its resends.
     retention_ms : int
-        How long after its issue time the key may run.
+        How long after its issue time the key may be claimed and dispatched.
     revision : int
         Configuration revision under which the order runs.
     takeover : bool
-        Whether the host knows that the holder of the present claim is lost.
+        Whether the host knows that the holder of the current claim is lost.
     """
 
     key: str
@@ -66,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Dispatch:
-    """State that the holder of `token` is about to send the order to `server`."""
+    """Record that the holder of `token` is about to send the order to `server`."""
 
     key: str
     token: str
@@ -77,19 +78,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outcome:
-    """State how a dispatched order ended.
+    """Record the outcome of a dispatched order.
 
     Attributes
     ----------
     kind : str
-        ``done``, ``not_run`` (the backend server said that it did not run the
+        ``done``, ``not_run`` (the backend server replied that it did not run the
         order) or ``unknown``.
     status : str
         Status of the backend server's reply.
     body : Any
-        JSON value of the reply, or None if it is too large to be kept.
+        JSON value of the reply, or None if it is too large to be stored.
     body_digest : str
-        Digest of a body that is not kept, else empty.
+        Digest of a body that is not stored, else empty.
     """
 
     key: str
@@ -103,7 +104,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Release:
-    """Give a claim back that was not dispatched; its token is spent then."""
+    """Release a claim that was not dispatched, and revoke its token."""
 
     key: str
     token: str
@@ -112,7 +113,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lookup:
-    """Read one record; changes nothing, so it needs no entry in the log."""
+    """Read one record; a read-only command that needs no log entry."""
 
     key: str
 
@@ -141,5 +142,5 @@
 
 
 def stamp(command: Mapping[str, Any], wall_ms: int) -> dict[str, Any]:
-    """Return the JSON of a command with the leader's wall clock as its time."""
+    """Return the JSON of a command with its time set to `wall_ms`."""
     return {**command, "time_ms": wall_ms}
--- a/packages/ledger/src/kingcuplug_ledger/_entry.py
+++ b/packages/ledger/src/kingcuplug_ledger/_entry.py
@@ -1,4 +1,4 @@
-"""The ledger's mutable entry for one order, and its compact JSON."""
+"""The ledger's mutable entry for one order, and its compact JSON form."""
 
 import dataclasses
 import json
@@ -17,16 +17,16 @@
 
 __all__ = ["LedgerEntry", "SerializedOutcome"]
 
-# An entry that is claimed and given back more often forgets its oldest tokens. A
-# duplicate of such an old claim would reserve the key again; it dispatches nothing.
+# Beyond this number the oldest revoked tokens are dropped. A duplicate of such an
+# old claim would claim the key again, but it could not cause a dispatch.
 PAST_CLAIMS_LIMIT = 32
 
 
 class SerializedOutcome(NamedTuple):
-    """An outcome whose body is kept as JSON text.
+    """Outcome whose body is stored as JSON text.
 
-    The text takes less than half of the memory of the value, and a snapshot of
-    the ledger need not copy it.
+    The text takes less than half of the memory of the parsed value, and a snapshot
+    of the ledger does not have to copy it.
     """
 
     kind: OutcomeKind
@@ -36,14 +36,14 @@
 
     @classmethod
     def from_command(cls, command: Outcome) -> "SerializedOutcome":
-        """Return the outcome that a command states."""
-        # Unlike orjson, the standard library writes every value that it reads.
+        """Return the outcome that a command records."""
+        # Unlike orjson, the standard library can write every value that it reads.
         body_text = json.dumps(command.body, separators=(",", ":"), sort_keys=True)
         kind = cast(OutcomeKind, intern(command.kind))
         return cls(kind, intern(command.status), body_text, command.body_digest)
 
     def to_stored_outcome(self) -> StoredOutcome:
-        """Return the outcome with its body as a value."""
+        """Return the outcome with its body as a parsed JSON value."""
         body = json.loads(self.body_text)
         return StoredOutcome(self.kind, self.status, body, self.body_digest)
 
@@ -52,8 +52,8 @@
 class LedgerEntry:
     """State of one key; the fields are those of `OrderRecord`.
 
-    `token` is empty while no claim holds the key. `digest` is empty while the
-    entry only remembers a release that came before its claim.
+    `token` is empty while the key is not claimed. `digest` is empty while the entry
+    only stores the token of a release that was applied before its claim.
     """
 
     key: str
@@ -76,12 +76,12 @@
     past_claims: tuple[PastClaim, ...] = ()
 
     def to_attached(self) -> Attached:
-        """Return what another claimant of the key is told."""
+        """Return the result for another host that tries to claim the key."""
         outcome = self.outcome and self.outcome.to_stored_outcome()
         return Attached(self.state, outcome, self.host, self.host_incarnation)
 
     def end_claim(self, reason: Literal["released", "taken_over"], now_ms: int) -> None:
-        """End the present claim without a dispatch."""
+        """End the current claim, which was not dispatched, and revoke its token."""
         self.add_past_claim(
             PastClaim(
                 self.token,
@@ -96,12 +96,12 @@
         self.token = ""
 
     def add_past_claim(self, past_claim: PastClaim) -> None:
-        """Remember a claim that ended without a dispatch."""
+        """Store a claim that ended without a dispatch."""
         self.past_claims = (*self.past_claims, past_claim)[-PAST_CLAIMS_LIMIT:]
 
     def is_revoked(self, token: str) -> bool:
-        """Return whether a claim with this token has ended before."""
-        return any(past.token == token for past in self.past_claims)
+        """Return whether a claim with this token has ended without a dispatch."""
+        return any(past_claim.token == token for past_claim in self.past_claims)
 
     def to_record(self) -> OrderRecord:
         """Return an immutable copy without the token."""
@@ -110,30 +110,30 @@
         return OrderRecord(**fields)
 
     def dump(self) -> list[Any]:
-        """Return the fields in order, as JSON values."""
+        """Return the values of the fields in order, as JSON values."""
         values = list(_entry_values(self))
         values[_OUTCOME_INDEX] = None if self.outcome is None else list(self.outcome)
         values[_PAST_CLAIMS_INDEX] = [
-            list(_past_claim_values(past)) for past in self.past_claims
+            list(_past_claim_values(past_claim)) for past_claim in self.past_claims
         ]
         return values
 
     @classmethod
     def load(cls, values: list[Any]) -> "LedgerEntry":
-        """Read what `dump` returned."""
+        """Restore an entry from the result of `dump`."""
         entry = cls(*values)
         if entry.outcome is not None:
-            kind, status, *rest = values[_OUTCOME_INDEX]
+            kind, status, *body_fields = values[_OUTCOME_INDEX]
             kind = cast(OutcomeKind, intern(kind))
-            entry.outcome = SerializedOutcome(kind, intern(status), *rest)
+            entry.outcome = SerializedOutcome(kind, intern(status), *body_fields)
         entry.past_claims = tuple(
-            PastClaim(*past) for past in values[_PAST_CLAIMS_INDEX]
+            PastClaim(*past_claim) for past_claim in values[_PAST_CLAIMS_INDEX]
         )
         entry.intern_strings()
         return entry
 
     def intern_strings(self) -> None:
-        """Keep one copy of names that many entries have in common."""
+        """Intern the names that many entries share, to save memory."""
         self.service = intern(self.service)
         self.host = intern(self.host)
         self.server = intern(self.server)
--- a/packages/ledger/src/kingcuplug_ledger/_keys.py
+++ b/packages/ledger/src/kingcuplug_ledger/_keys.py
@@ -1,7 +1,7 @@
 """Idempotency keys: ``<issue time in ms>-<random text>``.
 
-The issue time lets the ledger forget old orders safely: a key that is older than
-the retention is refused, whether or not its record is still known.
+The issue time lets the ledger purge old orders safely: a key that is older than the
+retention is refused, whether or not its record still exists.
 """
 
 import dataclasses
@@ -11,13 +11,13 @@
 
 __all__ = ["IdempotencyKey", "KeyInvalid", "parse_key"]
 
-# No leading zero, so that one key cannot be written in two ways. The random text
-# has at least 8 characters because callers choose it independently.
+# Leading zeros are rejected, so that each key has one spelling. The random text has
+# at least 8 characters, because callers generate it independently of each other.
 _KEY_PATTERN = re.compile(r"(0|[1-9][0-9]{0,14})-([A-Za-z0-9_.-]{8,64})", re.ASCII)
 
 
 class KeyInvalid(KingcuplugError):
-    """An idempotency key that does not have the form of one."""
+    """An idempotency key is malformed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -37,12 +37,12 @@
     Raises
     ------
     KeyInvalid
-        If `key` is no text of that form.
+        If `key` is malformed.
     """
-    found = _KEY_PATTERN.fullmatch(key) if isinstance(key, str) else None
-    if found is None:
+    match = _KEY_PATTERN.fullmatch(key) if isinstance(key, str) else None
+    if match is None:
         raise KeyInvalid(
             f"idempotency key {ascii(key)[:100]} is malformed",
             "send <issue time in ms>-<8 to 64 random letters, digits, '_', '.', '-'>",
         )
-    return IdempotencyKey(int(found[1]), found[2])
+    return IdempotencyKey(int(match[1]), match[2])
--- a/packages/ledger/src/kingcuplug_ledger/_ledger.py
+++ b/packages/ledger/src/kingcuplug_ledger/_ledger.py
@@ -1,8 +1,8 @@
-"""The order ledger, a state machine that the log applies.
+"""The order ledger, a deterministic state machine replicated by the log.
 
 A key goes from claimed to dispatched to finished and never back from dispatched,
-so a key is dispatched at most once in its lifetime. Whatever a key's state, every
-command can be repeated, delayed or overtaken by another.
+so it is dispatched at most once in its lifetime. In every state, commands may be
+duplicated, delayed or reordered.
 """
 
 import heapq
@@ -42,18 +42,20 @@
 
 __all__ = ["DumpInvalid", "OrderLedger"]
 
-# Callers' clocks may be this far from the leader's.
+# Greatest tolerated difference between a caller's clock and the leader's.
 MAX_CLOCK_SKEW_MS = 300_000
-# How long a release that came before its claim is remembered. A claim that is
-# still under way after that has outlived every request's deadline (10 min).
+# How long the ledger keeps the token of a release that was applied before its claim.
+# It exceeds the longest deadline of a request (10 min), so that a delayed claim still
+# finds its token revoked.
 TOMBSTONE_RETENTION_MS = 900_000
-# Bounds the time of one command after a long silence, when many records are due.
+# Bounds the time of one command when many records have expired, as after a long
+# period without commands.
 MAX_PURGED_RECORDS_PER_COMMAND = 64
 _DUMP_FORMAT = 1
 
 
 class DumpInvalid(KingcuplugError):
-    """A dump that cannot be loaded."""
+    """A dump cannot be loaded."""
 
 
 class OrderLedger:
@@ -62,14 +64,14 @@
     Attributes
     ----------
     time_ms : int
-        Ledger time: the greatest time of any command, milliseconds since the
-        epoch. It never goes back, so an expired key stays expired.
+        Ledger time: the latest `time_ms` of all applied commands, milliseconds
+        since the epoch. It never decreases, so an expired key stays expired.
     """
 
     def __init__(self) -> None:
         self.time_ms = 0
-        # The greatest issue time of a purged order. Without it, a key that was
-        # purged could run again after the retention is made longer.
+        # The latest issue time of all purged orders. Without it, a purged key could
+        # be claimed again after the retention has been increased.
         self._max_purged_issue_ms = -1
         self._entries: dict[str, LedgerEntry] = {}
         self._expiry_heap: list[tuple[int, str]] = []
@@ -79,7 +81,7 @@
         return len(self._entries)
 
     def apply(self, command: Command | Mapping[str, Any]) -> Result:
-        """Apply a command from the log; `MalformedCommand` if it is none."""
+        """Apply a command; return `MalformedCommand` if it is malformed."""
         try:
             if isinstance(command, Mapping):
                 command = command_from_json(command)
@@ -101,12 +103,12 @@
                 return self._apply_release(command, issue_ms)
 
     def lookup(self, key: str) -> OrderRecord | None:
-        """Return what is known of an order."""
+        """Return the record of an order, or None if there is none."""
         entry = self._entries.get(key)
         return None if entry is None else entry.to_record()
 
     def explain(self, key: str) -> str:
-        """Return what happened to an order, for an operator.
+        """Return the history of an order as text for operators.
 
         Raises
         ------
@@ -131,24 +133,27 @@
         }
 
     def load(self, state: Mapping[str, Any]) -> None:
-        """Replace the state by a dump; on an error nothing is changed.
+        """Replace the state with a dump; on an error the state is unchanged.
 
         Raises
         ------
         DumpInvalid
-            If the dump has another format.
+            If the dump has another format or is malformed.
         """
         try:
             if state["format"] != _DUMP_FORMAT:
                 raise ValueError(f"format {state['format']!r} is not {_DUMP_FORMAT}")
             entries = [LedgerEntry.load(values) for values in state["entries"]]
-            time_ms, purged = int(state["time_ms"]), int(state["purged_issue_ms"])
+            time_ms, max_purged_issue_ms = (
+                int(state["time_ms"]),
+                int(state["purged_issue_ms"]),
+            )
         except (KeyError, TypeError, ValueError, IndexError) as error:
             raise DumpInvalid(
                 f"the dump of the ledger is malformed: {error!r:.200}",
                 "load a dump of the same format, or replace this voter",
             ) from error
-        self.time_ms, self._max_purged_issue_ms = time_ms, purged
+        self.time_ms, self._max_purged_issue_ms = time_ms, max_purged_issue_ms
         self._entries = {entry.key: entry for entry in entries}
         self._expiry_heap = [(entry.expires_ms, entry.key) for entry in entries]
         heapq.heapify(self._expiry_heap)
@@ -161,10 +166,10 @@
             return KeyReused()
         if entry.state == "claimed" and entry.token == command.token:
             return Claimed(command.token)
-        free = entry.state == "released" or (
+        claimable = entry.state == "released" or (
             entry.state == "claimed" and command.takeover
         )
-        if not free or entry.is_revoked(command.token):
+        if not claimable or entry.is_revoked(command.token):
             return entry.to_attached()
         if self._is_expired(issue_ms, command.retention_ms):
             return KeyExpired()
@@ -175,7 +180,7 @@
     def _claim_new_key(
         self, command: Claim, issue_ms: int, entry: LedgerEntry | None
     ) -> Result:
-        """Claim a key that no claim has held; `entry` may remember a release."""
+        """Claim a key for the first time; `entry` may hold an earlier release."""
         if entry is not None and entry.is_revoked(command.token):
             return entry.to_attached()
         ahead_ms = issue_ms - self.time_ms - MAX_CLOCK_SKEW_MS
@@ -230,14 +235,14 @@
             return OutcomeRefused("superseded")
         if entry.state == "claimed":
             return OutcomeRefused("not_dispatched")
-        kept = SerializedOutcome.from_command(command)
-        if entry.outcome == kept:
+        serialized = SerializedOutcome.from_command(command)
+        if entry.outcome == serialized:
             return OutcomeRecorded()
-        # What the backend server said late is better than not knowing.
+        # A late reply of the backend server replaces an unknown outcome.
         if entry.outcome is not None and entry.outcome.kind != "unknown":
             return OutcomeRefused("already_finished", entry.outcome.to_stored_outcome())
         entry.state = "finished"
-        entry.outcome = kept
+        entry.outcome = serialized
         entry.finished_ms = self.time_ms
         return OutcomeRecorded()
 
@@ -245,14 +250,14 @@
         entry = self._entries.get(command.key)
         if entry is None:
             if issue_ms <= self._max_purged_issue_ms:
-                # The order may have run; an entry would say that it has not.
+                # The order may have run, but a new entry would state that it has not.
                 return Released()
             entry = self._entries[command.key] = LedgerEntry(command.key, issue_ms, 0)
             self._set_expiry(entry, self.time_ms + TOMBSTONE_RETENTION_MS)
         if entry.is_revoked(command.token):
             return Released()
         if entry.token != command.token:
-            # The claim may still be under way; it must find its token spent.
+            # A claim that is still in flight must find its token revoked.
             now_ms = self.time_ms
             entry.add_past_claim(
                 PastClaim(command.token, "", 0, now_ms, now_ms, "never_claimed")
@@ -272,19 +277,22 @@
             heapq.heappush(self._expiry_heap, (expires_ms, entry.key))
 
     def _purge_expired(self) -> None:
-        """Forget some of the records that are due, always the same ones.
+        """Delete expired records, up to the limit per command.
 
-        Only records count towards the limit, not left-over items of the heap:
-        a replica that has loaded a dump has none of these.
+        All replicas must delete the same records. Therefore only records count
+        towards the limit, not stale items of the heap: a replica that has loaded a
+        dump has no stale items.
         """
-        left = MAX_PURGED_RECORDS_PER_COMMAND
-        while left and self._expiry_heap and self._expiry_heap[0][0] < self.time_ms:
+        remaining = MAX_PURGED_RECORDS_PER_COMMAND
+        while (
+            remaining and self._expiry_heap and self._expiry_heap[0][0] < self.time_ms
+        ):
             expires_ms, key = heapq.heappop(self._expiry_heap)
             entry = self._entries.get(key)
             if entry is None or entry.expires_ms != expires_ms:
                 continue
             del self._entries[key]
-            left -= 1
+            remaining -= 1
             if entry.digest:
                 self._max_purged_issue_ms = max(
                     self._max_purged_issue_ms, entry.issue_ms
--- a/packages/ledger/src/kingcuplug_ledger/_records.py
+++ b/packages/ledger/src/kingcuplug_ledger/_records.py
@@ -1,4 +1,4 @@
-"""What the ledger knows of one order."""
+"""Read-only records of orders."""
 
 import dataclasses
 from datetime import UTC, datetime
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredOutcome:
-    """How an order ended; see `Outcome`."""
+    """Recorded outcome of an order; see `Outcome`."""
 
     kind: OutcomeKind
     status: str
@@ -23,10 +23,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PastClaim:
-    """A claim that ended without a dispatch, and whose token is spent.
+    """Claim that ended without a dispatch, and whose token is revoked.
 
-    `ended` is ``released``, ``taken_over``, or ``never_claimed`` if the release
-    came before the claim.
+    `ended` is ``released``, ``taken_over``, or ``never_claimed`` if the release was
+    applied before the claim.
     """
 
     token: str
@@ -39,10 +39,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderRecord:
-    """One order, for callers that attach to it and for operators.
+    """Record of one order, for callers that wait for it and for operators.
 
-    Times are ledger times in milliseconds since the epoch, 0 if the step did not
-    happen. `host` and `host_incarnation` are those of the last claim, and of the
+    Times are ledger times in milliseconds since the epoch, 0 if the step has not
+    happened. `host` and `host_incarnation` are those of the last claim, and of the
     dispatch if there was one. `server` and `attempt_id` are those of the dispatch.
     """
 
@@ -63,13 +63,13 @@
     past_claims: tuple[PastClaim, ...]
 
     def explain(self) -> str:
-        """Return what happened, one line per step, for an operator."""
+        """Return the history of the order as text for operators, one line per step."""
         lines = [f"order {self.key} of service {self.service or 'unknown'}"]
-        for past in self.past_claims:
-            holder = _format_holder(past.host, past.host_incarnation)
+        for past_claim in self.past_claims:
+            holder = _format_holder(past_claim.host, past_claim.host_incarnation)
             lines.append(
-                f"{_format_time(past.claimed_ms)} claimed by {holder},"
-                f" {past.ended} at {_format_time(past.ended_ms)}"
+                f"{_format_time(past_claim.claimed_ms)} claimed by {holder},"
+                f" {past_claim.ended} at {_format_time(past_claim.ended_ms)}"
             )
         holder = _format_holder(self.host, self.host_incarnation)
         if self.claimed_ms:
--- a/packages/ledger/src/kingcuplug_ledger/_refusals.py
+++ b/packages/ledger/src/kingcuplug_ledger/_refusals.py
@@ -1,7 +1,7 @@
-"""Refusals to callers that follow from the ledger's results.
+"""Refusals that callers receive for results of the ledger.
 
-``not_run`` is said only where the ledger shows that the order has not run and, by
-this request, will not.
+A refusal is ``not_run`` only if the ledger proves that the order has not run and
+will not run because of this request.
 """
 
 from kingcuplug_common import Refusal, RefusalKind, RefusalReason
@@ -20,12 +20,12 @@
 def order_refusal(
     result: Attached | OrderRecord | KeyReused | KeyExpired | KeyFromFuture,
 ) -> Refusal:
-    """Return the refusal for a caller whose order got no ``done`` outcome.
+    """Return the refusal for an order that has no ``done`` outcome.
 
     Raises
     ------
     ValueError
-        If the order is done: its caller gets the answer.
+        If the outcome is ``done``; its caller receives the recorded reply instead.
     """
     match result:
         case KeyReused():
@@ -44,7 +44,7 @@
                 retry_after_ms=result.ahead_ms,
             )
         case KeyExpired():
-            # A purged order may have run under this key.
+            # An order under this key may have run before its record was purged.
             return Refusal(
                 RefusalKind.OUTCOME_UNKNOWN,
                 RefusalReason.KEY_EXPIRED,
--- a/packages/ledger/src/kingcuplug_ledger/_results.py
+++ b/packages/ledger/src/kingcuplug_ledger/_results.py
@@ -1,4 +1,4 @@
-"""Results of the ledger's commands, with their JSON."""
+"""Results of the ledger's commands, and their JSON encoding."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -39,16 +39,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Claimed:
-    """The key is reserved for the holder of `token`."""
+    """The key is claimed for the holder of `token`."""
 
     token: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Attached:
-    """Another claim holds the key, or it is past that.
+    """The key is held by another claim, or the order is already dispatched.
 
-    `state` ``released`` means that the token of the claim was spent before.
+    `state` is ``released`` if the token of the claim was revoked before.
     """
 
     state: OrderState
@@ -79,26 +79,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DispatchRecorded:
-    """The dispatch is recorded; the sender of `attempt_id` may send once."""
+    """The dispatch is recorded; the order may be sent once, as `attempt_id`."""
 
     attempt_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DispatchRefused:
-    """The sender must not send."""
+    """The dispatch is not recorded; the order must not be sent."""
 
     reason: RefusedReason
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OutcomeRecorded:
-    """The outcome is in the record."""
+    """The outcome is stored in the record."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OutcomeRefused:
-    """The outcome is not in the record; `outcome` is what the record holds."""
+    """The outcome is not stored; `outcome` is the one in the record, if any."""
 
     reason: RefusedReason
     outcome: StoredOutcome | None = None
@@ -106,26 +106,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Released:
-    """The token is spent: nothing will be dispatched with it."""
+    """The token is revoked: no dispatch with it will be recorded."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReleaseRefused:
-    """The claim could not be given back."""
+    """The claim could not be released."""
 
     reason: RefusedReason
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LookupResult:
-    """Answer to a look-up."""
+    """The record of the order, or None if there is none."""
 
     record: OrderRecord | None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MalformedCommand:
-    """The command cannot be understood and changed nothing."""
+    """The command is malformed and had no effect."""
 
     message: str
     remedy: str
--- a/tests/configuration/test_history.py
+++ b/tests/configuration/test_history.py
@@ -30,18 +30,14 @@
 )
 
 
-def services_text(*names: str, **fields: Any) -> str:
+def text(*names: str, **fields: Any) -> str:
     return json.dumps({"services": {name: {} for name in names}} | fields)
 
 
-def make_change(
-    change_id: str,
-    base_revision: int,
-    text: str,
-    author: str = "anna",
-    time_ms: int = 5,
+def change(
+    name: str, base: int, body: str, author: str = "anna", time_ms: int = 5
 ) -> ApplyConfiguration:
-    return ApplyConfiguration(change_id, base_revision, text, author, time_ms)
+    return ApplyConfiguration(name, base, body, author, time_ms)
 
 
 @pytest.fixture
@@ -55,13 +51,11 @@
 ) -> None:
     # Guards against a resend that is accepted twice, or that turns into a conflict
     # after other changes.
-    first = make_change("c1", 0, services_text("a"))
+    first = change("c1", 0, text("a"))
     sent = history.condense(first) if condensed else first
     assert history.apply(sent.to_json()) == Accepted(1)
     for number in range(1, 40):
-        history.apply(
-            make_change(f"d{number}", number, services_text("a", f"b{number}"))
-        )
+        history.apply(change(f"d{number}", number, text("a", f"b{number}")))
     assert history.apply(first) == history.apply(sent) == Accepted(1)
     assert history.apply(history.condense(first)) == Accepted(1)
     assert history.current.number == 40
@@ -69,12 +63,10 @@
 
 def test_conflict_reports_the_accepted_change(history: ConfigurationHistory) -> None:
     # Guards against an operator who cannot tell whose change is in force.
-    history.apply(make_change("c1", 0, services_text("a")))
-    history.apply(make_change("c2", 1, services_text("a", "b"), "berta", 9))
-    history.apply(
-        make_change("c3", 2, services_text("a", "c", retention_days=5), "carl", 12)
-    )
-    result = history.apply(make_change("c4", 1, services_text("a", "z"), "zoe"))
+    history.apply(change("c1", 0, text("a")))
+    history.apply(change("c2", 1, text("a", "b"), "berta", 9))
+    history.apply(change("c3", 2, text("a", "c", retention_days=5), "carl", 12))
+    result = history.apply(change("c4", 1, text("a", "z"), "zoe"))
     assert isinstance(result, Conflict)
     assert (result.current_revision, result.winner_author) == (3, "carl")
     assert result.winner_time_ms == 12
@@ -82,21 +74,21 @@
     assert unseen is not None
     assert (set(unseen.changed), unseen.removed) == ({"c"}, ("b",))
     assert unseen.retention_days == 5
-    assert render(patch(parse(services_text("a")), unseen)) == history.current.text
+    assert render(patch(parse(text("a")), unseen)) == history.current.text
     assert result_from_json(json.loads(json.dumps(result.to_json()))) == result
     assert "carl" in str(result)
 
 
 def test_nonexistent_base_revision_is_a_conflict(history: ConfigurationHistory) -> None:
     # Guards against a change that was made against another cluster.
-    result = history.apply(make_change("c1", 7, services_text("a")))
+    result = history.apply(change("c1", 7, text("a")))
     assert result == Conflict(0, "", 0, None)
 
 
 def test_reused_change_id_is_rejected(history: ConfigurationHistory) -> None:
     # Guards against an operator who is told that a text is in force and it is not.
-    history.apply(make_change("c1", 0, services_text("a")))
-    result = history.apply(make_change("c1", 1, services_text("b")))
+    history.apply(change("c1", 0, text("a")))
+    result = history.apply(change("c1", 1, text("b")))
     assert isinstance(result, Rejected)
     assert "another change, revision 1 by anna" in str(result.faults[0])
     assert result_from_json(result.to_json()) == result
@@ -104,7 +96,7 @@
 
 def test_text_with_faults_is_rejected(history: ConfigurationHistory) -> None:
     # Guards against an exception that ends every voter at the same entry.
-    result = history.apply(make_change("c1", 0, '{"services": {"A": {}, "b": 1}}'))
+    result = history.apply(change("c1", 0, '{"services": {"A": {}, "b": 1}}'))
     assert isinstance(result, Rejected)
     assert len(result.faults) == 2
     assert history.current.number == 0
@@ -115,7 +107,7 @@
 ) -> None:
     # Guards against a delta that skips the validation of the whole text.
     both = '{"services": {"a": {}, "b": {"depends_on": ["a"]}}}'
-    history.apply(make_change("c1", 0, both))
+    history.apply(change("c1", 0, both))
     rest = {"b": history.configuration.services["b"]}
     delta = difference(history.configuration, ConfigurationText(rest))
     sent = ApplyConfiguration("c2", 1, "", "anna", 5, delta)
@@ -128,7 +120,7 @@
 def test_delta_with_dependency_cycle_is_rejected(history: ConfigurationHistory) -> None:
     # Guards against a search of the graph that is left out when a delta changes it.
     both = '{"services": {"a": {}, "b": {"depends_on": ["a"]}}}'
-    history.apply(make_change("c1", 0, both))
+    history.apply(change("c1", 0, both))
     services = history.configuration.services
     cycle = ConfigurationText({**services, "a": Service("a", ("b",))})
     delta = difference(history.configuration, cycle)
@@ -155,14 +147,14 @@
     history: ConfigurationHistory, fields: dict[str, Any]
 ) -> None:
     # Guards against an entry of the log that ends every voter that applies it.
-    message = make_change("c1", 0, services_text("a")).to_json() | fields
+    message = change("c1", 0, text("a")).to_json() | fields
     with pytest.raises(CommandInvalid):
         ApplyConfiguration.from_json(message)
     assert isinstance(history.apply(message), Rejected)
     assert history.current.number == 0
 
 
-_json_values = st.recursive(
+_values = st.recursive(
     st.none()
     | st.booleans()
     | st.integers()
@@ -180,16 +172,16 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.data())
-def test_fuzzed_commands_return_a_result(data: st.DataObject) -> None:
+def test_fuzzed_commands_are_answered(data: st.DataObject) -> None:
     # Guards against an entry of the log that ends every voter that applies it.
     history = ConfigurationHistory()
-    message = history.condense(make_change("c1", 0, services_text("a"))).to_json()
+    message = history.condense(change("c1", 0, text("a"))).to_json()
     if data.draw(st.booleans()):
-        message = make_change("c1", 0, services_text("a")).to_json()
+        message = change("c1", 0, text("a")).to_json()
     place = message
     if message["delta"] and data.draw(st.booleans()):
         place = message["delta"]
-    place[data.draw(st.sampled_from(sorted(place)))] = data.draw(_json_values)
+    place[data.draw(st.sampled_from(sorted(place)))] = data.draw(_values)
     json.dumps(history.apply(message).to_json(), allow_nan=False).encode()
     canonical(history.dump())
 
@@ -202,7 +194,7 @@
     monkeypatch.setattr(_history, "MAX_STORED_CHANGES", 3)
     monkeypatch.setattr(_history, "MAX_STORED_DELTAS", 4)
     for number in range(6):
-        history.apply(make_change(f"c{number}", number, services_text(f"s{number}")))
+        history.apply(change(f"c{number}", number, text(f"s{number}")))
     assert [history.find_change(f"c{n}") is None for n in range(6)] == [True] * 3 + [
         False
     ] * 3
@@ -210,9 +202,7 @@
     assert history.since(1) is None
     assert history.since(7) is None
     assert history.since(6) == []
-    assert isinstance(
-        history.apply(make_change("c0", 0, services_text("s0"))), Conflict
-    )
+    assert isinstance(history.apply(change("c0", 0, text("s0"))), Conflict)
     assert history.current.number == 6
 
 
@@ -222,7 +212,7 @@
     # Guards against changes of all services that fill the memory.
     monkeypatch.setattr(_history, "MAX_SERVICES_IN_STORED_DELTAS", 6)
     for number in range(6):
-        history.apply(make_change(f"c{number}", number, services_text(f"s{number}")))
+        history.apply(change(f"c{number}", number, text(f"s{number}")))
     assert history.since(3) is not None
     assert history.since(2) is None
 
@@ -230,23 +220,21 @@
 def test_missed_deltas_lead_to_the_current_text(history: ConfigurationHistory) -> None:
     # Guards against a host that missed hundreds of changes and ends elsewhere.
     for number in range(300):
-        history.apply(
-            make_change(f"c{number}", number, services_text("a", f"s{number % 7}"))
-        )
+        history.apply(change(f"c{number}", number, text("a", f"s{number % 7}")))
     missed = history.since(0)
     assert missed is not None
-    new = replay(parse(services_text()), missed)
+    new = replay(parse(text()), missed)
     assert render(new) == history.current.text
-    assert patch(parse(services_text()), merge_deltas(missed)) == new
+    assert patch(parse(text()), merge_deltas(missed)) == new
     with pytest.raises(DigestMismatch, match="revision 3"):
-        replay(parse(services_text()), [missed[0], *missed[2:]])
+        replay(parse(text()), [missed[0], *missed[2:]])
     with pytest.raises(DigestMismatch):
-        patch(parse(services_text("other")), missed[0])
+        patch(parse(text("other")), missed[0])
 
 
-def test_apply_delta_verifies_the_digest() -> None:
+def test_patch_verifies_the_digest() -> None:
     # Guards against a delta that was altered on its way.
-    old, new = parse(services_text("a")), parse(services_text("a", "b"))
+    old, new = parse(text("a")), parse(text("a", "b"))
     message = difference(old, new).to_json()
     message["changed"]["c"] = {}
     altered = type(difference(old, new)).from_json(message)
@@ -256,12 +244,12 @@
 
 def test_damaged_dump_is_rejected(history: ConfigurationHistory) -> None:
     # Guards against a voter that goes on with a damaged snapshot.
-    history.apply(make_change("c1", 0, services_text("a")))
+    history.apply(change("c1", 0, text("a")))
     before = history.dump()
     number, _, *rest = before["current"]
     for wrong in (
         {"format": 2},
-        {"current": [number, services_text("b"), *rest]},
+        {"current": [number, text("b"), *rest]},
         {"current": [number, "{", *rest]},
         {"deltas": [{}]},
         {"changes": 5},
