--- a/packages/configuration/src/kingcuplug_configuration/_models.py
+++ b/packages/configuration/src/kingcuplug_configuration/_models.py
@@ -33,7 +33,7 @@
     Attributes
     ----------
     coverage_weight : float
-        0 to 1; 1 waits for complete answers, 0 does not wait for slow shards.
+        0 to 1; 1 waits for complete answers, 0 omits stragglers.
     minimum_coverage : float
         Share of the shards, 0 to 1, below which a query is refused.
     deadline_ms : int
@@ -46,7 +46,7 @@
         ``always`` sends a single sub-request first if the fingerprint of the
         request is unknown.
     urgent_reserve : float
-        Share of the admitted requests that is reserved for urgent ones; below 1.
+        Share of the admission burst that only urgent requests may use; below 1.
     """
 
     coverage_weight: float = 0.5
--- a/packages/ledger/src/kingcuplug_ledger/_codec.py
+++ b/packages/ledger/src/kingcuplug_ledger/_codec.py
@@ -31,8 +31,9 @@
         }
         self._field_names = {
             message_type: tuple(
-                field.name for field in dataclasses.fields(message_type)
-            )  # type: ignore[arg-type]
+                field.name
+                for field in dataclasses.fields(message_type)  # type: ignore[arg-type]
+            )
             for message_type in message_types.values()
         }
         self._adapters_by_tag = {
--- a/packages/ledger/src/kingcuplug_ledger/_commands.py
+++ b/packages/ledger/src/kingcuplug_ledger/_commands.py
@@ -1,8 +1,8 @@
 """Commands of the ledger, replicated through the log as JSON.
 
-Every command has a `time_ms`. The leader replaces it with its own wall clock (see
-`stamp`) before it appends the log entry, so that an entry host with a wrong clock
-cannot advance the ledger's time.
+Every command has a `time_ms`. The leader replaces it with its own wall clock before
+it appends the log entry, so that an entry host with a wrong clock cannot advance the
+ledger's time; see `stamp`.
 """
 
 import dataclasses
--- a/tests/configuration/test_history.py
+++ b/tests/configuration/test_history.py
@@ -1,4 +1,4 @@
-"""Rules of the configuration history, one by one."""
+"""Unit tests of the configuration history."""
 
 import json
 from typing import Any
@@ -49,8 +49,8 @@
 def test_resend_gets_the_same_revision(
     history: ConfigurationHistory, condensed: bool
 ) -> None:
-    # Guards against a resend that is accepted twice, or that turns into a conflict
-    # after other changes.
+    # Guards against a resend that is accepted twice, or that returns a conflict after
+    # other changes.
     first = change("c1", 0, text("a"))
     sent = history.condense(first) if condensed else first
     assert history.apply(sent.to_json()) == Accepted(1)
@@ -62,7 +62,7 @@
 
 
 def test_conflict_reports_the_accepted_change(history: ConfigurationHistory) -> None:
-    # Guards against an operator who cannot tell whose change is in force.
+    # Guards against a conflict that does not tell whose change is in force.
     history.apply(change("c1", 0, text("a")))
     history.apply(change("c2", 1, text("a", "b"), "berta", 9))
     history.apply(change("c3", 2, text("a", "c", retention_days=5), "carl", 12))
@@ -70,23 +70,23 @@
     assert isinstance(result, Conflict)
     assert (result.current_revision, result.winner_author) == (3, "carl")
     assert result.winner_time_ms == 12
-    unseen = result.difference
-    assert unseen is not None
-    assert (set(unseen.changed), unseen.removed) == ({"c"}, ("b",))
-    assert unseen.retention_days == 5
-    assert render(patch(parse(text("a")), unseen)) == history.current.text
+    missed_delta = result.difference
+    assert missed_delta is not None
+    assert (set(missed_delta.changed), missed_delta.removed) == ({"c"}, ("b",))
+    assert missed_delta.retention_days == 5
+    assert render(patch(parse(text("a")), missed_delta)) == history.current.text
     assert result_from_json(json.loads(json.dumps(result.to_json()))) == result
     assert "carl" in str(result)
 
 
 def test_nonexistent_base_revision_is_a_conflict(history: ConfigurationHistory) -> None:
-    # Guards against a change that was made against another cluster.
+    # Guards against a change whose base revision belongs to another cluster.
     result = history.apply(change("c1", 7, text("a")))
     assert result == Conflict(0, "", 0, None)
 
 
 def test_reused_change_id_is_rejected(history: ConfigurationHistory) -> None:
-    # Guards against an operator who is told that a text is in force and it is not.
+    # Guards against an acceptance that belongs to another text.
     history.apply(change("c1", 0, text("a")))
     result = history.apply(change("c1", 1, text("b")))
     assert isinstance(result, Rejected)
@@ -95,7 +95,7 @@
 
 
 def test_text_with_faults_is_rejected(history: ConfigurationHistory) -> None:
-    # Guards against an exception that ends every voter at the same entry.
+    # Guards against an exception that crashes every voter at the same log entry.
     result = history.apply(change("c1", 0, '{"services": {"A": {}, "b": 1}}'))
     assert isinstance(result, Rejected)
     assert len(result.faults) == 2
@@ -105,20 +105,20 @@
 def test_delta_with_missing_dependency_is_rejected(
     history: ConfigurationHistory,
 ) -> None:
-    # Guards against a delta that skips the validation of the whole text.
+    # Guards against a delta that bypasses the checks of a whole text.
     both = '{"services": {"a": {}, "b": {"depends_on": ["a"]}}}'
     history.apply(change("c1", 0, both))
-    rest = {"b": history.configuration.services["b"]}
-    delta = difference(history.configuration, ConfigurationText(rest))
-    sent = ApplyConfiguration("c2", 1, "", "anna", 5, delta)
-    result = history.apply(sent)
+    services = {"b": history.configuration.services["b"]}
+    delta = difference(history.configuration, ConfigurationText(services))
+    command = ApplyConfiguration("c2", 1, "", "anna", 5, delta)
+    result = history.apply(command)
     assert isinstance(result, Rejected)
     assert "unknown service 'a'" in str(result.faults[0])
     assert history.current.number == 1
 
 
 def test_delta_with_dependency_cycle_is_rejected(history: ConfigurationHistory) -> None:
-    # Guards against a search of the graph that is left out when a delta changes it.
+    # Guards against a cycle check that is skipped although the delta changes the graph.
     both = '{"services": {"a": {}, "b": {"depends_on": ["a"]}}}'
     history.apply(change("c1", 0, both))
     services = history.configuration.services
@@ -146,7 +146,7 @@
 def test_malformed_commands_are_rejected(
     history: ConfigurationHistory, fields: dict[str, Any]
 ) -> None:
-    # Guards against an entry of the log that ends every voter that applies it.
+    # Guards against a log entry that crashes every voter that applies it.
     message = change("c1", 0, text("a")).to_json() | fields
     with pytest.raises(CommandInvalid):
         ApplyConfiguration.from_json(message)
@@ -173,7 +173,7 @@
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.data())
 def test_fuzzed_commands_are_answered(data: st.DataObject) -> None:
-    # Guards against an entry of the log that ends every voter that applies it.
+    # Guards against a log entry that crashes every voter that applies it.
     history = ConfigurationHistory()
     message = history.condense(change("c1", 0, text("a"))).to_json()
     if data.draw(st.booleans()):
@@ -189,8 +189,8 @@
 def test_stored_changes_and_deltas_are_bounded(
     history: ConfigurationHistory, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against memory without a limit, and against a forgotten change that is
-    # accepted a second time.
+    # Guards against unbounded memory, and against an evicted change that is accepted a
+    # second time.
     monkeypatch.setattr(_history, "MAX_STORED_CHANGES", 3)
     monkeypatch.setattr(_history, "MAX_STORED_DELTAS", 4)
     for number in range(6):
@@ -209,7 +209,7 @@
 def test_services_in_stored_deltas_are_bounded(
     history: ConfigurationHistory, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against changes of all services that fill the memory.
+    # Guards against unbounded memory when each delta changes many services.
     monkeypatch.setattr(_history, "MAX_SERVICES_IN_STORED_DELTAS", 6)
     for number in range(6):
         history.apply(change(f"c{number}", number, text(f"s{number}")))
@@ -218,7 +218,7 @@
 
 
 def test_missed_deltas_lead_to_the_current_text(history: ConfigurationHistory) -> None:
-    # Guards against a host that missed hundreds of changes and ends elsewhere.
+    # Guards against a host that missed hundreds of changes and gets another text.
     for number in range(300):
         history.apply(change(f"c{number}", number, text("a", f"s{number % 7}")))
     missed = history.since(0)
@@ -233,7 +233,7 @@
 
 
 def test_patch_verifies_the_digest() -> None:
-    # Guards against a delta that was altered on its way.
+    # Guards against a delta that was altered in transit.
     old, new = parse(text("a")), parse(text("a", "b"))
     message = difference(old, new).to_json()
     message["changed"]["c"] = {}
@@ -243,24 +243,24 @@
 
 
 def test_damaged_dump_is_rejected(history: ConfigurationHistory) -> None:
-    # Guards against a voter that goes on with a damaged snapshot.
+    # Guards against a voter that continues with a damaged snapshot.
     history.apply(change("c1", 0, text("a")))
     before = history.dump()
-    number, _, *rest = before["current"]
-    for wrong in (
+    number, _, *other_fields = before["current"]
+    for damage in (
         {"format": 2},
-        {"current": [number, text("b"), *rest]},
-        {"current": [number, "{", *rest]},
+        {"current": [number, text("b"), *other_fields]},
+        {"current": [number, "{", *other_fields]},
         {"deltas": [{}]},
         {"changes": 5},
     ):
         with pytest.raises(DumpInvalid):
-            history.load(before | wrong)
+            history.load(before | damage)
         assert history.dump() == before
 
 
 def test_describe_changes_lists_every_field() -> None:
-    # Guards against a review that overlooks a changed field.
+    # Guards against a description that omits a changed field.
     old = parse(
         '{"services": {"a": {}, "b": {"depends_on": ["a"]}, "gone": {},'
         ' "c": {"depends_on": ["a", "b"]}}}'
--- a/tests/configuration/test_history_machine.py
+++ b/tests/configuration/test_history_machine.py
@@ -1,7 +1,8 @@
-"""Racing operators, lost answers and restarts, in any order.
+"""Concurrent changes, lost answers and restarts in arbitrary order.
 
-The first test drives the history step by step. The second runs operators over a
-faulty `submit` and checks that one order of their changes explains all answers.
+A state machine test applies changes to two replicas of the history. A simulation
+runs concurrent operators over an unreliable `submit` and checks that the results
+are linearizable.
 """
 
 import asyncio
@@ -52,11 +53,11 @@
 
 
 class HistoryMachine(RuleBasedStateMachine):
-    """Applies changes to two replicas, one of which restarts at any time."""
+    """Applies changes to two replicas, one of which restarts between commands."""
 
     @initialize()
     def start(self) -> None:
-        """Start two replicas and an entry host that follows one of them."""
+        """Start two replicas and an entry host that fetches deltas from one of them."""
         self.stable_replica, self.restarted_replica = (
             ConfigurationHistory(),
             ConfigurationHistory(),
@@ -67,54 +68,63 @@
 
     def _apply(self, command: ApplyConfiguration) -> Result:
         message = json.loads(json.dumps(command.to_json()))
-        settled = self.stable_replica.settled(command)
+        known = self.stable_replica.settled(command)
         results = [
-            h.apply(message) for h in (self.stable_replica, self.restarted_replica)
+            replica.apply(message)
+            for replica in (self.stable_replica, self.restarted_replica)
         ]
         assert results[0] == results[1], "replicas disagree"
-        assert settled in (None, results[0]), "the result was not certain"
+        assert known in (None, results[0]), "the result was not certain"
         return results[0]
 
-    @rule(body=configuration_texts, behind=st.integers(0, 2), condensed=st.booleans())
-    def send_change(self, body: str, behind: int, condensed: bool) -> None:
-        """Send a new change, also one whose base is no longer in force."""
-        number = self.stable_replica.current.number
-        base = max(0, number - behind)
+    @rule(
+        body=configuration_texts,
+        revisions_behind=st.integers(0, 2),
+        as_delta=st.booleans(),
+    )
+    def send_change(self, body: str, revisions_behind: int, as_delta: bool) -> None:
+        """Send a new change, whose base revision may be outdated."""
+        revision = self.stable_replica.current.number
+        base = max(0, revision - revisions_behind)
         command = ApplyConfiguration(
             f"c{len(self.sent_changes)}", base, body, "anna", 5
         )
-        if condensed:
+        if as_delta:
             command = self.stable_replica.condense(command)
-        settled = self.stable_replica.settled(command)
+        known = self.stable_replica.settled(command)
         result = self._apply(command)
-        assert (settled is None) == (base == number)
-        if base == number:
-            assert result == Accepted(number + 1)
+        assert (known is None) == (base == revision)
+        if base == revision:
+            assert result == Accepted(revision + 1)
             self.accepted_texts.append(render(parse(body)))
         else:
             assert isinstance(result, Conflict)
-            assert result.current_revision == number
+            assert result.current_revision == revision
         self.sent_changes.append((command, result))
 
-    @rule(pick=st.integers(0, 99))
-    def resend_change(self, pick: int) -> None:
-        """Send any earlier change again."""
+    @rule(index=st.integers(0, 99))
+    def resend_change(self, index: int) -> None:
+        """Resend any earlier change."""
         if self.sent_changes:
-            command, first = self.sent_changes[pick % len(self.sent_changes)]
+            command, first_result = self.sent_changes[index % len(self.sent_changes)]
             result = self._apply(command)
-            assert type(result) is type(first)
-            if isinstance(first, Accepted):
-                assert result == first
-
-    @rule(pick=st.integers(0, 99), body=configuration_texts)
-    def reuse_change_id(self, pick: int, body: str) -> None:
-        """Send another text under the id of an accepted change."""
-        won = [c for c, result in self.sent_changes if isinstance(result, Accepted)]
-        if won:
-            used = won[pick % len(won)]
+            assert type(result) is type(first_result)
+            if isinstance(first_result, Accepted):
+                assert result == first_result
+
+    @rule(index=st.integers(0, 99), body=configuration_texts)
+    def reuse_change_id(self, index: int, body: str) -> None:
+        """Send another text with the id of an accepted change."""
+        accepted = [
+            change
+            for change, result in self.sent_changes
+            if isinstance(result, Accepted)
+        ]
+        if accepted:
+            earlier = accepted[index % len(accepted)]
             base = self.stable_replica.current.number
             result = self._apply(
-                dataclasses.replace(used, text=body, delta=None, base_revision=base)
+                dataclasses.replace(earlier, text=body, delta=None, base_revision=base)
             )
             if isinstance(result, Accepted):
                 assert self.accepted_texts[result.revision] == render(parse(body))
@@ -128,7 +138,7 @@
 
     @rule()
     def update_entry_host(self) -> None:
-        """Bring the entry host up to date by deltas."""
+        """Apply the missed deltas at the entry host."""
         missed = self.restarted_replica.since(self.entry_host_revision)
         assert missed is not None
         self.entry_host_text = replay(self.entry_host_text, missed)
@@ -140,7 +150,7 @@
 
     @invariant()
     def replicas_match_accepted_texts(self) -> None:
-        """Compare both replicas with the changes that were accepted."""
+        """Compare both replicas with the accepted texts."""
         for history in (self.stable_replica, self.restarted_replica):
             assert history.current.number == len(self.accepted_texts) - 1
             assert history.current.text == self.accepted_texts[-1]
@@ -148,8 +158,8 @@
 
 
 def test_replicas_agree_on_accepted_changes() -> None:
-    # Guards against a change that is accepted twice or reverts, and against
-    # replicas that disagree after a restart.
+    # Guards against a change that is accepted twice or reverted, and against replicas
+    # that diverge after a restart.
     run_state_machine_as_test(  # type: ignore[no-untyped-call]
         HistoryMachine,
         settings=settings(
@@ -160,7 +170,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Operation:
-    """A change as its operator saw it; `result` is None without an answer."""
+    """One change with its start and end times; `result` is None without an answer."""
 
     started: int
     ended: int
@@ -169,32 +179,32 @@
 
 
 def is_linearizable(operations: list[Operation]) -> bool:
-    """Search an order of the operations that explains all their answers.
+    """Return whether some sequential order of the operations yields all results.
 
     An operation may only precede another if it started before that one ended; an
     operation without an answer may have taken effect at any time or never.
     """
-    seen: set[tuple[frozenset[int], int]] = set()
+    visited: set[tuple[frozenset[int], int]] = set()
 
-    def search(left: frozenset[int], number: int) -> bool:
-        if all(operations[i].result is None for i in left):
+    def can_order(remaining: frozenset[int], revision: int) -> bool:
+        if all(operations[index].result is None for index in remaining):
             return True
-        if (left, number) in seen:
+        if (remaining, revision) in visited:
             return False
-        seen.add((left, number))
-        first_end = min(operations[i].ended for i in left)
-        for i in left:
-            operation = operations[i]
+        visited.add((remaining, revision))
+        first_end = min(operations[index].ended for index in remaining)
+        for index in remaining:
+            operation = operations[index]
             if operation.started > first_end:
                 continue
-            wins = operation.base_revision == number
-            if result_matches(operation.result, wins, number) and search(
-                left - {i}, number + wins
+            accepted = operation.base_revision == revision
+            if result_matches(operation.result, accepted, revision) and can_order(
+                remaining - {index}, revision + accepted
             ):
                 return True
         return False
 
-    return search(frozenset(range(len(operations))), 0)
+    return can_order(frozenset(range(len(operations))), 0)
 
 
 def result_matches(result: Result | None, accepted: bool, revision: int) -> bool:
@@ -206,24 +216,24 @@
 
 
 def test_linearizability_check_detects_a_lost_update() -> None:
-    # Guards against a checker that accepts everything.
-    both = [Operation(0, 1, 0, Accepted(1)), Operation(2, 3, 0, Accepted(2))]
-    assert not is_linearizable(both)
+    # Guards against a linearizability check that accepts every history.
+    lost_update = [Operation(0, 1, 0, Accepted(1)), Operation(2, 3, 0, Accepted(2))]
+    assert not is_linearizable(lost_update)
     assert not is_linearizable([Operation(0, 1, 0, Accepted(1))] * 2)
-    stale = Operation(2, 3, 0, Conflict(0, "", 0, None))
-    assert not is_linearizable([both[0], stale])
-    pending = Operation(0, 99, 0, None)
-    assert is_linearizable([pending, Operation(2, 3, 1, Accepted(2))])
+    stale_read = Operation(2, 3, 0, Conflict(0, "", 0, None))
+    assert not is_linearizable([lost_update[0], stale_read])
+    unanswered = Operation(0, 99, 0, None)
+    assert is_linearizable([unanswered, Operation(2, 3, 1, Accepted(2))])
 
 
 Submit = Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]
 
 
 def faulty_submit(history: ConfigurationHistory, rng: random.Random) -> Submit:
-    """Return a submit that delays, duplicates and loses messages and answers."""
-    late: set[asyncio.Task[None]] = set()
+    """Return a `submit` that delays, duplicates and loses messages and answers."""
+    delayed_tasks: set[asyncio.Task[None]] = set()
 
-    async def apply_later(message: dict[str, Any]) -> None:
+    async def apply_delayed(message: dict[str, Any]) -> None:
         await asyncio.sleep(rng.uniform(0, 30))
         history.apply(message)
 
@@ -231,8 +241,8 @@
         message = json.loads(json.dumps(message))
         await asyncio.sleep(rng.uniform(0, 2))
         if rng.random() < 0.3:
-            task = asyncio.create_task(apply_later(message))
-            late.add(task)
+            task = asyncio.create_task(apply_delayed(message))
+            delayed_tasks.add(task)
             if rng.random() < 0.5:
                 raise TimeoutError
         if rng.random() < 0.1:
@@ -247,30 +257,30 @@
 
 
 async def run_operators(seed: int) -> tuple[list[Operation], ConfigurationHistory]:
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     history = ConfigurationHistory()
-    submit = faulty_submit(history, chance)
+    submit = faulty_submit(history, rng)
     operations: list[Operation] = []
-    clock = iter(range(10_000))
+    event_numbers = iter(range(10_000))
 
-    async def operator(name: str) -> None:
+    async def run_operator(name: str) -> None:
         for number in range(4):
-            await asyncio.sleep(chance.uniform(0, 3))
+            await asyncio.sleep(rng.uniform(0, 3))
             base = history.current.number
-            await asyncio.sleep(chance.uniform(0, 3))
+            await asyncio.sleep(rng.uniform(0, 3))
             body = json.dumps({"services": {f"{name}{number}": {}}})
             command = ApplyConfiguration(f"{name}-{number}", base, body, name, 5)
-            started, result = next(clock), None
-            for _ in range(chance.randint(1, 4)):
+            started, result = next(event_numbers), None
+            for _ in range(rng.randint(1, 4)):
                 try:
                     result = result_from_json(await submit(command.to_json()))
                     break
                 except TimeoutError:
                     continue
-            ended = next(clock) if result else 10_000
+            ended = next(event_numbers) if result else 10_000
             operations.append(Operation(started, ended, base, result))
 
-    await asyncio.gather(*(operator(name) for name in ("anna", "berta", "carl")))
+    await asyncio.gather(*(run_operator(name) for name in ("anna", "berta", "carl")))
     await asyncio.sleep(60)
     return operations, history
 
@@ -278,10 +288,14 @@
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(st.integers(0, 2**32))
 def test_concurrent_changes_are_linearizable(seed: int) -> None:
-    # Guards against two operators who both believe that their change won, and
-    # against a resend that takes effect twice.
+    # Guards against two acceptances of the same revision, and against a resend that
+    # takes effect twice.
     operations, history = run_virtual(run_operators(seed))
     assert is_linearizable(operations)
-    won = [o.result for o in operations if isinstance(o.result, Accepted)]
-    assert len({result.revision for result in won}) == len(won)
+    accepted = [
+        operation.result
+        for operation in operations
+        if isinstance(operation.result, Accepted)
+    ]
+    assert len({result.revision for result in accepted}) == len(accepted)
     assert history.current.number <= len(operations)
--- a/tests/configuration/test_parse.py
+++ b/tests/configuration/test_parse.py
@@ -1,4 +1,4 @@
-"""Every fault of a text must reach the operator at once, in plain words."""
+"""Validation of configuration texts: all faults are reported at once."""
 
 import json
 from typing import Any
@@ -30,7 +30,7 @@
 
 
 def test_parse_reports_all_faults_at_once() -> None:
-    # Guards against an operator who needs one attempt per fault.
+    # Guards against faults that are reported one at a time.
     text = """{"retention_days": "90d", "services": {
         "a": {"depends_on": ["b", "b", "x"],
               "policy": {"deadline_s": 2, "deadline_ms": 0.5, "hedge_budget": 5}},
@@ -51,8 +51,8 @@
 
 
 def test_parse_reports_each_dependency_cycle() -> None:
-    # Guards against a cycle that the operator must find by hand, and against a
-    # second cycle that shows only after the first is removed.
+    # Guards against a message that does not name the services of a cycle, and against
+    # a second cycle that is reported only after the first is removed.
     services = {"a": ["b"], "b": ["c"], "c": ["a", "b"], "d": ["d"], "e": ["a"]}
     text = json.dumps({"services": {n: {"depends_on": d} for n, d in services.items()}})
     messages = " ".join(parse_faults(text).values())
@@ -64,7 +64,7 @@
 
 
 def test_long_dependency_chain_is_not_checked_recursively() -> None:
-    # Guards against the interpreter's recursion limit.
+    # Guards against a search that exceeds the interpreter's recursion limit.
     chain = {f"s{n}": {"depends_on": [f"s{n + 1}"]} for n in range(5_000)}
     text = json.dumps({"services": chain | {"s5000": {}}})
     assert len(parse(text).services) == 5_001
@@ -94,21 +94,21 @@
 def test_wrong_units_and_limits_are_reported(
     fields: dict[str, Any], remedy: str
 ) -> None:
-    # Guards against seconds read as milliseconds, percents read as shares, and
-    # limits that no request can meet.
+    # Guards against seconds accepted as milliseconds, percentages accepted as shares,
+    # and limits that no request can meet.
     (message,) = parse_faults(policy_text(**fields)).values()
     assert remedy in message
 
 
 @pytest.mark.parametrize("name", ["", "A", "a_b", "a b", "-a", "a\n", "ä", "a" * 64])
 def test_invalid_service_names_are_reported(name: str) -> None:
-    # Guards against names that paths, metrics and log lines cannot carry.
+    # Guards against names that cannot be used in paths, metrics and log lines.
     text = json.dumps({"services": {name: {}}})
     assert "wrong service name" in " ".join(parse_faults(text).values())
 
 
 def test_similar_service_name_is_suggested() -> None:
-    # Guards against a misspelt dependency that takes long to find.
+    # Guards against a message that does not help to find a misspelt dependency.
     text = '{"services": {"counter": {}, "web": {"depends_on": ["conter"]}}}'
     assert "did you mean 'counter'?" in parse_faults(text)["services.web.depends_on[0]"]
 
@@ -138,7 +138,7 @@
 @example('{"\\ud800":1,"services":{"\\ud800":{"depends_on":["\\ud800"]}}}')
 @example('{"services":{"a":{"policy":{"deadline_ms":1e999}}}}')
 def test_fuzzed_text_raises_only_configuration_faults(text: str) -> None:
-    # Guards against a text that ends a control host with an untyped error.
+    # Guards against a text that crashes a control host with an untyped error.
     try:
         configuration = parse(text)
     except ExceptionGroup as group:
@@ -166,21 +166,25 @@
 
 @st.composite
 def configurations(draw: st.DrawFn) -> ConfigurationText:
-    """Draw services that depend only on names that come before them."""
+    """Draw acyclic services, each of which depends only on earlier ones."""
     names = draw(
         st.lists(st.from_regex(r"[a-z0-9][a-z0-9-]{0,3}", fullmatch=True), unique=True)
     )
     services = {}
     for position, name in enumerate(names):
-        needed = draw(st.sets(st.sampled_from(names[: position or 1]), max_size=3))
-        services[name] = Service(name, tuple(sorted(needed - {name})), draw(_policies))
+        dependencies = draw(
+            st.sets(st.sampled_from(names[: position or 1]), max_size=3)
+        )
+        services[name] = Service(
+            name, tuple(sorted(dependencies - {name})), draw(_policies)
+        )
     return ConfigurationText(services, draw(st.integers(1, 730)))
 
 
 @settings(derandomize=True, max_examples=50, deadline=None)
 @given(configurations())
 def test_render_is_canonical(configuration: ConfigurationText) -> None:
-    # Guards against two hosts that compute different digests of one text.
+    # Guards against different digests of equal configurations on two hosts.
     text = render(configuration)
     assert parse(text) == configuration
     assert canonical(json.loads(text)).decode() == text
--- a/tests/ledger/test_client.py
+++ b/tests/ledger/test_client.py
@@ -1,4 +1,4 @@
-"""The client over connections that lose, delay and duplicate messages."""
+"""Ledger client over connections that lose, delay and duplicate messages."""
 
 import asyncio
 import json
@@ -42,15 +42,15 @@
 
 
 class NotLeader(KingcuplugError):
-    """Stands for a typed error that says that nothing was applied."""
+    """Stands in for a typed error which means that the command was not applied."""
 
 
 async def no_fault(message: dict[str, Any], number: int) -> None:
-    """Let the message pass."""
+    """Deliver the message without a fault."""
 
 
 class FaultyConnection:
-    """A ledger, and a `submit` with faults before and after it is reached."""
+    """A ledger behind a `submit` with injected faults before and after it applies."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         return json.loads(json.dumps(result_to_json(result)))  # type: ignore[no-any-return]
 
     async def submit(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Submit a message through both faults."""
+        """Apply a message, with faults before and after."""
         self.messages.append(message)
         number = len(self.messages)
         await self.fault_before(message, number)
@@ -76,7 +76,7 @@
         return answer
 
     def client(self, host: str = "entry-1", incarnation: int = 1) -> LedgerClient:
-        """Return the client of one host."""
+        """Return a client of one host."""
         return LedgerClient(self.submit, host, incarnation, lambda: NOW_MS)
 
 
@@ -97,25 +97,27 @@
 
 
 def time_out_messages(command_type: str, count: int = 1_000) -> MessageFault:
-    """Return a fault that times out the first messages of one kind."""
-    left = [count]
+    """Return a fault that times out the first commands of one type."""
+    remaining = [count]
 
     async def fault(message: dict[str, Any], number: int) -> None:
-        if message["type"] == command_type and left[0]:
-            left[0] -= 1
+        if message["type"] == command_type and remaining[0]:
+            remaining[0] -= 1
             raise TimeoutError
 
     return fault
 
 
 def test_command_is_resent_unchanged_after_a_lost_answer() -> None:
-    # Guards against a resend that counts as another claim, dispatch or outcome.
+    # Guards against a resend that is applied as another claim, dispatch or outcome.
     async def main() -> None:
-        for kind in ("claim", "dispatch", "outcome", "release"):
-            connection = FaultyConnection(fault_after=time_out_messages(kind, 2))
+        for command_type in ("claim", "dispatch", "outcome", "release"):
+            connection = FaultyConnection(
+                fault_after=time_out_messages(command_type, 2)
+            )
             client = connection.client()
             assert await claim_key(client, token="t") == Claimed("t")
-            if kind == "release":
+            if command_type == "release":
                 released = await client.release(KEY, "t", deadline=5)
                 assert released == Released()
             else:
@@ -123,7 +125,7 @@
                 assert sent == DispatchRecorded("a")
                 done = await client.outcome(KEY, "t", "done", "ok", 1, deadline=5)
                 assert done == OutcomeRecorded()
-            copies = [m for m in connection.messages if m["type"] == kind]
+            copies = [m for m in connection.messages if m["type"] == command_type]
             assert len(copies) == 3
             assert copies[0] == copies[1] == copies[2]
 
@@ -132,7 +134,7 @@
 
 @pytest.mark.parametrize("applied", [True, False])
 def test_dispatch_with_unknown_result_must_not_be_sent(applied: bool) -> None:
-    # Guards against an order that is sent although the ledger may not know of it.
+    # Guards against an order that is sent although its dispatch may not be recorded.
     async def main() -> None:
         fault = time_out_messages("dispatch")
         connection = FaultyConnection(
@@ -151,7 +153,7 @@
 
 
 def test_refused_dispatch_must_not_be_sent() -> None:
-    # Guards against a holder that goes on after a takeover.
+    # Guards against a holder that continues after a takeover.
     async def main() -> None:
         connection = FaultyConnection()
         first, second = connection.client(), connection.client("entry-2")
@@ -166,7 +168,7 @@
 
 
 def test_typed_error_after_a_lost_answer_stays_unknown() -> None:
-    # Guards against a certain refusal of the second copy that hides the first.
+    # Guards against an error of a resend that hides a possibly applied first copy.
     async def main() -> None:
         async def after(message: dict[str, Any], number: int) -> None:
             if number == 1:
@@ -187,7 +189,7 @@
 
 
 def test_hanging_submission_times_out_at_the_deadline() -> None:
-    # Guards against a caller whose deadline has passed long ago.
+    # Guards against a submission that continues after the caller's deadline.
     async def main() -> None:
         async def hang(message: dict[str, Any], number: int) -> None:
             await asyncio.sleep(3_600)
@@ -201,7 +203,7 @@
 
 
 def test_large_body_is_stored_as_digest() -> None:
-    # Guards against answers that fill the memory of the voters.
+    # Guards against stored bodies that exhaust the memory of the voters.
     async def main() -> None:
         connection = FaultyConnection()
         client = connection.client()
@@ -217,7 +219,7 @@
 
 
 def test_second_caller_waits_for_the_outcome() -> None:
-    # Guards against a second caller that gets no answer, or waits for a lost host.
+    # Guards against a second caller that gets no outcome or waits for a lost host.
     async def main() -> None:
         connection = FaultyConnection()
         first, second = connection.client(), connection.client("entry-2")
@@ -242,7 +244,7 @@
 
 
 def test_invalid_arguments_raise_typed_errors() -> None:
-    # Guards against an untyped error for a wrong key or command.
+    # Guards against an untyped error for an invalid key or command.
     async def main() -> None:
         client = FaultyConnection().client()
         with pytest.raises(KeyInvalid):
@@ -280,7 +282,7 @@
 
 
 class CrashSimulation:
-    """Hosts that crash, and the backend server that runs what they send."""
+    """Hosts that crash, and the backend server that runs their orders."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -319,10 +321,10 @@
     def _refuse_caller(self, refused: Refusal) -> None:
         self.caller_replies.append(refused.kind)
         if refused.kind == RefusalKind.NOT_RUN:
-            assert not self.order_ran, "a caller is told not_run of an order that ran"
+            assert not self.order_ran, "a caller gets not_run for an order that ran"
 
     async def request_order(self, host: str, incarnation: int) -> None:
-        """Run the order at one host, as the query tier does."""
+        """Run the order at one host, as the query package does."""
         client = self.connection.client(host, incarnation)
         loop = asyncio.get_running_loop()
         deadline, takeover = loop.time() + 15, False
@@ -367,7 +369,7 @@
             self._refuse_caller(order_refusal(record))
 
     async def run_host(self, name: str) -> None:
-        """Crash and restart one host a few times; each start gets the request."""
+        """Crash and restart one host a few times, with one request per incarnation."""
         for incarnation in range(1, 5):
             await asyncio.sleep(self.rng.uniform(0, 5))
             task = asyncio.create_task(self.request_order(name, incarnation))
@@ -381,38 +383,38 @@
                 raise error
 
     async def run(self) -> None:
-        """Run three hosts until every late message has arrived."""
+        """Run three hosts until every delayed message has been delivered."""
         await asyncio.gather(*(self.run_host(f"entry-{n}") for n in range(3)))
         await asyncio.sleep(60)
 
 
 def simulate_crashes(seed: int) -> CrashSimulation:
     async def main() -> CrashSimulation:
-        world = CrashSimulation(seed)
-        await world.run()
-        return world
+        simulation = CrashSimulation(seed)
+        await simulation.run()
+        return simulation
 
-    world: CrashSimulation = run_in_virtual_time(main())
-    return world
+    simulation: CrashSimulation = run_in_virtual_time(main())
+    return simulation
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.integers(0, 2**32))
 def test_order_is_sent_at_most_once_when_hosts_crash(seed: int) -> None:
-    # Guards against an order that is sent twice by hosts that crash at any moment,
-    # and against not_run for an order that ran.
-    world = simulate_crashes(seed)
-    assert world.send_count <= 1
-    outcome = world.connection.ledger.lookup(KEY)
-    if outcome is not None and outcome.outcome is not None:
-        assert (outcome.outcome.kind == "not_run") <= (not world.order_ran)
+    # Guards against an order that is sent twice by hosts that crash at any time, and
+    # against not_run for an order that ran.
+    simulation = simulate_crashes(seed)
+    assert simulation.send_count <= 1
+    record = simulation.connection.ledger.lookup(KEY)
+    if record is not None and record.outcome is not None:
+        assert (record.outcome.kind == "not_run") <= (not simulation.order_ran)
 
 
 def test_simulation_reaches_every_outcome() -> None:
-    # Guards against a simulation in which no order ever runs or is attached to.
-    seen: Counter[str] = Counter()
+    # Guards against a simulation that never runs an order or waits for an outcome.
+    counts: Counter[str] = Counter()
     for seed in range(30):
-        world = simulate_crashes(seed)
-        seen.update(world.caller_replies)
-        seen["sent"] += world.send_count
-    assert {"sent", "done", "not_run", "outcome_unknown"} <= seen.keys()
+        simulation = simulate_crashes(seed)
+        counts.update(simulation.caller_replies)
+        counts["sent"] += simulation.send_count
+    assert {"sent", "done", "not_run", "outcome_unknown"} <= counts.keys()
--- a/tests/ledger/test_keys.py
+++ b/tests/ledger/test_keys.py
@@ -1,4 +1,4 @@
-"""Keys decide whether an old order may run, so their form is strict."""
+"""Strict parsing of idempotency keys, whose issue time bounds their validity."""
 
 import pytest
 from hypothesis import example, given, settings
@@ -26,7 +26,7 @@
     "key", ["", "-", "1", "-abcdefgh", "1-short", "1.5-abcdefgh", "+1-abcdefgh", None]
 )
 def test_malformed_keys_are_rejected(key: str) -> None:
-    # Guards against keys without an issue time or with guessable text.
+    # Guards against keys without an issue time or with too short a random text.
     with pytest.raises(KeyInvalid):
         parse_key(key)
 
--- a/tests/ledger/test_ledger.py
+++ b/tests/ledger/test_ledger.py
@@ -1,4 +1,4 @@
-"""Rules of the order ledger, one by one."""
+"""Unit tests of the order ledger."""
 
 import dataclasses
 import json
@@ -63,7 +63,7 @@
 
 
 def test_record_explains_every_step_of_an_order(ledger: OrderLedger) -> None:
-    # Guards against an order that an operator cannot trace weeks later.
+    # Guards against a record that does not show an operator what happened to an order.
     for command, result in (
         (claim(), Claimed("t1")),
         (dispatch(), DispatchRecorded("a1")),
@@ -77,13 +77,13 @@
         1,
         "server-1",
     )
-    story = ledger.explain(KEY)
-    for part in ("entry-1 (incarnation 1)", "revision 7", "server-1", "done", "1970-"):
-        assert part in story
+    explanation = ledger.explain(KEY)
+    for text in ("entry-1 (incarnation 1)", "revision 7", "server-1", "done", "1970-"):
+        assert text in explanation
 
 
 def test_repeated_command_gets_the_same_result(ledger: OrderLedger) -> None:
-    # Guards against a resend after a lost answer that gets another answer.
+    # Guards against a resend that returns another result than the lost one.
     for command in (claim(), dispatch(), outcome()):
         assert ledger.apply(command) == ledger.apply(command)
 
@@ -103,7 +103,7 @@
 
 
 def test_second_attempt_is_not_dispatched(ledger: OrderLedger) -> None:
-    # Guards against a second attempt of the same holder.
+    # Guards against a second dispatch by the holder of the claim.
     ledger.apply(claim())
     ledger.apply(dispatch(attempt="a1"))
     refused = DispatchRefused("already_dispatched")
@@ -113,7 +113,7 @@
 
 
 def test_delayed_claim_after_release_is_refused(ledger: OrderLedger) -> None:
-    # Guards against a claim that nobody will use and that a live host holds.
+    # Guards against a key that stays claimed by a live host that will not use it.
     ledger.apply(claim())
     assert ledger.apply(release()) == Released()
     assert ledger.apply(release()) == Released()
@@ -123,14 +123,14 @@
 
 
 def test_claim_delivered_after_its_release_is_refused(ledger: OrderLedger) -> None:
-    # Guards against a delayed claim that arrives after its own release.
+    # Guards against a delayed claim that is granted after its own release.
     assert ledger.apply(release()) == Released()
     assert isinstance(ledger.apply(claim()), Attached)
     assert ledger.apply(claim("t2")) == Claimed("t2")
 
 
 def test_release_after_dispatch_is_refused(ledger: OrderLedger) -> None:
-    # Guards against a way back from dispatched to claimed.
+    # Guards against a transition from dispatched back to claimed.
     ledger.apply(claim())
     ledger.apply(dispatch())
     assert ledger.apply(release()) == ReleaseRefused("already_dispatched")
@@ -140,7 +140,7 @@
 
 
 def test_outcome_is_final_unless_unknown(ledger: OrderLedger) -> None:
-    # Guards against a not_run that replaces a done, and against losing a late done.
+    # Guards against not_run in place of done, and against the loss of a late done.
     ledger.apply(claim())
     assert ledger.apply(outcome()) == OutcomeRefused("not_dispatched")
     ledger.apply(dispatch())
@@ -155,31 +155,31 @@
 
 
 def test_key_of_another_order_is_refused(ledger: OrderLedger) -> None:
-    # Guards against an answer that belongs to another body or service.
+    # Guards against an outcome that belongs to another body or service.
     ledger.apply(claim())
     assert ledger.apply(claim("t2", digest="other")) == KeyReused()
     assert ledger.apply(claim("t2", service="other")) == KeyReused()
 
 
 def test_issue_time_outside_the_retention_is_refused(ledger: OrderLedger) -> None:
-    # Guards against keys outside of the retention, on both sides.
+    # Guards against keys that are too far in the future or older than the retention.
     early = NOW_MS - SKEW_MS - 1
     assert ledger.apply(claim(time_ms=early)) == KeyFromFuture(1)
     assert ledger.apply(claim(time_ms=NOW_MS + 10 * DAY_MS + 1)) == KeyExpired()
-    # The ledger's time does not go back, so the key stays expired.
+    # The ledger's time never decreases, so the key stays expired.
     assert ledger.apply(claim(time_ms=NOW_MS)) == KeyExpired()
 
 
 def test_dispatch_after_the_retention_is_refused(ledger: OrderLedger) -> None:
-    # Guards against a claim that is used when its key has expired.
+    # Guards against a dispatch after the key of its claim has expired.
     ledger.apply(claim())
     late = dispatch(time_ms=NOW_MS + 10 * DAY_MS + 1)
     assert ledger.apply(late) == DispatchRefused("expired")
 
 
 def test_purged_key_cannot_be_claimed_again(ledger: OrderLedger) -> None:
-    # Guards against a retention that is made longer after the record is gone, also
-    # by way of a release that leaves an entry for the key.
+    # Guards against a purged key that becomes valid again when the retention is
+    # increased, also after a release has created an entry for the key.
     for command in (claim(), dispatch(), outcome()):
         ledger.apply(command)
     later = NOW_MS + 10 * DAY_MS + SKEW_MS + 1
@@ -193,7 +193,7 @@
 
 
 def test_record_is_kept_for_the_retention_plus_clock_skew(ledger: OrderLedger) -> None:
-    # Guards against an attached caller who is told that a known order expired.
+    # Guards against KeyExpired for an order whose record still exists.
     for command in (claim(), dispatch(), outcome()):
         ledger.apply(command)
     late = claim("t2", time_ms=NOW_MS + 10 * DAY_MS + SKEW_MS)
@@ -201,22 +201,25 @@
 
 
 def test_purge_is_bounded_and_deterministic_after_load() -> None:
-    # Guards against one command that stalls a voter, and against replicas that
-    # purge different records because one of them has loaded a snapshot.
-    one, two = OrderLedger(), OrderLedger()
+    # Guards against a command that stalls a voter while it purges, and against replicas
+    # that purge different records because one of them has loaded a snapshot.
+    original, restored = OrderLedger(), OrderLedger()
     for number in range(200):
         key = f"{NOW_MS + number}-abcdefgh"
-        one.apply(Release(key, "t0", NOW_MS + number))
-        one.apply(claim(key=key, time_ms=NOW_MS + number))
-    two.load(json.loads(json.dumps(one.dump())))
+        original.apply(Release(key, "t0", NOW_MS + number))
+        original.apply(claim(key=key, time_ms=NOW_MS + number))
+    restored.load(json.loads(json.dumps(original.dump())))
     sizes = []
     for step in range(4):
-        later = Lookup(KEY), Release(f"{NOW_MS}-{step}rigger1", "t", NOW_MS * 2 + step)
-        for command in later:
-            one.apply(command)
-            two.apply(command)
-        assert one.dump() == two.dump()
-        sizes.append(len(one))
+        commands = (
+            Lookup(KEY),
+            Release(f"{NOW_MS}-{step}rigger1", "t", NOW_MS * 2 + step),
+        )
+        for command in commands:
+            original.apply(command)
+            restored.apply(command)
+        assert original.dump() == restored.dump()
+        sizes.append(len(original))
     assert sizes == [136, 72, 8, 0]
 
 
@@ -234,7 +237,7 @@
 def test_malformed_commands_change_nothing(
     ledger: OrderLedger, message: dict[str, Any]
 ) -> None:
-    # Guards against an entry of the log that ends every voter that applies it.
+    # Guards against a log entry that crashes every voter that applies it.
     before = ledger.dump()
     assert isinstance(ledger.apply(message), MalformedCommand)
     assert ledger.dump() == before
@@ -257,8 +260,8 @@
 @settings(derandomize=True, max_examples=400, deadline=None)
 @given(st.data())
 def test_fuzzed_commands_are_answered(data: st.DataObject) -> None:
-    # Guards against an entry of the log that ends every voter that applies it, and
-    # against a record that an operator cannot read afterwards.
+    # Guards against a log entry that crashes every voter that applies it, and against a
+    # record that cannot be shown to an operator afterwards.
     ledger = OrderLedger()
     for command in (claim(), dispatch(), outcome(), release("t2")):
         message = command_to_json(command)
@@ -271,7 +274,7 @@
 
 
 def test_results_round_trip_through_json(ledger: OrderLedger) -> None:
-    # Guards against results that mean something else at the host that asked.
+    # Guards against results that change when they are sent to the client.
     ledger.apply(claim())
     ledger.apply(claim("t2", takeover=True))
     ledger.apply(dispatch("t2"))
@@ -287,7 +290,7 @@
 
 @pytest.mark.parametrize("field", ["format", "time_ms", "entries"])
 def test_malformed_dump_changes_nothing(ledger: OrderLedger, field: str) -> None:
-    # Guards against a voter that goes on with half a snapshot.
+    # Guards against a voter that continues with a partially loaded snapshot.
     ledger.apply(claim())
     before = ledger.dump()
     for value in ("x", [["y"]], None):
--- a/tests/ledger/test_ledger_machine.py
+++ b/tests/ledger/test_ledger_machine.py
@@ -1,8 +1,8 @@
-"""Hosts that crash between any two steps of an order, step by step.
+"""State machine test of the ledger with hosts that crash between steps of an order.
 
-The world outside of the ledger is modelled: hosts with their incarnations, commands
-in flight that are delivered in any order and any number of times, answers that are
-lost, and the backend server that runs what it is sent.
+The environment of the ledger is modelled: hosts with their incarnations, commands in
+flight that are reordered and duplicated, answers that are lost, and the backend
+server that runs the orders.
 """
 
 import dataclasses
@@ -48,7 +48,10 @@
 
 @dataclasses.dataclass
 class OrderTask:
-    """What one host does about one key; `waits_for` is a command without answer."""
+    """Progress of one order at one host.
+
+    `pending_command` is the index of a sent command that is not answered yet.
+    """
 
     host: int
     incarnation: int
@@ -59,7 +62,7 @@
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """Delivers commands of several hosts to two replicas in any order."""
+    """Delivers the commands of several hosts to two replicas in arbitrary order."""
 
     @initialize()
     def start(self) -> None:
@@ -117,10 +120,12 @@
     def _check_reply_to_caller(self, key: str, result: Any) -> None:
         outcome = getattr(result, "outcome", None)
         if outcome is not None and outcome.kind == "done":
-            assert key in self.executed_keys, "a caller gets an answer of nothing"
+            assert key in self.executed_keys, (
+                "a caller gets the outcome of an order that has not run"
+            )
         elif order_refusal(result).kind == RefusalKind.NOT_RUN:
             assert key not in self.executed_keys, (
-                "a caller is told not_run of an order that ran"
+                "a caller gets not_run for an order that ran"
             )
 
     @rule(
@@ -130,7 +135,7 @@
         retention_ms=st.sampled_from(RETENTIONS_MS),
     )
     def claim_key(self, host: int, key: str, takeover: bool, retention_ms: int) -> None:
-        """Let a host claim a key, also by takeover of a host that still lives."""
+        """Let a host claim a key, possibly by takeover from a live host."""
         token = f"t{len(self.sent_commands)}"
         incarnation = self.incarnations[host]
         task = OrderTask(host, incarnation, key, token)
@@ -144,20 +149,20 @@
         )
 
     @precondition(lambda self: self.sent_commands)
-    @rule(pick=st.integers(0, 99), answered=st.booleans())
-    def deliver_command(self, pick: int, answered: bool) -> None:
-        """Apply any command ever sent; its sender may get the answer."""
-        number = pick % len(self.sent_commands)
-        result = self._apply(self.sent_commands[number])
+    @rule(index=st.integers(0, 99), answered=st.booleans())
+    def deliver_command(self, index: int, answered: bool) -> None:
+        """Apply any command that was ever sent; its sender may receive the result."""
+        command_index = index % len(self.sent_commands)
+        result = self._apply(self.sent_commands[command_index])
         for task in self.tasks:
-            if answered and task.pending_command == number:
+            if answered and task.pending_command == command_index:
                 task.pending_command = None
                 self._advance_task(task, result)
 
     @precondition(lambda self: self.sent_commands)
     @rule(answered=st.booleans())
     def deliver_newest_command(self, answered: bool) -> None:
-        """Apply the newest command, so that orders get to their end."""
+        """Apply the newest command, so that orders reach an outcome."""
         self.deliver_command(len(self.sent_commands) - 1, answered)
 
     def _advance_task(self, task: OrderTask, result: Result) -> None:
@@ -173,53 +178,53 @@
         else:
             task.step = "send"
 
-    @rule(pick=st.integers(0, 99), how=st.sampled_from(["done", "not_run", "lost"]))
-    def send_order(self, pick: int, how: str) -> None:
-        """Send a dispatched order; the backend server runs it unless it says not."""
+    @rule(index=st.integers(0, 99), result=st.sampled_from(["done", "not_run", "lost"]))
+    def send_order(self, index: int, result: str) -> None:
+        """Send a dispatched order, which runs unless the result is not_run."""
         ready = [task for task in self.tasks if task.step == "send"]
         if not ready:
             return
-        task = ready[pick % len(ready)]
+        task = ready[index % len(ready)]
         self.send_counts[task.key] += 1
-        if how != "not_run":
+        if result != "not_run":
             self.executed_keys.add(task.key)
-        kind: Any = "unknown" if how == "lost" else how
+        kind: Any = "unknown" if result == "lost" else result
         task.step = "outcome"
         self._send_command(task, Outcome(task.key, task.token, kind, "ok", None, 0))
 
-    @rule(pick=st.integers(0, 99))
-    def record_late_reply(self, pick: int) -> None:
-        """Report what the backend server says after its attempt was given up."""
+    @rule(index=st.integers(0, 99))
+    def record_late_reply(self, index: int) -> None:
+        """Record a reply that arrives after its attempt was abandoned."""
         ran = [task for task in self.tasks if task.key in self.executed_keys]
         if ran:
-            task = ran[pick % len(ran)]
+            task = ran[index % len(ran)]
             self.sent_commands.append(
                 Outcome(task.key, task.token, "done", "late", None, 0)
             )
 
-    @rule(pick=st.integers(0, 99))
-    def release_claim(self, pick: int) -> None:
-        """Release a claim, whatever became of it."""
-        task = self._select_task(pick)
+    @rule(index=st.integers(0, 99))
+    def release_claim(self, index: int) -> None:
+        """Release a claim whose command or dispatch may still be in flight."""
+        task = self._select_task(index)
         if task is not None and task.step in ("claim", "dispatch"):
             task.step = "ended"
             self._send_command(task, Release(task.key, task.token, 0))
 
     @rule(host=st.integers(0, HOST_COUNT - 1))
     def crash_host(self, host: int) -> None:
-        """End a host at any step; its commands in flight remain."""
+        """Crash a host at any step; its commands in flight remain."""
         self.incarnations[host] += 1
         self.tasks = [task for task in self.tasks if task.host != host]
 
     @rule(step_ms=st.sampled_from([1, 600_000, DAY_MS, 9 * DAY_MS, 85 * DAY_MS]))
     def advance_time(self, step_ms: int) -> None:
-        """Let time pass, also beyond the retention."""
+        """Advance the time, possibly beyond the retention."""
         self.time_ms += step_ms
 
-    @rule(back_ms=st.integers(1, 20 * DAY_MS))
-    def set_clock_back(self, back_ms: int) -> None:
+    @rule(offset_ms=st.integers(1, 20 * DAY_MS))
+    def set_clock_back(self, offset_ms: int) -> None:
         """Elect a leader whose clock is behind."""
-        self.time_ms = max(START_MS, self.time_ms - back_ms)
+        self.time_ms = max(START_MS, self.time_ms - offset_ms)
 
     @rule()
     def restart_replica(self) -> None:
@@ -230,7 +235,7 @@
 
     @rule(key=st.sampled_from(KEYS))
     def check_record(self, key: str) -> None:
-        """Compare what an operator is told with what happened."""
+        """Compare the record and its explanation with the orders that ran."""
         record = self.stable_replica.lookup(key)
         if record is not None and not (record.outcome or record.state == "claimed"):
             self._check_reply_to_caller(key, record)
@@ -239,7 +244,7 @@
 
     @invariant()
     def orders_run_at_most_once(self) -> None:
-        """Compare the world and the replicas with the ledger's promises."""
+        """Check the guarantees of the ledger and that the replicas agree."""
         for key in KEYS:
             assert len(self.recorded_dispatches[key]) <= 1, "two dispatches of one key"
             assert self.send_counts[key] <= 1, "one order was sent twice"
@@ -254,7 +259,7 @@
 
 def test_orders_run_at_most_once() -> None:
     # Guards against an order that runs twice or after its retention, and against
-    # not_run for one that ran, at a crash between any two steps.
+    # not_run for an order that ran, when hosts crash between any two steps.
     run_state_machine_as_test(  # type: ignore[no-untyped-call]
         LedgerMachine,
         settings=settings(
