--- a/packages/ledger/src/kingcuplug_ledger/_codec.py
+++ b/packages/ledger/src/kingcuplug_ledger/_codec.py
@@ -1,4 +1,4 @@
-"""JSON of dataclasses, tagged with their type."""
+"""JSON encoding of dataclasses, tagged with their type."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -13,7 +13,7 @@
 
 
 class MessageInvalid(KingcuplugError):
-    """A command or a result that is malformed."""
+    """A command or result is malformed."""
 
 
 class Codec(Generic[_Message]):
@@ -21,50 +21,62 @@
 
     Parameters
     ----------
-    kinds : Mapping
+    message_types : Mapping
         Dataclasses by the value of the field ``type``.
     """
 
-    def __init__(self, kinds: Mapping[str, type[_Message]]) -> None:
-        self._names = {kind: name for name, kind in kinds.items()}
-        self._fields = {
-            kind: tuple(field.name for field in dataclasses.fields(kind))  # type: ignore[arg-type]
-            for kind in kinds.values()
+    def __init__(self, message_types: Mapping[str, type[_Message]]) -> None:
+        self._type_tags = {
+            message_type: tag for tag, message_type in message_types.items()
+        }
+        self._field_names = {
+            message_type: tuple(
+                field.name
+                for field in dataclasses.fields(message_type)  # type: ignore[arg-type]
+            )
+            for message_type in message_types.values()
+        }
+        self._adapters_by_tag = {
+            tag: TypeAdapter(message_type)
+            for tag, message_type in message_types.items()
         }
-        self._adapters = {name: TypeAdapter(kind) for name, kind in kinds.items()}
 
     def encode(self, message: _Message) -> dict[str, Any]:
         """Return a message as a JSON object."""
-        kind = type(message)
-        value = {name: _plain(getattr(message, name)) for name in self._fields[kind]}
-        return {"type": self._names[kind], **value}
+        message_type = type(message)
+        value = {
+            name: _to_json_value(getattr(message, name))
+            for name in self._field_names[message_type]
+        }
+        return {"type": self._type_tags[message_type], **value}
 
     def decode(self, value: Mapping[str, Any]) -> _Message:
         """Read a message; raise `MessageInvalid` if it is malformed."""
-        name = value.get("type") if isinstance(value, Mapping) else None
-        adapter = self._adapters.get(name) if isinstance(name, str) else None
+        tag = value.get("type") if isinstance(value, Mapping) else None
+        adapter = self._adapters_by_tag.get(tag) if isinstance(tag, str) else None
         if adapter is None:
             raise MessageInvalid(
-                f"{ascii(name)[:60]} is no type of message",
-                f"use one of {', '.join(self._adapters)}",
+                f"{ascii(tag)[:60]} is not a message type",
+                f"use one of {', '.join(self._adapters_by_tag)}",
             )
         try:
             return adapter.validate_python(value)
         except ValidationError as error:
-            places = ", ".join(
-                ".".join(str(part) for part in fault["loc"]) for fault in error.errors()
+            locations = ", ".join(
+                ".".join(str(part) for part in detail["loc"])
+                for detail in error.errors()
             )
             raise MessageInvalid(
-                f"the {name} is malformed in {places[:200]}", "correct these fields"
+                f"the {tag} is malformed at {locations[:200]}", "correct these fields"
             ) from error
 
 
-def _plain(value: Any) -> Any:
+def _to_json_value(value: Any) -> Any:
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
         return {
-            field.name: _plain(getattr(value, field.name))
+            field.name: _to_json_value(getattr(value, field.name))
             for field in dataclasses.fields(value)
         }
     if isinstance(value, tuple):
-        return [_plain(item) for item in value]
+        return [_to_json_value(item) for item in value]
     return value
--- a/packages/ledger/src/kingcuplug_ledger/_entry.py
+++ b/packages/ledger/src/kingcuplug_ledger/_entry.py
@@ -1,4 +1,4 @@
-"""The ledger's mutable entry for one order, and its compact JSON."""
+"""The ledger's mutable entry for one order, and its compact JSON form."""
 
 import dataclasses
 import json
@@ -15,18 +15,18 @@
 )
 from kingcuplug_ledger._results import Attached
 
-__all__ = ["Entry", "KeptOutcome"]
+__all__ = ["LedgerEntry", "SerializedOutcome"]
 
-# An entry that is claimed and given back more often forgets its oldest tokens. A
-# duplicate of such an old claim would reserve the key again; it dispatches nothing.
+# Beyond this number the oldest revoked tokens are dropped. A duplicate of such an
+# old claim would claim the key again, but it could not cause a dispatch.
 PAST_CLAIMS_LIMIT = 32
 
 
-class KeptOutcome(NamedTuple):
-    """An outcome whose body is kept as JSON text.
+class SerializedOutcome(NamedTuple):
+    """Outcome whose body is stored as JSON text.
 
-    The text takes less than half of the memory of the value, and a snapshot of
-    the ledger need not copy it.
+    The text takes less than half of the memory of the parsed value, and a snapshot
+    of the ledger does not have to copy it.
     """
 
     kind: OutcomeKind
@@ -35,25 +35,25 @@
     body_digest: str
 
     @classmethod
-    def of(cls, command: Outcome) -> "KeptOutcome":
-        """Return the outcome that a command states."""
-        # Unlike orjson, the standard library writes every value that it reads.
+    def from_command(cls, command: Outcome) -> "SerializedOutcome":
+        """Return the outcome that a command records."""
+        # Unlike orjson, the standard library can write every value that it reads.
         body_text = json.dumps(command.body, separators=(",", ":"), sort_keys=True)
         kind = cast(OutcomeKind, intern(command.kind))
         return cls(kind, intern(command.status), body_text, command.body_digest)
 
-    def stored(self) -> StoredOutcome:
-        """Return the outcome with its body as a value."""
+    def to_stored_outcome(self) -> StoredOutcome:
+        """Return the outcome with its body as a parsed JSON value."""
         body = json.loads(self.body_text)
         return StoredOutcome(self.kind, self.status, body, self.body_digest)
 
 
 @dataclasses.dataclass(slots=True)
-class Entry:
+class LedgerEntry:
     """State of one key; the fields are those of `OrderRecord`.
 
-    `token` is empty while no claim holds the key. `digest` is empty while the
-    entry only remembers a release that came before its claim.
+    `token` is empty while the key is not claimed. `digest` is empty while the entry
+    only stores the token of a release that was applied before its claim.
     """
 
     key: str
@@ -72,76 +72,80 @@
     finished_ms: int = 0
     server: str = ""
     attempt_id: str = ""
-    outcome: KeptOutcome | None = None
+    outcome: SerializedOutcome | None = None
     past_claims: tuple[PastClaim, ...] = ()
 
-    def attached(self) -> Attached:
-        """Return what another claimant of the key is told."""
-        outcome = self.outcome and self.outcome.stored()
+    def to_attached(self) -> Attached:
+        """Return the result for another host that tries to claim the key."""
+        outcome = self.outcome and self.outcome.to_stored_outcome()
         return Attached(self.state, outcome, self.host, self.host_incarnation)
 
-    def end(self, how: Literal["released", "taken_over"], now_ms: int) -> None:
-        """End the present claim without a dispatch."""
-        self.spend(
+    def end_claim(self, reason: Literal["released", "taken_over"], now_ms: int) -> None:
+        """End the current claim, which was not dispatched, and revoke its token."""
+        self.add_past_claim(
             PastClaim(
                 self.token,
                 self.host,
                 self.host_incarnation,
                 self.claimed_ms,
                 now_ms,
-                how,
+                reason,
             )
         )
         self.state = "released"
         self.token = ""
 
-    def spend(self, past: PastClaim) -> None:
-        """Remember a claim that ended without a dispatch."""
-        self.past_claims = (*self.past_claims, past)[-PAST_CLAIMS_LIMIT:]
+    def add_past_claim(self, past_claim: PastClaim) -> None:
+        """Store a claim that ended without a dispatch."""
+        self.past_claims = (*self.past_claims, past_claim)[-PAST_CLAIMS_LIMIT:]
 
-    def is_spent(self, token: str) -> bool:
-        """Return whether a claim with this token has ended before."""
-        return any(past.token == token for past in self.past_claims)
+    def is_revoked(self, token: str) -> bool:
+        """Return whether a claim with this token has ended without a dispatch."""
+        return any(past_claim.token == token for past_claim in self.past_claims)
 
-    def record(self) -> OrderRecord:
+    def to_record(self) -> OrderRecord:
         """Return an immutable copy without the token."""
-        fields = {name: getattr(self, name) for name in _RECORD_NAMES}
-        fields["outcome"] = self.outcome and self.outcome.stored()
+        fields = {name: getattr(self, name) for name in _RECORD_FIELD_NAMES}
+        fields["outcome"] = self.outcome and self.outcome.to_stored_outcome()
         return OrderRecord(**fields)
 
     def dump(self) -> list[Any]:
-        """Return the fields in order, as JSON values."""
-        values = list(_values(self))
-        values[_OUTCOME] = None if self.outcome is None else list(self.outcome)
-        values[_PAST] = [list(_past_values(past)) for past in self.past_claims]
+        """Return the values of the fields in order, as JSON values."""
+        values = list(_entry_values(self))
+        values[_OUTCOME_INDEX] = None if self.outcome is None else list(self.outcome)
+        values[_PAST_CLAIMS_INDEX] = [
+            list(_past_claim_values(past_claim)) for past_claim in self.past_claims
+        ]
         return values
 
     @classmethod
-    def load(cls, values: list[Any]) -> "Entry":
-        """Read what `dump` returned."""
+    def load(cls, values: list[Any]) -> "LedgerEntry":
+        """Restore an entry from the result of `dump`."""
         entry = cls(*values)
         if entry.outcome is not None:
-            kind, status, *rest = values[_OUTCOME]
+            kind, status, *body_fields = values[_OUTCOME_INDEX]
             kind = cast(OutcomeKind, intern(kind))
-            entry.outcome = KeptOutcome(kind, intern(status), *rest)
-        entry.past_claims = tuple(PastClaim(*past) for past in values[_PAST])
-        entry.share_strings()
+            entry.outcome = SerializedOutcome(kind, intern(status), *body_fields)
+        entry.past_claims = tuple(
+            PastClaim(*past_claim) for past_claim in values[_PAST_CLAIMS_INDEX]
+        )
+        entry.intern_strings()
         return entry
 
-    def share_strings(self) -> None:
-        """Keep one copy of names that many entries have in common."""
+    def intern_strings(self) -> None:
+        """Intern the names that many entries share, to save memory."""
         self.service = intern(self.service)
         self.host = intern(self.host)
         self.server = intern(self.server)
 
 
-def _names(kind: type[Any]) -> tuple[str, ...]:
-    return tuple(field.name for field in dataclasses.fields(kind))
+def _field_names(dataclass: type[Any]) -> tuple[str, ...]:
+    return tuple(field.name for field in dataclasses.fields(dataclass))
 
 
-_NAMES = _names(Entry)
-_RECORD_NAMES = _names(OrderRecord)
-_values = attrgetter(*_NAMES)
-_past_values = attrgetter(*_names(PastClaim))
-_OUTCOME = _NAMES.index("outcome")
-_PAST = _NAMES.index("past_claims")
+_FIELD_NAMES = _field_names(LedgerEntry)
+_RECORD_FIELD_NAMES = _field_names(OrderRecord)
+_entry_values = attrgetter(*_FIELD_NAMES)
+_past_claim_values = attrgetter(*_field_names(PastClaim))
+_OUTCOME_INDEX = _FIELD_NAMES.index("outcome")
+_PAST_CLAIMS_INDEX = _FIELD_NAMES.index("past_claims")
--- a/tests/configuration/test_history_machine.py
+++ b/tests/configuration/test_history_machine.py
@@ -1,7 +1,8 @@
-"""Racing operators, lost answers and restarts, in any order.
+"""Concurrent changes, lost answers and restarts in arbitrary order.
 
-The first test drives the history step by step. The second runs operators over a
-faulty `submit` and checks that one order of their changes explains all answers.
+A state machine test applies changes to two replicas of the history. A simulation
+runs concurrent operators over an unreliable `submit` and checks that the results
+are linearizable.
 """
 
 import asyncio
@@ -35,111 +36,130 @@
 )
 from kingcuplug_testkit import run_virtual
 
-NAMES = ("a", "b", "c", "d")
-texts = st.builds(
+SERVICE_NAMES = ("a", "b", "c", "d")
+configuration_texts = st.builds(
     lambda names, days: json.dumps(
         {"retention_days": days, "services": {name: {} for name in names}}
     ),
-    st.sets(st.sampled_from(NAMES)).map(sorted),
+    st.sets(st.sampled_from(SERVICE_NAMES)).map(sorted),
     st.integers(1, 3),
 )
 
 
-def reload(history: ConfigurationHistory) -> ConfigurationHistory:
+def restore_from_dump(history: ConfigurationHistory) -> ConfigurationHistory:
     copy = ConfigurationHistory()
     copy.load(json.loads(json.dumps(history.dump())))
     return copy
 
 
 class HistoryMachine(RuleBasedStateMachine):
-    """Applies changes to two replicas, one of which restarts at any time."""
+    """Applies changes to two replicas, one of which restarts between commands."""
 
     @initialize()
     def start(self) -> None:
-        """Start two replicas and an entry host that follows one of them."""
-        self.steady, self.restarted = ConfigurationHistory(), ConfigurationHistory()
-        self.follower, self.confirmed = ConfigurationText(), 0
-        self.accepted: list[str] = [render(ConfigurationText())]
-        self.sent: list[tuple[ApplyConfiguration, Result]] = []
+        """Start two replicas and an entry host that fetches deltas from one of them."""
+        self.stable_replica, self.restarted_replica = (
+            ConfigurationHistory(),
+            ConfigurationHistory(),
+        )
+        self.entry_host_text, self.entry_host_revision = ConfigurationText(), 0
+        self.accepted_texts: list[str] = [render(ConfigurationText())]
+        self.sent_changes: list[tuple[ApplyConfiguration, Result]] = []
 
     def _apply(self, command: ApplyConfiguration) -> Result:
         message = json.loads(json.dumps(command.to_json()))
-        settled = self.steady.settled(command)
-        results = [h.apply(message) for h in (self.steady, self.restarted)]
+        known = self.stable_replica.settled(command)
+        results = [
+            replica.apply(message)
+            for replica in (self.stable_replica, self.restarted_replica)
+        ]
         assert results[0] == results[1], "replicas disagree"
-        assert settled in (None, results[0]), "the result was not certain"
+        assert known in (None, results[0]), "the result was not certain"
         return results[0]
 
-    @rule(body=texts, behind=st.integers(0, 2), condensed=st.booleans())
-    def send(self, body: str, behind: int, condensed: bool) -> None:
-        """Send a new change, also one whose base is no longer in force."""
-        number = self.steady.current.number
-        base = max(0, number - behind)
-        command = ApplyConfiguration(f"c{len(self.sent)}", base, body, "anna", 5)
-        if condensed:
-            command = self.steady.condense(command)
-        settled = self.steady.settled(command)
+    @rule(
+        body=configuration_texts,
+        revisions_behind=st.integers(0, 2),
+        as_delta=st.booleans(),
+    )
+    def send_change(self, body: str, revisions_behind: int, as_delta: bool) -> None:
+        """Send a new change, whose base revision may be outdated."""
+        revision = self.stable_replica.current.number
+        base = max(0, revision - revisions_behind)
+        command = ApplyConfiguration(
+            f"c{len(self.sent_changes)}", base, body, "anna", 5
+        )
+        if as_delta:
+            command = self.stable_replica.condense(command)
+        known = self.stable_replica.settled(command)
         result = self._apply(command)
-        assert (settled is None) == (base == number)
-        if base == number:
-            assert result == Accepted(number + 1)
-            self.accepted.append(render(parse(body)))
+        assert (known is None) == (base == revision)
+        if base == revision:
+            assert result == Accepted(revision + 1)
+            self.accepted_texts.append(render(parse(body)))
         else:
             assert isinstance(result, Conflict)
-            assert result.current_revision == number
-        self.sent.append((command, result))
-
-    @rule(pick=st.integers(0, 99))
-    def resend(self, pick: int) -> None:
-        """Send any earlier change again."""
-        if self.sent:
-            command, first = self.sent[pick % len(self.sent)]
+            assert result.current_revision == revision
+        self.sent_changes.append((command, result))
+
+    @rule(index=st.integers(0, 99))
+    def resend_change(self, index: int) -> None:
+        """Resend any earlier change."""
+        if self.sent_changes:
+            command, first_result = self.sent_changes[index % len(self.sent_changes)]
             result = self._apply(command)
-            assert type(result) is type(first)
-            if isinstance(first, Accepted):
-                assert result == first
-
-    @rule(pick=st.integers(0, 99), body=texts)
-    def reuse_change_id(self, pick: int, body: str) -> None:
-        """Send another text under the id of an accepted change."""
-        won = [c for c, result in self.sent if isinstance(result, Accepted)]
-        if won:
-            used = won[pick % len(won)]
-            base = self.steady.current.number
+            assert type(result) is type(first_result)
+            if isinstance(first_result, Accepted):
+                assert result == first_result
+
+    @rule(index=st.integers(0, 99), body=configuration_texts)
+    def reuse_change_id(self, index: int, body: str) -> None:
+        """Send another text with the id of an accepted change."""
+        accepted = [
+            change
+            for change, result in self.sent_changes
+            if isinstance(result, Accepted)
+        ]
+        if accepted:
+            earlier = accepted[index % len(accepted)]
+            base = self.stable_replica.current.number
             result = self._apply(
-                dataclasses.replace(used, text=body, delta=None, base_revision=base)
+                dataclasses.replace(earlier, text=body, delta=None, base_revision=base)
             )
             if isinstance(result, Accepted):
-                assert self.accepted[result.revision] == render(parse(body))
+                assert self.accepted_texts[result.revision] == render(parse(body))
             else:
                 assert isinstance(result, Rejected)
 
     @rule()
-    def restart(self) -> None:
+    def restart_replica(self) -> None:
         """Restart one replica from its snapshot."""
-        self.restarted = reload(self.restarted)
+        self.restarted_replica = restore_from_dump(self.restarted_replica)
 
     @rule()
-    def follow(self) -> None:
-        """Bring the entry host up to date by deltas."""
-        missed = self.restarted.since(self.confirmed)
+    def update_entry_host(self) -> None:
+        """Apply the missed deltas at the entry host."""
+        missed = self.restarted_replica.since(self.entry_host_revision)
         assert missed is not None
-        self.follower = replay(self.follower, missed)
-        self.confirmed = self.restarted.current.number
-        assert render(self.follower) == self.accepted[self.confirmed]
+        self.entry_host_text = replay(self.entry_host_text, missed)
+        self.entry_host_revision = self.restarted_replica.current.number
+        assert (
+            render(self.entry_host_text)
+            == self.accepted_texts[self.entry_host_revision]
+        )
 
     @invariant()
-    def never_reverts(self) -> None:
-        """Compare both replicas with the changes that were accepted."""
-        for history in (self.steady, self.restarted):
-            assert history.current.number == len(self.accepted) - 1
-            assert history.current.text == self.accepted[-1]
-            assert render(history.configuration) == self.accepted[-1]
+    def replicas_match_accepted_texts(self) -> None:
+        """Compare both replicas with the accepted texts."""
+        for history in (self.stable_replica, self.restarted_replica):
+            assert history.current.number == len(self.accepted_texts) - 1
+            assert history.current.text == self.accepted_texts[-1]
+            assert render(history.configuration) == self.accepted_texts[-1]
 
 
-def test_history_machine() -> None:
-    # Guards against a change that is accepted twice or reverts, and against
-    # replicas that disagree after a restart.
+def test_replicas_agree_on_accepted_changes() -> None:
+    # Guards against a change that is accepted twice or reverted, and against replicas
+    # that diverge after a restart.
     run_state_machine_as_test(  # type: ignore[no-untyped-call]
         HistoryMachine,
         settings=settings(
@@ -150,128 +170,132 @@
 
 @dataclasses.dataclass(frozen=True)
 class Operation:
-    """A change as its operator saw it; `result` is None without an answer."""
+    """One change with its start and end times; `result` is None without an answer."""
 
     started: int
     ended: int
-    base: int
+    base_revision: int
     result: Result | None
 
 
-def explains(operations: list[Operation]) -> bool:
-    """Search an order of the operations that explains all their answers.
+def is_linearizable(operations: list[Operation]) -> bool:
+    """Return whether some sequential order of the operations yields all results.
 
     An operation may only precede another if it started before that one ended; an
     operation without an answer may have taken effect at any time or never.
     """
-    seen: set[tuple[frozenset[int], int]] = set()
+    visited: set[tuple[frozenset[int], int]] = set()
 
-    def search(left: frozenset[int], number: int) -> bool:
-        if all(operations[i].result is None for i in left):
+    def can_order(remaining: frozenset[int], revision: int) -> bool:
+        if all(operations[index].result is None for index in remaining):
             return True
-        if (left, number) in seen:
+        if (remaining, revision) in visited:
             return False
-        seen.add((left, number))
-        first_end = min(operations[i].ended for i in left)
-        for i in left:
-            operation = operations[i]
+        visited.add((remaining, revision))
+        first_end = min(operations[index].ended for index in remaining)
+        for index in remaining:
+            operation = operations[index]
             if operation.started > first_end:
                 continue
-            wins = operation.base == number
-            if _fits(operation.result, wins, number) and search(
-                left - {i}, number + wins
+            accepted = operation.base_revision == revision
+            if result_matches(operation.result, accepted, revision) and can_order(
+                remaining - {index}, revision + accepted
             ):
                 return True
         return False
 
-    return search(frozenset(range(len(operations))), 0)
+    return can_order(frozenset(range(len(operations))), 0)
 
 
-def _fits(result: Result | None, wins: bool, number: int) -> bool:
+def result_matches(result: Result | None, accepted: bool, revision: int) -> bool:
     if result is None:
         return True
-    if wins:
-        return result == Accepted(number + 1)
-    return isinstance(result, Conflict) and result.current_revision == number
+    if accepted:
+        return result == Accepted(revision + 1)
+    return isinstance(result, Conflict) and result.current_revision == revision
 
 
-def test_the_checker_finds_a_lost_update() -> None:
-    # Guards against a checker that accepts everything.
-    both = [Operation(0, 1, 0, Accepted(1)), Operation(2, 3, 0, Accepted(2))]
-    assert not explains(both)
-    assert not explains([Operation(0, 1, 0, Accepted(1))] * 2)
-    stale = Operation(2, 3, 0, Conflict(0, "", 0, None))
-    assert not explains([both[0], stale])
-    pending = Operation(0, 99, 0, None)
-    assert explains([pending, Operation(2, 3, 1, Accepted(2))])
+def test_linearizability_check_detects_a_lost_update() -> None:
+    # Guards against a linearizability check that accepts every history.
+    lost_update = [Operation(0, 1, 0, Accepted(1)), Operation(2, 3, 0, Accepted(2))]
+    assert not is_linearizable(lost_update)
+    assert not is_linearizable([Operation(0, 1, 0, Accepted(1))] * 2)
+    stale_read = Operation(2, 3, 0, Conflict(0, "", 0, None))
+    assert not is_linearizable([lost_update[0], stale_read])
+    unanswered = Operation(0, 99, 0, None)
+    assert is_linearizable([unanswered, Operation(2, 3, 1, Accepted(2))])
 
 
 Submit = Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]
 
 
-def faulty_submit(history: ConfigurationHistory, chance: random.Random) -> Submit:
-    """Return a submit that delays, duplicates and loses messages and answers."""
-    late: set[asyncio.Task[None]] = set()
+def faulty_submit(history: ConfigurationHistory, rng: random.Random) -> Submit:
+    """Return a `submit` that delays, duplicates and loses messages and answers."""
+    delayed_tasks: set[asyncio.Task[None]] = set()
 
-    async def apply_later(message: dict[str, Any]) -> None:
-        await asyncio.sleep(chance.uniform(0, 30))
+    async def apply_delayed(message: dict[str, Any]) -> None:
+        await asyncio.sleep(rng.uniform(0, 30))
         history.apply(message)
 
     async def submit(message: dict[str, Any]) -> dict[str, Any]:
         message = json.loads(json.dumps(message))
-        await asyncio.sleep(chance.uniform(0, 2))
-        if chance.random() < 0.3:
-            task = asyncio.create_task(apply_later(message))
-            late.add(task)
-            if chance.random() < 0.5:
+        await asyncio.sleep(rng.uniform(0, 2))
+        if rng.random() < 0.3:
+            task = asyncio.create_task(apply_delayed(message))
+            delayed_tasks.add(task)
+            if rng.random() < 0.5:
                 raise TimeoutError
-        if chance.random() < 0.1:
+        if rng.random() < 0.1:
             history.load(json.loads(json.dumps(history.dump())))
         answer = json.loads(json.dumps(history.apply(message).to_json()))
-        await asyncio.sleep(chance.uniform(0, 2))
-        if chance.random() < 0.3:
+        await asyncio.sleep(rng.uniform(0, 2))
+        if rng.random() < 0.3:
             raise TimeoutError
         return answer
 
     return submit
 
 
-async def operate(seed: int) -> tuple[list[Operation], ConfigurationHistory]:
-    chance = random.Random(seed)
+async def run_operators(seed: int) -> tuple[list[Operation], ConfigurationHistory]:
+    rng = random.Random(seed)
     history = ConfigurationHistory()
-    submit = faulty_submit(history, chance)
+    submit = faulty_submit(history, rng)
     operations: list[Operation] = []
-    clock = iter(range(10_000))
+    event_numbers = iter(range(10_000))
 
-    async def operator(name: str) -> None:
+    async def run_operator(name: str) -> None:
         for number in range(4):
-            await asyncio.sleep(chance.uniform(0, 3))
+            await asyncio.sleep(rng.uniform(0, 3))
             base = history.current.number
-            await asyncio.sleep(chance.uniform(0, 3))
+            await asyncio.sleep(rng.uniform(0, 3))
             body = json.dumps({"services": {f"{name}{number}": {}}})
             command = ApplyConfiguration(f"{name}-{number}", base, body, name, 5)
-            started, result = next(clock), None
-            for _ in range(chance.randint(1, 4)):
+            started, result = next(event_numbers), None
+            for _ in range(rng.randint(1, 4)):
                 try:
                     result = result_from_json(await submit(command.to_json()))
                     break
                 except TimeoutError:
                     continue
-            ended = next(clock) if result else 10_000
+            ended = next(event_numbers) if result else 10_000
             operations.append(Operation(started, ended, base, result))
 
-    await asyncio.gather(*(operator(name) for name in ("anna", "berta", "carl")))
+    await asyncio.gather(*(run_operator(name) for name in ("anna", "berta", "carl")))
     await asyncio.sleep(60)
     return operations, history
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(st.integers(0, 2**32))
-def test_operators_are_linearizable(seed: int) -> None:
-    # Guards against two operators who both believe that their change won, and
-    # against a resend that takes effect twice.
-    operations, history = run_virtual(operate(seed))
-    assert explains(operations)
-    won = [o.result for o in operations if isinstance(o.result, Accepted)]
-    assert len({result.revision for result in won}) == len(won)
+def test_concurrent_changes_are_linearizable(seed: int) -> None:
+    # Guards against two acceptances of the same revision, and against a resend that
+    # takes effect twice.
+    operations, history = run_virtual(run_operators(seed))
+    assert is_linearizable(operations)
+    accepted = [
+        operation.result
+        for operation in operations
+        if isinstance(operation.result, Accepted)
+    ]
+    assert len({result.revision for result in accepted}) == len(accepted)
     assert history.current.number <= len(operations)
