--- a/packages/cli/src/kingcuplug_cli/_bench/_fleet.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_backend_fleet.py
@@ -9,17 +9,17 @@
 from kingcuplug_cli._local import Group, Sizes, shards_of
 from kingcuplug_cli._standin import Behaviour, Journal, StandIn, StandInService
 
-__all__ = ["Fleet", "Served"]
+__all__ = ["BackendFleet", "DeployedService"]
 
-_RESTART_AFTER_S = 0.8
-_WATCH_PERIOD_S = 0.1
-_STEP_S = 0.05
+_RESTART_DELAY_S = 0.8
+_SUPERVISION_PERIOD_S = 0.1
+_ROLLOUT_STEP_S = 0.05
 
-Holdings = dict[int, tuple[int, tuple[int, ...]]]
+ShardsBySnapshot = dict[int, tuple[int, tuple[int, ...]]]
 
 
 @dataclasses.dataclass(slots=True)
-class Served:
+class DeployedService:
     """One service: its sizes, its servers and its newest snapshot."""
 
     name: str
@@ -28,13 +28,15 @@
     snapshot: int
     shard_count: int
 
-    def holdings(self, number: int, snapshot: int, shard_count: int) -> Holdings:
+    def shards_of_server(
+        self, number: int, snapshot: int, shard_count: int
+    ) -> ShardsBySnapshot:
         """Return what server `number` holds of one snapshot."""
         shape = dataclasses.replace(self.group, shard_count=shard_count)
         return {snapshot: (shard_count, shards_of(shape, number))}
 
 
-class Fleet:
+class BackendFleet:
     """All stand-ins of one deployment.
 
     Parameters
@@ -61,33 +63,33 @@
     def __init__(
         self,
         sizes: Sizes,
-        balancer: Callable[[], str],
+        choose_entry_url: Callable[[], str],
         latency_of: Callable[[str, str], float],
         seed: int,
     ) -> None:
         self.journal = Journal()
         self.drain_lags_s: list[float] = []
-        self.services: dict[str, Served] = {}
-        self.snapshots: dict[str, dict[int, int]] = {}
-        self._random = random.Random(seed)
-        self._lost: set[str] = set()
+        self.services: dict[str, DeployedService] = {}
+        self.shard_counts: dict[str, dict[int, int]] = {}
+        self._rng = random.Random(seed)
+        self._unsupervised: set[str] = set()
         self._zones = sizes.availability_zones
-        self._behaviour = Behaviour()
+        self._default_behaviour = Behaviour()
         for group in sizes.groups:
             for name in group.services:
-                self._add(group, name, balancer, latency_of)
+                self._add_service(group, name, choose_entry_url, latency_of)
 
-    def _add(
+    def _add_service(
         self,
         group: Group,
         name: str,
-        balancer: Callable[[], str],
+        choose_entry_url: Callable[[], str],
         latency_of: Callable[[str, str], float],
     ) -> None:
         service = StandInService(
             name, group.slots, group.connections, group.connection_cost_ms
         )
-        served = Served(name, group, [], 1, group.shard_count)
+        served = DeployedService(name, group, [], 1, group.shard_count)
         for number in range(group.servers):
             zone = self._zones[number % len(self._zones)]
             served.servers.append(
@@ -95,22 +97,22 @@
                     f"{name}-s{number}",
                     service,
                     zone,
-                    served.holdings(number, 1, group.shard_count),
+                    served.shards_of_server(number, 1, group.shard_count),
                     self.journal,
-                    balancer,
-                    self._random.getrandbits(32),
-                    latency_of=_to_zone(latency_of, zone),
+                    choose_entry_url,
+                    self._rng.getrandbits(32),
+                    latency_of=_latency_to_zone(latency_of, zone),
                 )
             )
         self.services[name] = served
-        self.snapshots[name] = {1: group.shard_count}
+        self.shard_counts[name] = {1: group.shard_count}
 
     @property
     def servers(self) -> list[StandIn]:
         """All servers."""
         return [s for served in self.services.values() for s in served.servers]
 
-    def holders(self, service: str) -> list[list[str]]:
+    def shard_addresses(self, service: str) -> list[list[str]]:
         """Return the addresses that hold each shard of the newest snapshot."""
         served = self.services[service]
         return [
@@ -124,32 +126,34 @@
 
     async def start(self, behaviour: Behaviour) -> None:
         """Start all servers."""
-        self._behaviour = behaviour
-        await self.heal()
+        self._default_behaviour = behaviour
+        await self.reset_servers()
 
-    async def watch(self) -> None:
+    async def restart_crashed_servers(self) -> None:
         """Restart servers that crashed, as a supervisor does, until cancelled."""
         while True:
-            await asyncio.sleep(_WATCH_PERIOD_S)
+            await asyncio.sleep(_SUPERVISION_PERIOD_S)
             for server in self.servers:
-                if not server.running and server.name not in self._lost:
-                    self._lost.add(server.name)
-                    asyncio.get_running_loop().create_task(self._revive(server))
-
-    async def _revive(self, server: StandIn) -> None:
-        await asyncio.sleep(_RESTART_AFTER_S)
+                if not server.running and server.name not in self._unsupervised:
+                    self._unsupervised.add(server.name)
+                    asyncio.get_running_loop().create_task(
+                        self._restart_after_delay(server)
+                    )
+
+    async def _restart_after_delay(self, server: StandIn) -> None:
+        await asyncio.sleep(_RESTART_DELAY_S)
         if not server.running:
             await server.start()
-        self._lost.discard(server.name)
+        self._unsupervised.discard(server.name)
 
-    async def heal(self) -> None:
+    async def reset_servers(self) -> None:
         """Bring every server back to its ordinary behaviour."""
-        self._lost.clear()
+        self._unsupervised.clear()
         for server in self.servers:
-            server.behaviour = dataclasses.replace(self._behaviour)
+            server.behaviour = dataclasses.replace(self._default_behaviour)
         await asyncio.gather(*(s.start() for s in self.servers if not s.running))
 
-    async def act(self, action: str, fields: dict[str, Any]) -> None:
+    async def run_event(self, action: str, fields: dict[str, Any]) -> None:
         """Let one event of a scenario happen; returns when it is over."""
         await getattr(self, f"_{action}")(**fields)
 
@@ -160,15 +164,17 @@
             served.servers[0].behaviour.slow_factor = factor
 
     async def _lose_server(self) -> None:
-        await self._lose(s.servers[0] for s in self.services.values())
+        await self._crash_servers(s.servers[0] for s in self.services.values())
 
     async def _lose_zone(self, number: int = 0) -> None:
         zone = self._zones[number]
-        await self._lose(s for s in self.servers if s.availability_zone == zone)
+        await self._crash_servers(
+            s for s in self.servers if s.availability_zone == zone
+        )
 
-    async def _lose(self, servers: Iterable[StandIn]) -> None:
+    async def _crash_servers(self, servers: Iterable[StandIn]) -> None:
         lost = list(servers)
-        self._lost.update(server.name for server in lost)
+        self._unsupervised.update(server.name for server in lost)
         await asyncio.gather(*(server.crash() for server in lost))
 
     async def _lie_about_load(self) -> None:
@@ -178,8 +184,8 @@
     async def _cold_restart(self, cold_ms: float, factor: float) -> None:
         """Restart all servers of the first service at once, cold."""
         served = next(iter(self.services.values()))
-        await self._lose(served.servers)
-        await asyncio.sleep(_RESTART_AFTER_S)
+        await self._crash_servers(served.servers)
+        await asyncio.sleep(_RESTART_DELAY_S)
         for server in served.servers:
             server.behaviour.cold_ms = cold_ms
             server.behaviour.cold_factor = factor
@@ -189,12 +195,12 @@
         """Drain, stop and restart one server of each service after the other."""
         await asyncio.gather(
             *(
-                self._drain_in_turn(served.servers, hold_s, last_hold_s)
+                self._drain_sequentially(served.servers, hold_s, last_hold_s)
                 for served in self.services.values()
             )
         )
 
-    async def _drain_in_turn(
+    async def _drain_sequentially(
         self, servers: Sequence[StandIn], hold_s: float, last_hold_s: float
     ) -> None:
         for server in servers:
@@ -202,35 +208,35 @@
             server.drain()
             await asyncio.sleep(last_hold_s if server is servers[-1] else hold_s)
             self.drain_lags_s.append(max(server.last_new_work - drained, 0.0))
-            self._lost.add(server.name)
+            self._unsupervised.add(server.name)
             await server.stop()
             await server.start()
-            self._lost.discard(server.name)
+            self._unsupervised.discard(server.name)
 
     async def _index_change(self, shard_count: int, overlap_s: float) -> None:
         """Replace the index by one with another number of shards, and back."""
         for served in self.services.values():
             former = served.group.shard_count
             for count in (former + shard_count, former):
-                await self._publish(served, count, overlap_s)
+                await self._publish_snapshot(served, count, overlap_s)
 
-    async def _publish(
-        self, served: Served, shard_count: int, overlap_s: float
+    async def _publish_snapshot(
+        self, service: DeployedService, shard_count: int, overlap_s: float
     ) -> None:
-        snapshot = served.snapshot + 1
-        self.snapshots[served.name][snapshot] = shard_count
-        for number, server in enumerate(served.servers):
-            new = served.holdings(number, snapshot, shard_count)
+        snapshot = service.snapshot + 1
+        self.shard_counts[service.name][snapshot] = shard_count
+        for number, server in enumerate(service.servers):
+            new = service.shards_of_server(number, snapshot, shard_count)
             server.hold(server.holdings | new)
-            await asyncio.sleep(_STEP_S)
-        served.snapshot, served.shard_count = snapshot, shard_count
+            await asyncio.sleep(_ROLLOUT_STEP_S)
+        service.snapshot, service.shard_count = snapshot, shard_count
         await asyncio.sleep(overlap_s)
-        for number, server in enumerate(served.servers):
-            server.hold(served.holdings(number, snapshot, shard_count))
-            await asyncio.sleep(_STEP_S)
+        for number, server in enumerate(service.servers):
+            server.hold(service.shards_of_server(number, snapshot, shard_count))
+            await asyncio.sleep(_ROLLOUT_STEP_S)
 
 
-def _to_zone(
+def _latency_to_zone(
     latency_of: Callable[[str, str], float], zone: str
 ) -> Callable[[str], float]:
     return lambda client: latency_of(client, zone)
--- a/packages/cli/src/kingcuplug_cli/_bench/_bare_worker.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_bare_worker.py
@@ -14,15 +14,15 @@
 import orjson
 from kingcuplug_daemon import Listener
 
-from kingcuplug_cli._bench._worker import serve_commands
+from kingcuplug_cli._bench._worker_process import serve_commands
 
-__all__ = ["BareWorker"]
+__all__ = ["FanOutWorker"]
 
-_HEADERS = {"Content-Type": "application/json"}
-_DEADLINE_MS = 1_000
+_JSON_HEADERS = {"Content-Type": "application/json"}
+_SUB_REQUEST_DEADLINE_MS = 1_000
 
 
-class BareWorker:
+class FanOutWorker:
     """Handlers of the commands."""
 
     def __init__(self) -> None:
@@ -31,20 +31,20 @@
             cookie_jar=aiohttp.DummyCookieJar(),
             auto_decompress=False,
         )
-        self._random = random.Random(1)
-        self._numbers = itertools.count()
+        self._rng = random.Random(1)
+        self._attempt_numbers = itertools.count()
         self._service = ""
-        self._holders: list[list[str]] = []
+        self._shard_addresses: list[list[str]] = []
         self._listener: Listener | None = None
 
     async def prepare(self, fields: dict[str, Any]) -> None:
         """Set the service and the addresses that hold each of its shards."""
         self._service = fields["service"]
-        self._holders = fields["holders"]
+        self._shard_addresses = fields["holders"]
 
     async def listen(self, _: dict[str, Any]) -> str:
         """Accept queries over HTTP; return the address."""
-        self._listener = Listener(self._application, "127.0.0.1:0")
+        self._listener = Listener(self._asgi_application, "127.0.0.1:0")
         await self._listener.start()
         return self._listener.address
 
@@ -55,41 +55,46 @@
         tasks = []
         for at_s, body in fields["queries"]:
             await asyncio.sleep(max(start + at_s - loop.time(), 0))
-            tasks.append(loop.create_task(self._query(f"bare-{at_s}", body)))
+            tasks.append(loop.create_task(self._fan_out(f"bare-{at_s}", body)))
         await asyncio.gather(*tasks)
 
     async def stop(self, _: dict[str, Any]) -> None:
         """Close the connections."""
         await self._http.close()
 
-    async def _query(self, request_id: str, body: Any) -> list[dict[str, Any]]:
+    async def _fan_out(self, request_id: str, body: Any) -> list[dict[str, Any]]:
         replies = await asyncio.gather(
-            *(self._send(request_id, s, body) for s in range(len(self._holders)))
+            *(
+                self._send_sub_request(request_id, s, body)
+                for s in range(len(self._shard_addresses))
+            )
         )
         return [{"shard": reply["shard"], "value": reply["value"]} for reply in replies]
 
-    async def _send(self, request_id: str, shard: int, body: Any) -> Any:
+    async def _send_sub_request(self, request_id: str, shard: int, body: Any) -> Any:
         fields = {
             "request_id": request_id,
-            "attempt_id": f"{next(self._numbers)}",
+            "attempt_id": f"{next(self._attempt_numbers)}",
             "service": self._service,
             "snapshot": 1,
             "shard": shard,
-            "shard_count": len(self._holders),
-            "deadline_ms": _DEADLINE_MS,
+            "shard_count": len(self._shard_addresses),
+            "deadline_ms": _SUB_REQUEST_DEADLINE_MS,
             "priority": "normal",
             "kind": "query",
             "body": body,
         }
-        address = self._random.choice(self._holders[shard])
+        address = self._rng.choice(self._shard_addresses[shard])
         async with self._http.post(
-            f"http://{address}/sub-request", data=orjson.dumps(fields), headers=_HEADERS
+            f"http://{address}/sub-request",
+            data=orjson.dumps(fields),
+            headers=_JSON_HEADERS,
         ) as response:
             reply = orjson.loads(await response.read())
         # A shed sub-request has no value; the comparison runs below that load.
         return {"value": None} | reply
 
-    async def _application(self, scope: Any, receive: Any, send: Any) -> None:
+    async def _asgi_application(self, scope: Any, receive: Any, send: Any) -> None:
         parts = []
         while True:
             message = await receive()
@@ -99,15 +104,15 @@
         fields = orjson.loads(b"".join(parts) or b"{}")
         answer: dict[str, Any] = {}
         if "body" in fields:
-            value = await self._query(fields["request_id"], fields["body"])
-            answer = _answer(value, len(self._holders))
+            value = await self._fan_out(fields["request_id"], fields["body"])
+            answer = _answer_fields(value, len(self._shard_addresses))
         head = [(b"content-type", b"application/json")]
         start = {"type": "http.response.start", "status": 200, "headers": head}
         await send(start)
         await send({"type": "http.response.body", "body": orjson.dumps(answer)})
 
 
-def _answer(value: list[dict[str, Any]], shard_count: int) -> dict[str, Any]:
+def _answer_fields(value: list[dict[str, Any]], shard_count: int) -> dict[str, Any]:
     return {
         "value": value,
         "snapshot": 1,
@@ -120,7 +125,7 @@
 
 
 async def _main() -> None:
-    worker = BareWorker()
+    worker = FanOutWorker()
     names = ("prepare", "listen", "drive", "stop")
     await serve_commands({name: getattr(worker, name) for name in names})
 
--- a/packages/cli/src/kingcuplug_cli/_bench/_cpu.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_cpu.py
@@ -13,24 +13,34 @@
 
 import aiohttp
 
-from kingcuplug_cli._bench._balancer import Balancer
 from kingcuplug_cli._bench._deployment import BenchDeployment
-from kingcuplug_cli._bench._load import Sample, send_all
-from kingcuplug_cli._bench._scenario import Mix, Phase, Policy, Scenario, Times
-from kingcuplug_cli._bench._schedule import Arrival, plan
-from kingcuplug_cli._bench._worker import Worker
+from kingcuplug_cli._bench._load_balancer import LoadBalancer
+from kingcuplug_cli._bench._load_generator import Sample, send_arrivals
+from kingcuplug_cli._bench._scenario import (
+    Phase,
+    Policy,
+    RequestMix,
+    Scenario,
+    ServiceTimes,
+)
+from kingcuplug_cli._bench._schedule import Arrival, plan_arrivals
+from kingcuplug_cli._bench._worker_process import WorkerProcess
 from kingcuplug_cli._local import Sizes
 
-__all__ = ["CpuFigure", "compare", "cpu_table", "write_cpu"]
+__all__ = ["ProcessCpu", "format_cpu_table", "measure_cpu", "write_cpu_report"]
 
-_LATE_WORK_S = 0.3
-_ENTRY, _BARE, _LISTENING = "entry host", "bare fan-out", "bare fan-out, listening"
-_MICROSECONDS = 1_000_000
-_BOUND = 1.5
+_STRAGGLER_WAIT_S = 0.3
+_ENTRY_HOST, _BARE_CLIENT, _BARE_SERVER = (
+    "entry host",
+    "bare fan-out",
+    "bare fan-out, listening",
+)
+_US_PER_S = 1_000_000
+_MAX_NET_CPU_RATIO = 1.5
 
 
 @dataclasses.dataclass(slots=True)
-class CpuFigure:
+class ProcessCpu:
     """CPU of one kind of process, over all rounds.
 
     Attributes
@@ -50,171 +60,200 @@
     def net_us(self) -> float:
         """Microseconds per sub-request beyond what the process needs at rest."""
         busy_s = self.cpu_s - self.rest_share * self.clock_s
-        return busy_s / max(self.sub_requests, 1) * _MICROSECONDS
+        return busy_s / max(self.sub_requests, 1) * _US_PER_S
 
     @property
     def per_sub_request_us(self) -> float:
         """Microseconds of CPU per sub-request."""
-        return self.cpu_s / max(self.sub_requests, 1) * _MICROSECONDS
+        return self.cpu_s / max(self.sub_requests, 1) * _US_PER_S
 
     @property
-    def share(self) -> float:
+    def core_share(self) -> float:
         """Share of one core."""
         return self.cpu_s / max(self.clock_s, 1e-9)
 
 
-async def compare(
+async def measure_cpu(
     sizes: Sizes,
-    text: dict[str, Any],
+    configuration: dict[str, Any],
     policy: Policy,
     seed: int,
     rounds: int,
     duration_s: float,
     load: float,
     profile: bool,
-) -> tuple[dict[str, CpuFigure], str]:
+) -> tuple[dict[str, ProcessCpu], str]:
     """Measure the three kinds; return their figures and profiles."""
     scenario = Scenario(
         name="cpu",
         description="Steady queries.",
         phases=(Phase(name="steady", duration_s=duration_s, load=load),),
-        mix=Mix(orders=0.0),
+        mix=RequestMix(orders=0.0),
         configuration_period_s=None,
     )
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as http:
         deployment = BenchDeployment(
-            sizes, text, policy, http, seed, entry_hosts=1, host_processes=1
+            sizes,
+            configuration,
+            policy,
+            http,
+            seed,
+            entry_host_count=1,
+            host_process_count=1,
         )
-        comparison = _Comparison(deployment, sizes, http)
+        comparison = _CpuComparison(deployment, sizes, http)
         try:
             await comparison.start()
             for number in range(-1, rounds):
-                arrivals = plan(scenario, deployment.loads, seed + number)
+                arrivals = plan_arrivals(
+                    scenario, deployment.service_loads, seed + number
+                )
                 # The first round opens connections and is not counted.
-                await comparison.round(arrivals, counted=number >= 0)
-            await comparison.rest(duration_s)
+                await comparison.run_round(arrivals, counted=number >= 0)
+            await comparison.measure_idle(duration_s)
             found = ""
             if profile:
-                arrivals = plan(scenario, deployment.loads, seed + rounds)
-                found = await comparison.profile(arrivals)
-            return comparison.figures, found
+                arrivals = plan_arrivals(
+                    scenario, deployment.service_loads, seed + rounds
+                )
+                found = await comparison.collect_profiles(arrivals)
+            return comparison.results, found
         finally:
             await comparison.stop()
 
 
-class _Comparison:
+class _CpuComparison:
     """The three processes and the stand-ins that they share."""
 
     def __init__(
         self, deployment: BenchDeployment, sizes: Sizes, http: aiohttp.ClientSession
     ) -> None:
-        self.figures = {name: CpuFigure() for name in (_ENTRY, _BARE, _LISTENING)}
+        self.results = {
+            name: ProcessCpu() for name in (_ENTRY_HOST, _BARE_CLIENT, _BARE_SERVER)
+        }
         self._deployment = deployment
         self._sizes = sizes
         self._http = http
-        self._bare = Worker(_BARE, "kingcuplug_cli._bench._bare_worker")
-        self._listening = Worker(_LISTENING, "kingcuplug_cli._bench._bare_worker")
-        self._balancer = Balancer(http)
+        self._bare_client = WorkerProcess(
+            _BARE_CLIENT, "kingcuplug_cli._bench._bare_worker"
+        )
+        self._bare_server = WorkerProcess(
+            _BARE_SERVER, "kingcuplug_cli._bench._bare_worker"
+        )
+        self._bare_balancer = LoadBalancer(http)
 
     async def start(self) -> None:
         """Start all processes."""
-        await self._deployment.start(Times())
-        addresses = await self._deployment.servers.call("holders")
-        service = self._deployment.loads[0].name
-        for worker in (self._bare, self._listening):
+        await self._deployment.start(ServiceTimes())
+        addresses = await self._deployment.server_worker.call("holders")
+        service = self._deployment.service_loads[0].name
+        for worker in (self._bare_client, self._bare_server):
             await worker.start()
             await worker.call("prepare", service=service, holders=addresses[service])
-        self._balancer.targets["bare"] = await self._listening.call("listen")
-        self._balancer.ready.add("bare")
+        self._bare_balancer.addresses["bare"] = await self._bare_server.call("listen")
+        self._bare_balancer.ready_hosts.add("bare")
 
     async def stop(self) -> None:
         """End all processes."""
-        for worker in (self._bare, self._listening):
+        for worker in (self._bare_client, self._bare_server):
             if worker.running:
                 await worker.call("stop")
             await worker.stop()
         await self._deployment.stop()
 
-    async def round(self, arrivals: list[Arrival], counted: bool) -> None:
+    async def run_round(self, arrivals: list[Arrival], counted: bool) -> None:
         """Let each kind serve the arrivals once."""
-        turns: tuple[tuple[str, Worker, Callable[[], Awaitable[list[Sample]]]], ...] = (
+        turns: tuple[
+            tuple[str, WorkerProcess, Callable[[], Awaitable[list[Sample]]]], ...
+        ] = (
             (
-                _ENTRY,
-                self._deployment.hosts[1],
-                lambda: self._send(arrivals, self._deployment.balancer),
+                _ENTRY_HOST,
+                self._deployment.host_workers[1],
+                lambda: self._send_over_http(arrivals, self._deployment.balancer),
             ),
-            (_BARE, self._bare, lambda: self._drive(arrivals)),
             (
-                _LISTENING,
-                self._listening,
-                lambda: self._send(arrivals, self._balancer),
+                _BARE_CLIENT,
+                self._bare_client,
+                lambda: self._send_from_bare_client(arrivals),
+            ),
+            (
+                _BARE_SERVER,
+                self._bare_server,
+                lambda: self._send_over_http(arrivals, self._bare_balancer),
             ),
         )
         for name, worker, work in turns:
-            await self._deployment.servers.call("journal")
+            await self._deployment.server_worker.call("journal")
             before = await worker.call("usage")
             samples = await work()
-            await asyncio.sleep(_LATE_WORK_S)
+            await asyncio.sleep(_STRAGGLER_WAIT_S)
             after = await worker.call("usage")
-            journal = await self._deployment.servers.call("journal")
+            journal = await self._deployment.server_worker.call("journal")
             if counted:
-                figure = self.figures[name]
+                figure = self.results[name]
                 figure.cpu_s += after["cpu_s"] - before["cpu_s"]
                 figure.clock_s += after["clock_s"] - before["clock_s"]
                 figure.sub_requests += journal["totals"]["received"]
                 figure.unanswered += sum(not sample.answered for sample in samples)
 
-    async def rest(self, duration_s: float) -> None:
+    async def measure_idle(self, duration_s: float) -> None:
         """Measure the processes without queries."""
-        workers = (self._deployment.hosts[1], self._bare, self._listening)
+        workers = (
+            self._deployment.host_workers[1],
+            self._bare_client,
+            self._bare_server,
+        )
         before = [await worker.call("usage") for worker in workers]
         await asyncio.sleep(duration_s)
         after = [await worker.call("usage") for worker in workers]
-        for figure, then, now in zip(self.figures.values(), before, after, strict=True):
+        for figure, then, now in zip(self.results.values(), before, after, strict=True):
             clock_s = now["clock_s"] - then["clock_s"]
             figure.rest_share = (now["cpu_s"] - then["cpu_s"]) / clock_s
 
-    async def profile(self, arrivals: list[Arrival]) -> str:
+    async def collect_profiles(self, arrivals: list[Arrival]) -> str:
         """Return the profiles of the entry host and of the bare fan-out."""
-        entry = self._deployment.hosts[1]
+        entry = self._deployment.host_workers[1]
         await entry.call("begin_profile")
-        await self._send(arrivals, self._deployment.balancer)
+        await self._send_over_http(arrivals, self._deployment.balancer)
         found = str(await entry.call("end_profile"))
-        await self._bare.call("begin_profile")
-        await self._drive(arrivals)
-        return found + str(await self._bare.call("end_profile"))
+        await self._bare_client.call("begin_profile")
+        await self._send_from_bare_client(arrivals)
+        return found + str(await self._bare_client.call("end_profile"))
 
-    async def _send(self, arrivals: list[Arrival], balancer: Balancer) -> list[Sample]:
+    async def _send_over_http(
+        self, arrivals: list[Arrival], balancer: LoadBalancer
+    ) -> list[Sample]:
         latency_ms = self._sizes.caller_latency_ms
-        return (await send_all(arrivals, self._http, balancer, latency_ms))[1]
+        return (await send_arrivals(arrivals, self._http, balancer, latency_ms))[1]
 
-    async def _drive(self, arrivals: list[Arrival]) -> list[Sample]:
+    async def _send_from_bare_client(self, arrivals: list[Arrival]) -> list[Sample]:
         queries = [(arrival.at_s, arrival.body) for arrival in arrivals]
-        await self._bare.call("drive", queries=queries)
+        await self._bare_client.call("drive", queries=queries)
         return []
 
 
-def cpu_table(figures: dict[str, CpuFigure]) -> str:
+def format_cpu_table(results: dict[str, ProcessCpu]) -> str:
     """Return the comparison and its verdict as a Markdown table."""
-    bare = figures[_BARE]
+    bare = results[_BARE_CLIENT]
     lines = [
         "| process | sub-requests | refused queries | CPU share | at rest "
         "| us per sub-request | ratio to bare | without rest | ratio to bare |",
         "| --- " * 9 + "|",
     ]
-    for name, figure in figures.items():
+    for name, figure in results.items():
         each = figure.per_sub_request_us
         lines.append(
             f"| {name} | {figure.sub_requests} | {figure.unanswered} "
-            f"| {figure.share:.1%} | {figure.rest_share:.1%} "
+            f"| {figure.core_share:.1%} | {figure.rest_share:.1%} "
             f"| {each:.0f} | {_ratio(each, bare.per_sub_request_us):.2f} "
             f"| {figure.net_us:.0f} | {_ratio(figure.net_us, bare.net_us):.2f} |"
         )
-    ratio = _ratio(figures[_ENTRY].net_us, bare.net_us)
-    verdict = "pass" if ratio <= _BOUND else "MISS"
+    ratio = _ratio(results[_ENTRY_HOST].net_us, bare.net_us)
+    verdict = "pass" if ratio <= _MAX_NET_CPU_RATIO else "MISS"
     lines.append(
-        f"\nTarget: ratio without rest <= {_BOUND}; measured {ratio:.2f}: {verdict}"
+        f"\nTarget: ratio without rest <= {_MAX_NET_CPU_RATIO}; "
+        f"measured {ratio:.2f}: {verdict}"
     )
     return "\n".join(lines)
 
@@ -223,13 +262,13 @@
     return value / max(divisor, 1e-9)
 
 
-def write_cpu(folder: Path, figures: dict[str, CpuFigure]) -> None:
+def write_cpu_report(folder: Path, results: dict[str, ProcessCpu]) -> None:
     """Write ``cpu.json`` and ``cpu.md``."""
     folder.mkdir(parents=True, exist_ok=True)
     fields = {
         name: dataclasses.asdict(figure)
         | {"per_sub_request_us": figure.per_sub_request_us, "net_us": figure.net_us}
-        for name, figure in figures.items()
+        for name, figure in results.items()
     }
     (folder / "cpu.json").write_text(json.dumps(fields, indent=2) + "\n")
-    (folder / "cpu.md").write_text(cpu_table(figures) + "\n")
+    (folder / "cpu.md").write_text(format_cpu_table(results) + "\n")
--- a/packages/cli/src/kingcuplug_cli/_bench/_truth.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_ground_truth.py
@@ -5,12 +5,12 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any
 
-from kingcuplug_cli._bench._load import Sample
+from kingcuplug_cli._bench._load_generator import Sample
 from kingcuplug_cli._standin import expected_value
 
-__all__ = ["VIOLATIONS", "Truth", "judge", "shard_values"]
+__all__ = ["INVARIANT_VIOLATIONS", "GroundTruth", "count_violations", "shard_values"]
 
-VIOLATIONS = (
+INVARIANT_VIOLATIONS = (
     "mixed_snapshots",
     "crossed_answers",
     "doubled_orders",
@@ -19,12 +19,12 @@
     "stale_revisions",
 )
 
-_IN_FORCE_S = 4.0
-_ROUNDING = 1e-9
+_CONFIGURATION_DELAY_BOUND_S = 4.0
+_COVERAGE_TOLERANCE = 1e-9
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Truth:
+class GroundTruth:
     """What the stand-ins did in one round.
 
     Attributes
@@ -54,7 +54,7 @@
         journal: Mapping[str, Any],
         revisions: Sequence[tuple[float, int]],
         start: float,
-    ) -> "Truth":
+    ) -> "GroundTruth":
         """Return the truth in a stand-ins' journal."""
         return cls(
             journal["received"],
@@ -66,10 +66,10 @@
         )
 
 
-def judge(
+def count_violations(
     samples: Iterable[Sample],
-    truth: Truth,
-    examples: list[dict[str, Any]] | None = None,
+    truth: GroundTruth,
+    descriptions: list[dict[str, Any]] | None = None,
 ) -> Counter[str]:
     """Count the violations of the invariants, by name.
 
@@ -80,28 +80,32 @@
     examples : list, optional
         Gets a description of each violation.
     """
-    found = Counter(dict.fromkeys(VIOLATIONS, 0))
+    found = Counter(dict.fromkeys(INVARIANT_VIOLATIONS, 0))
     for sample in samples:
-        faults = _faults(sample, truth)
+        faults = _sample_violations(sample, truth)
         found.update(faults)
-        if faults and examples is not None:
-            examples.append(_describe(sample, faults, truth))
+        if faults and descriptions is not None:
+            descriptions.append(_describe_violations(sample, faults, truth))
     doubled = [key for key, runs in truth.orders.items() if runs > 1]
     found["doubled_orders"] += len(doubled)
-    if examples is not None:
-        examples += [{"faults": ["doubled_orders"], "order": key} for key in doubled]
+    if descriptions is not None:
+        descriptions += [
+            {"faults": ["doubled_orders"], "order": key} for key in doubled
+        ]
     return found
 
 
-def _faults(sample: Sample, truth: Truth) -> set[str]:
+def _sample_violations(sample: Sample, truth: GroundTruth) -> set[str]:
     if sample.answered:
-        return _answer_faults(sample, truth)
+        return _answer_violations(sample, truth)
     return {"false_not_run"} if _is_false_not_run(sample, truth) else set()
 
 
-def _describe(sample: Sample, faults: set[str], truth: Truth) -> dict[str, Any]:
+def _describe_violations(
+    sample: Sample, violations: set[str], truth: GroundTruth
+) -> dict[str, Any]:
     return {
-        "faults": sorted(faults),
+        "faults": sorted(violations),
         "request_id": sample.request_id,
         "arrival": dataclasses.asdict(sample.arrival),
         "latency_ms": sample.latency_ms,
@@ -112,28 +116,28 @@
     }
 
 
-def _answer_faults(sample: Sample, truth: Truth) -> set[str]:
+def _answer_violations(sample: Sample, truth: GroundTruth) -> set[str]:
     faults = set()
-    if _is_stale(sample, truth):
+    if _has_stale_revision(sample, truth):
         faults.add("stale_revisions")
     if sample.arrival.kind == "query":
-        faults |= _query_faults(sample, truth)
+        faults |= _query_violations(sample, truth)
     return faults
 
 
-def _query_faults(sample: Sample, truth: Truth) -> set[str]:
+def _query_violations(sample: Sample, truth: GroundTruth) -> set[str]:
     answer, service = sample.answer, sample.arrival.service
     faults = set()
     values = shard_values(answer)
     right = 0
     for shard, value in values:
-        fault = _value_fault(sample, shard, value, truth)
+        fault = _value_violation(sample, shard, value, truth)
         if fault is None:
             right += 1
         else:
             faults.add(fault)
     count = truth.shard_counts.get((service, answer["snapshot"]), 0)
-    if not _coverage_is_true(answer, values, right, count):
+    if not _is_coverage_correct(answer, values, right, count):
         faults.add("untrue_coverage")
     return faults
 
@@ -153,7 +157,9 @@
     ]
 
 
-def _value_fault(sample: Sample, shard: int, value: Any, truth: Truth) -> str | None:
+def _value_violation(
+    sample: Sample, shard: int, value: Any, truth: GroundTruth
+) -> str | None:
     service, body = sample.arrival.service, sample.arrival.body
     snapshot = sample.answer["snapshot"]
     if value == expected_value(service, snapshot, shard, body):
@@ -164,24 +170,28 @@
     return "crossed_answers"
 
 
-def _coverage_is_true(
+def _is_coverage_correct(
     answer: Mapping[str, Any],
-    values: Sequence[tuple[int, Any]],
-    right: int,
-    count: int,
+    values_by_shard: Sequence[tuple[int, Any]],
+    correct_count: int,
+    shard_count: int,
 ) -> bool:
-    shards = {shard for shard, _ in values}
-    if count == 0 or len(shards) != len(values) or answer["shard_count"] != count:
+    shards = {shard for shard, _ in values_by_shard}
+    if (
+        shard_count == 0
+        or len(shards) != len(values_by_shard)
+        or answer["shard_count"] != shard_count
+    ):
         return False
-    missing = sorted(set(range(count)) - shards)
+    missing = sorted(set(range(shard_count)) - shards)
     return bool(
-        abs(answer["coverage"] - right / count) < _ROUNDING
+        abs(answer["coverage"] - correct_count / shard_count) < _COVERAGE_TOLERANCE
         and sorted(answer["missing_shards"]) == missing
-        and answer["partial"] == (right < count)
+        and answer["partial"] == (correct_count < shard_count)
     )
 
 
-def _is_false_not_run(sample: Sample, truth: Truth) -> bool:
+def _is_false_not_run(sample: Sample, truth: GroundTruth) -> bool:
     refusal = sample.answer.get("refusal")
     if refusal is None or refusal["kind"] != "not_run":
         return False
@@ -193,8 +203,8 @@
     return bool(sample.arrival.resend and key and truth.orders.get(key, 0))
 
 
-def _is_stale(sample: Sample, truth: Truth) -> bool:
+def _has_stale_revision(sample: Sample, truth: GroundTruth) -> bool:
     """Return whether a newer revision was in force long before the arrival."""
-    in_force = truth.start + sample.arrival.at_s - _IN_FORCE_S
+    in_force = truth.start + sample.arrival.at_s - _CONFIGURATION_DELAY_BOUND_S
     newest = max((n for at, n in truth.revisions if at <= in_force), default=-1)
     return int(sample.answer["revision"]) < newest
--- a/packages/cli/src/kingcuplug_cli/_bench/_hosts_worker.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_hosts_worker.py
@@ -10,7 +10,7 @@
 from kingcuplug_routing import RoutingPolicy, baseline_policy
 
 from kingcuplug_cli._bench._scenario import Policy
-from kingcuplug_cli._bench._worker import serve_commands
+from kingcuplug_cli._bench._worker_process import serve_commands
 
 __all__ = ["HostsWorker", "routing_policy"]
 
@@ -56,7 +56,7 @@
         """Return whether every entry host here knows all servers as live."""
         wanted = set(fields["servers"])
         entries = [host for host in self._hosts.values() if host.entry is not None]
-        return all(wanted <= _known(host) for host in entries)
+        return all(wanted <= _serving_servers(host) for host in entries)
 
     async def stop(self, _: dict[str, Any]) -> None:
         """Stop all hosts."""
@@ -64,7 +64,7 @@
         await asyncio.gather(*(host.stop(grace_ms=0) for host in hosts.values()))
 
 
-def _known(host: Host) -> set[str]:
+def _serving_servers(host: Host) -> set[str]:
     assert host.entry is not None
     directory = host.entry.session.directory
     return {
--- a/packages/cli/src/kingcuplug_cli/_bench/_balancer.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_load_balancer.py
@@ -7,13 +7,13 @@
 
 import aiohttp
 
-__all__ = ["Balancer"]
+__all__ = ["LoadBalancer"]
 
-_CHECK_PERIOD_S = 0.25
-_CHECK_TIMEOUT_S = 1.0
+_READINESS_CHECK_PERIOD_S = 0.25
+_READINESS_CHECK_TIMEOUT_S = 1.0
 
 
-class Balancer:
+class LoadBalancer:
     """Round robin over the hosts whose last readiness check passed.
 
     Parameters
@@ -30,39 +30,39 @@
     """
 
     def __init__(self, http: aiohttp.ClientSession) -> None:
-        self.targets: dict[str, str] = {}
-        self.ready: set[str] = set()
+        self.addresses: dict[str, str] = {}
+        self.ready_hosts: set[str] = set()
         self._http = http
-        self._turns = itertools.count()
+        self._next_index = itertools.count()
 
-    def pick(self, exclude: Iterable[str] = ()) -> tuple[str, str]:
+    def next_host(self, excluded: Iterable[str] = ()) -> tuple[str, str]:
         """Return name and address of the next ready host.
 
         Hosts in `exclude` are avoided while there is another one.
         """
-        names = sorted(self.ready - set(exclude)) or sorted(self.targets)
-        name = names[next(self._turns) % len(names)]
-        return name, self.targets[name]
+        names = sorted(self.ready_hosts - set(excluded)) or sorted(self.addresses)
+        name = names[next(self._next_index) % len(names)]
+        return name, self.addresses[name]
 
-    async def run(self) -> None:
+    async def run_readiness_checks(self) -> None:
         """Check all hosts until cancelled."""
         while True:
-            await self.check()
-            await asyncio.sleep(_CHECK_PERIOD_S)
+            await self.check_all_hosts()
+            await asyncio.sleep(_READINESS_CHECK_PERIOD_S)
 
-    async def check(self) -> None:
+    async def check_all_hosts(self) -> None:
         """Ask every host once whether it is ready."""
-        await asyncio.gather(*(self._check(name) for name in list(self.targets)))
+        await asyncio.gather(*(self._check_host(name) for name in list(self.addresses)))
 
-    async def _check(self, name: str) -> None:
+    async def _check_host(self, name: str) -> None:
         passed = False
         with contextlib.suppress(aiohttp.ClientError, TimeoutError, OSError):
             async with (
-                asyncio.timeout(_CHECK_TIMEOUT_S),
-                self._http.get(f"http://{self.targets[name]}/readyz") as response,
+                asyncio.timeout(_READINESS_CHECK_TIMEOUT_S),
+                self._http.get(f"http://{self.addresses[name]}/readyz") as response,
             ):
                 passed = response.status == 200
         if passed:
-            self.ready.add(name)
+            self.ready_hosts.add(name)
         else:
-            self.ready.discard(name)
+            self.ready_hosts.discard(name)
--- a/packages/cli/src/kingcuplug_cli/_bench/_load.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_load_generator.py
@@ -9,14 +9,14 @@
 import aiohttp
 from kingcuplug_common import identifier
 
-from kingcuplug_cli._bench._balancer import Balancer
+from kingcuplug_cli._bench._load_balancer import LoadBalancer
 from kingcuplug_cli._bench._schedule import Arrival
 
-__all__ = ["Sample", "send_all"]
+__all__ = ["Sample", "send_arrivals"]
 
-_MILLISECONDS = 1_000
-_TIMEOUT_S = 5.0
-_CONNECT_TRIES = 3
+_MS_PER_S = 1_000
+_REQUEST_TIMEOUT_S = 5.0
+_MAX_CONNECT_ATTEMPTS = 3
 
 
 @dataclasses.dataclass(slots=True)
@@ -48,33 +48,36 @@
         return self.status == 200
 
 
-class _Round:
+class _RequestSender:
     """What the senders of one round share."""
 
     def __init__(
-        self, http: aiohttp.ClientSession, balancer: Balancer, caller_latency_ms: float
+        self,
+        http: aiohttp.ClientSession,
+        balancer: LoadBalancer,
+        caller_latency_ms: float,
     ) -> None:
         self.http = http
         self.balancer = balancer
-        self.latency_s = caller_latency_ms / _MILLISECONDS
-        self.issued_ms = time.time_ns() // 1_000_000
+        self.latency_s = caller_latency_ms / _MS_PER_S
+        self.started_unix_ms = time.time_ns() // 1_000_000
 
-    async def send(self, arrival: Arrival, planned: float) -> Sample:
+    async def send(self, arrival: Arrival, planned_at: float) -> Sample:
         """Send one arrival, whose planned time is `planned`."""
         loop = asyncio.get_running_loop()
         sample = Sample(arrival, identifier())
-        sample.lag_ms = (loop.time() - planned) * _MILLISECONDS
-        await asyncio.sleep(planned + self.latency_s - loop.time())
+        sample.lag_ms = (loop.time() - planned_at) * _MS_PER_S
+        await asyncio.sleep(planned_at + self.latency_s - loop.time())
         try:
-            async with asyncio.timeout(_TIMEOUT_S):
-                await self._post(sample, self._fields(sample))
+            async with asyncio.timeout(_REQUEST_TIMEOUT_S):
+                await self._post(sample, self._request_fields(sample))
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             sample.error = repr(error)
         ended = loop.time() + self.latency_s
-        sample.latency_ms = (ended - planned) * _MILLISECONDS
+        sample.latency_ms = (ended - planned_at) * _MS_PER_S
         return sample
 
-    def _fields(self, sample: Sample) -> dict[str, Any]:
+    def _request_fields(self, sample: Sample) -> dict[str, Any]:
         arrival = sample.arrival
         fields: dict[str, Any] = {
             "request_id": sample.request_id,
@@ -82,7 +85,7 @@
             "priority": arrival.priority,
         }
         if arrival.order is not None:
-            sample.order_key = f"{self.issued_ms}-{arrival.order}"
+            sample.order_key = f"{self.started_unix_ms}-{arrival.order}"
             fields["idempotency_key"] = sample.order_key
             fields["partition_key"] = arrival.order
             fields["resend"] = arrival.resend
@@ -93,7 +96,7 @@
         path = f"/v1/services/{sample.arrival.service}/{sample.arrival.kind}"
         refused: list[str] = []
         while True:
-            name, address = self.balancer.pick(refused)
+            name, address = self.balancer.next_host(refused)
             try:
                 async with self.http.post(
                     f"http://{address}{path}", json=fields
@@ -103,16 +106,16 @@
                     return
             except aiohttp.ClientConnectorError:
                 refused.append(name)
-                if len(refused) == _CONNECT_TRIES:
+                if len(refused) == _MAX_CONNECT_ATTEMPTS:
                     raise
 
 
-async def send_all(
+async def send_arrivals(
     arrivals: Sequence[Arrival],
     http: aiohttp.ClientSession,
-    balancer: Balancer,
+    balancer: LoadBalancer,
     caller_latency_ms: float,
-    ended: Callable[[Sample], None] = lambda _: None,
+    on_completed: Callable[[Sample], None] = lambda _: None,
 ) -> tuple[float, list[Sample]]:
     """Send all arrivals at their times and wait for the last answer.
 
@@ -122,7 +125,7 @@
         The loop's time at the start of the round, and the samples.
     """
     loop = asyncio.get_running_loop()
-    current = _Round(http, balancer, caller_latency_ms)
+    current = _RequestSender(http, balancer, caller_latency_ms)
     start = loop.time()
     tasks = []
     for arrival in arrivals:
@@ -130,6 +133,6 @@
         if planned > loop.time():
             await asyncio.sleep(planned - loop.time())
         task = loop.create_task(current.send(arrival, planned))
-        task.add_done_callback(lambda done: ended(done.result()))
+        task.add_done_callback(lambda done: on_completed(done.result()))
         tasks.append(task)
     return start, list(await asyncio.gather(*tasks))
--- a/packages/cli/src/kingcuplug_cli/_bench/_figures.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_phase_metrics.py
@@ -7,24 +7,24 @@
 
 from hdrh.histogram import HdrHistogram
 
-from kingcuplug_cli._bench._load import Sample
-from kingcuplug_cli._bench._truth import Truth, shard_values
+from kingcuplug_cli._bench._ground_truth import GroundTruth, shard_values
+from kingcuplug_cli._bench._load_generator import Sample
 
-__all__ = ["PhaseFigures"]
+__all__ = ["PhaseMetrics"]
 
-_LOWEST_US = 1
-_HIGHEST_US = 60_000_000
-_DIGITS = 3
-_MICROSECONDS = 1_000
+_MIN_LATENCY_US = 1
+_MAX_LATENCY_US = 60_000_000
+_SIGNIFICANT_DIGITS = 3
+_US_PER_MS = 1_000
 _PERCENTILES = {"p50_ms": 50.0, "p99_ms": 99.0, "p999_ms": 99.9}
 
 
-def _histogram() -> Any:
-    return HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
+def _make_histogram() -> Any:
+    return HdrHistogram(_MIN_LATENCY_US, _MAX_LATENCY_US, _SIGNIFICANT_DIGITS)
 
 
 @dataclasses.dataclass(slots=True)
-class PhaseFigures:
+class PhaseMetrics:
     """Sums and histograms of one phase.
 
     Attributes
@@ -39,8 +39,8 @@
     """
 
     duration_s: float = 0.0
-    latencies: Any = dataclasses.field(default_factory=_histogram)
-    urgent: Any = dataclasses.field(default_factory=_histogram)
+    latencies: Any = dataclasses.field(default_factory=_make_histogram)
+    urgent: Any = dataclasses.field(default_factory=_make_histogram)
     counts: Counter[str] = dataclasses.field(default_factory=Counter)
     refusals: Counter[str] = dataclasses.field(default_factory=Counter)
     coverage_sum: float = 0.0
@@ -50,10 +50,10 @@
     delivered: int = 0
     worst_recovery_s: float = 0.0
 
-    def add(
+    def add_samples(
         self,
         samples: Iterable[Sample],
-        truth: Truth,
+        truth: GroundTruth,
         duration_s: float,
         event_s: float | None,
     ) -> None:
@@ -61,24 +61,24 @@
         self.duration_s += duration_s
         for sample in samples:
             if sample.arrival.extra:
-                self._add_extra(sample)
+                self._count_extra_request(sample)
                 continue
             self.counts["requests"] += 1
-            self._add_work(sample, truth)
+            self._count_sub_requests(sample, truth)
             if sample.answered:
-                self._add_answer(sample)
+                self._record_answer(sample)
             else:
-                self._add_failure(sample, truth)
-            self._add_recovery(sample, event_s)
+                self._record_failure(sample, truth)
+            self._update_recovery_time(sample, event_s)
 
-    def _add_extra(self, sample: Sample) -> None:
+    def _count_extra_request(self, sample: Sample) -> None:
         self.counts["extra_requests"] += 1
         if sample.answered:
             self.counts["extra_answered"] += 1
 
-    def _add_answer(self, sample: Sample) -> None:
+    def _record_answer(self, sample: Sample) -> None:
         self.counts["answered"] += 1
-        latency_us = min(max(int(sample.latency_ms * _MICROSECONDS), 1), _HIGHEST_US)
+        latency_us = min(max(int(sample.latency_ms * _US_PER_MS), 1), _MAX_LATENCY_US)
         self.latencies.record_value(latency_us)
         if sample.arrival.priority == "urgent":
             self.urgent.record_value(latency_us)
@@ -89,7 +89,7 @@
         self.coverage_sum += sample.answer["coverage"]
         self.counts["whole"] += not sample.answer["partial"]
 
-    def _add_failure(self, sample: Sample, truth: Truth) -> None:
+    def _record_failure(self, sample: Sample, truth: GroundTruth) -> None:
         refusal = sample.answer.get("refusal")
         if refusal is None:
             self.counts["cut"] += 1
@@ -99,7 +99,7 @@
         if not early or refusal["kind"] != "not_run":
             self.counts["late_refusals"] += 1
 
-    def _add_work(self, sample: Sample, truth: Truth) -> None:
+    def _count_sub_requests(self, sample: Sample, truth: GroundTruth) -> None:
         received = truth.received.get(sample.request_id, 0)
         self.started += truth.started.get(sample.request_id, 0)
         if not sample.answered:
@@ -112,7 +112,7 @@
             # A resend is answered from the ledger and may need nothing.
             self.delivered += truth.started.get(sample.request_id, 0)
 
-    def _add_recovery(self, sample: Sample, event_s: float | None) -> None:
+    def _update_recovery_time(self, sample: Sample, event_s: float | None) -> None:
         if event_s is None or sample.arrival.at_s < event_s:
             return
         whole = sample.answered and not sample.answer.get("partial")
@@ -147,5 +147,5 @@
         return figures
 
 
-def _percentile_ms(histogram: Any, share: float) -> float:
-    return float(histogram.get_value_at_percentile(share)) / _MICROSECONDS
+def _percentile_ms(histogram: Any, percentile: float) -> float:
+    return float(histogram.get_value_at_percentile(percentile)) / _US_PER_MS
--- a/packages/cli/src/kingcuplug_cli/_bench/_report.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_report.py
@@ -7,14 +7,20 @@
 from typing import Any
 
 from kingcuplug_cli._bench._runner import PolicyResult
-from kingcuplug_cli._bench._targets import Verdict
-
-__all__ = ["is_saturated", "scenario_fields", "table", "truth_holds", "write"]
-
-_SATURATED = 0.85
-_LATE_LAG_MS = 20.0
-_LAG_PERCENTILE = 0.99
-_COLUMNS = (
+from kingcuplug_cli._bench._targets import TargetResult
+
+__all__ = [
+    "format_targets_table",
+    "invariants_hold",
+    "is_saturated",
+    "scenario_fields",
+    "write_report",
+]
+
+_SATURATED_CORE_SHARE = 0.85
+_MAX_START_LAG_MS = 20.0
+_START_LAG_QUANTILE = 0.99
+_METRIC_COLUMNS = (
     "requests",
     "p50_ms",
     "p99_ms",
@@ -30,14 +36,14 @@
 
 
 def scenario_fields(
-    results: Mapping[str, PolicyResult], verdicts: Iterable[Verdict]
+    results: Mapping[str, PolicyResult], target_results: Iterable[TargetResult]
 ) -> dict[str, Any]:
     """Return the JSON value of one scenario."""
     return {
         "policies": {name: _policy_fields(result) for name, result in results.items()},
         "verdicts": [
-            {name: getattr(verdict, name) for name in Verdict.__slots__}
-            for verdict in verdicts
+            {name: getattr(verdict, name) for name in TargetResult.__slots__}
+            for verdict in target_results
         ],
     }
 
@@ -48,7 +54,7 @@
         "truth": dict(result.truth),
         "cpu": result.cpu,
         "peak_mib": result.peak_mib,
-        "lag_p99_ms": _lag_ms(result),
+        "lag_p99_ms": _start_lag_ms(result),
         "saturated": is_saturated(result),
         "stand_ins": dict(result.totals),
         "violations": result.violations,
@@ -57,67 +63,78 @@
     }
 
 
-def _lag_ms(result: PolicyResult) -> float:
+def _start_lag_ms(result: PolicyResult) -> float:
     lags = sorted(result.lags_ms)
-    return lags[int(len(lags) * _LAG_PERCENTILE)] if lags else 0.0
+    return lags[int(len(lags) * _START_LAG_QUANTILE)] if lags else 0.0
 
 
 def is_saturated(result: PolicyResult) -> bool:
     """Return whether a process or the load generator was the bottleneck."""
     busiest = max(result.cpu.values(), default=0.0)
-    return busiest > _SATURATED or _lag_ms(result) > _LATE_LAG_MS
+    return busiest > _SATURATED_CORE_SHARE or _start_lag_ms(result) > _MAX_START_LAG_MS
 
 
-def truth_holds(results: Mapping[str, PolicyResult]) -> bool:
+def invariants_hold(results: Mapping[str, PolicyResult]) -> bool:
     """Return whether no request of any policy violated an invariant."""
     return not any(result.truth.total() for result in results.values())
 
 
-def table(verdicts: Sequence[Verdict]) -> str:
+def format_targets_table(target_results: Sequence[TargetResult]) -> str:
     """Return the targets as a Markdown table."""
     lines = [
         "| scenario | target | bound | measured | baseline | verdict |",
         "| --- | --- | --- | --- | --- | --- |",
     ]
-    for each in verdicts:
-        baseline = "" if each.baseline is None else _number(each.baseline)
+    for each in target_results:
+        baseline = "" if each.baseline is None else _format_number(each.baseline)
         verdict = "pass" if each.passed else "MISS"
         lines.append(
             f"| {each.scenario} | {each.target} | {each.bound} | "
-            f"{_number(each.measured)} | {baseline} | {verdict} |"
+            f"{_format_number(each.measured)} | {baseline} | {verdict} |"
         )
     return "\n".join(lines)
 
 
-def _number(value: float) -> str:
+def _format_number(value: float) -> str:
     return "none" if math.isnan(value) else f"{value:.4g}"
 
 
-def write(folder: Path, fields: dict[str, Any], verdicts: Sequence[Verdict]) -> None:
+def write_report(
+    folder: Path, fields: dict[str, Any], target_results: Sequence[TargetResult]
+) -> None:
     """Write ``results.json``, ``report.md`` and one plot per scenario."""
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "results.json").write_text(json.dumps(fields, indent=2) + "\n")
-    parts = [f"# {fields['deployment']}, seed {fields['seed']}", table(verdicts)]
+    parts = [
+        f"# {fields['deployment']}, seed {fields['seed']}",
+        format_targets_table(target_results),
+    ]
     for name, scenario in fields["scenarios"].items():
-        parts += [f"## {name}", _phases_table(scenario), _notes(scenario)]
+        parts += [
+            f"## {name}",
+            _format_phases_table(scenario),
+            _format_policy_notes(scenario),
+        ]
         parts.append(f"![{name}]({name}.png)")
-        _plot(folder / f"{name}.png", name, scenario)
+        _write_plot(folder / f"{name}.png", name, scenario)
     (folder / "report.md").write_text("\n\n".join(parts) + "\n")
 
 
-def _phases_table(scenario: dict[str, Any]) -> str:
+def _format_phases_table(scenario: dict[str, Any]) -> str:
     lines = [
-        f"| policy | phase | {' | '.join(_COLUMNS)} |",
-        "| --- " * (len(_COLUMNS) + 2) + "|",
+        f"| policy | phase | {' | '.join(_METRIC_COLUMNS)} |",
+        "| --- " * (len(_METRIC_COLUMNS) + 2) + "|",
     ]
     for policy, fields in scenario["policies"].items():
         for phase, figures in fields["phases"].items():
-            values = " | ".join(_number(float(figures[name])) for name in _COLUMNS)
+            values = " | ".join(
+                _format_number(float(figures[name])) for name in _METRIC_COLUMNS
+            )
             lines.append(f"| {policy} | {phase} | {values} |")
     return "\n".join(lines)
 
 
-def _notes(scenario: dict[str, Any]) -> str:
+def _format_policy_notes(scenario: dict[str, Any]) -> str:
     lines = []
     for policy, fields in scenario["policies"].items():
         cpu = ", ".join(f"{name} {share:.0%}" for name, share in fields["cpu"].items())
@@ -136,7 +153,7 @@
     return "\n".join(lines)
 
 
-def _plot(path: Path, title: str, scenario: dict[str, Any]) -> None:
+def _write_plot(path: Path, title: str, scenario: dict[str, Any]) -> None:
     # Loading matplotlib takes half a second, which other commands need not pay.
     from matplotlib.figure import Figure
 
--- a/packages/cli/src/kingcuplug_cli/_bench/_runner.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_runner.py
@@ -11,15 +11,19 @@
 from tqdm import tqdm
 
 from kingcuplug_cli._bench._deployment import BenchDeployment
-from kingcuplug_cli._bench._figures import PhaseFigures
-from kingcuplug_cli._bench._load import Sample, send_all
-from kingcuplug_cli._bench._scenario import Phase, Policy, Scenario, Times
-from kingcuplug_cli._bench._schedule import plan
-from kingcuplug_cli._bench._truth import VIOLATIONS, Truth, judge
-from kingcuplug_cli._bench._worker import usage
+from kingcuplug_cli._bench._ground_truth import (
+    INVARIANT_VIOLATIONS,
+    GroundTruth,
+    count_violations,
+)
+from kingcuplug_cli._bench._load_generator import Sample, send_arrivals
+from kingcuplug_cli._bench._phase_metrics import PhaseMetrics
+from kingcuplug_cli._bench._scenario import Phase, Policy, Scenario, ServiceTimes
+from kingcuplug_cli._bench._schedule import plan_arrivals
+from kingcuplug_cli._bench._worker_process import process_usage
 from kingcuplug_cli._local import Sizes
 
-__all__ = ["PolicyResult", "Runner"]
+__all__ = ["PolicyResult", "ScenarioRunner"]
 
 _WARM_UP = Scenario(
     name="warm-up",
@@ -27,7 +31,7 @@
     phases=(Phase(name="warm-up", duration_s=2.0, load=0.3),),
     configuration_period_s=None,
 )
-_LATE_WORK_S = 0.3
+_STRAGGLER_WAIT_S = 0.3
 _HOST_ACTIONS = frozenset(("restart_hosts",))
 _LOAD_ACTIONS = frozenset(("bulk_burst", "crash_request"))
 _LOAD_GENERATOR = "load generator"
@@ -49,9 +53,9 @@
         How late the load generator began each arrival.
     """
 
-    phases: dict[str, PhaseFigures] = dataclasses.field(default_factory=dict)
+    phases: dict[str, PhaseMetrics] = dataclasses.field(default_factory=dict)
     truth: Counter[str] = dataclasses.field(
-        default_factory=lambda: Counter(dict.fromkeys(VIOLATIONS, 0))
+        default_factory=lambda: Counter(dict.fromkeys(INVARIANT_VIOLATIONS, 0))
     )
     cpu: dict[str, float] = dataclasses.field(default_factory=dict)
     peak_mib: dict[str, float] = dataclasses.field(default_factory=dict)
@@ -72,7 +76,7 @@
         return {name: p.summary() | common for name, p in self.phases.items()}
 
 
-class Runner:
+class ScenarioRunner:
     """One deployment per policy, all alive at once, loaded one at a time.
 
     Parameters
@@ -94,25 +98,25 @@
     def __init__(
         self,
         sizes: Sizes,
-        text: dict[str, Any],
+        configuration: dict[str, Any],
         policies: Sequence[Policy],
         seed: int,
-        entry_hosts: int = 10,
-        host_processes: int = 2,
+        entry_host_count: int = 10,
+        host_process_count: int = 2,
         warm_up: Scenario | None = _WARM_UP,
     ) -> None:
         self._warm_up = warm_up
         self._sizes = sizes
-        self._text = text
+        self._configuration = configuration
         self._policies = policies
         self._seed = seed
-        self._entry_hosts = entry_hosts
-        self._host_processes = host_processes
+        self._entry_host_count = entry_host_count
+        self._host_process_count = host_process_count
         self._deployments: dict[str, BenchDeployment] = {}
         self._http: aiohttp.ClientSession
 
     @contextlib.asynccontextmanager
-    async def running(self) -> AsyncIterator["Runner"]:
+    async def running_deployments(self) -> AsyncIterator["ScenarioRunner"]:
         """Start one deployment per policy and stop them in the end."""
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(
@@ -120,26 +124,26 @@
         ) as self._http:
             try:
                 for policy in self._policies:
-                    await self._start(policy)
+                    await self._start_deployment(policy)
                 yield self
             finally:
                 for deployment in self._deployments.values():
                     await deployment.stop()
 
-    async def _start(self, policy: Policy) -> None:
+    async def _start_deployment(self, policy: Policy) -> None:
         deployment = BenchDeployment(
             self._sizes,
-            self._text,
+            self._configuration,
             policy,
             self._http,
             self._seed,
-            self._entry_hosts,
-            self._host_processes,
+            self._entry_host_count,
+            self._host_process_count,
         )
         self._deployments[policy.name] = deployment
-        await deployment.start(Times())
+        await deployment.start(ServiceTimes())
         if self._warm_up is not None:
-            await self._round(deployment, self._warm_up, 0, PolicyResult())
+            await self._run_round(deployment, self._warm_up, 0, PolicyResult())
 
     async def run(
         self, scenario: Scenario, rounds: int, progress: "tqdm[Any]"
@@ -152,53 +156,57 @@
             for policy in order:
                 progress.set_postfix_str(f"{scenario.name}, {policy.name}")
                 deployment = self._deployments[policy.name]
-                await self._round(deployment, scenario, number, results[policy.name])
+                await self._run_round(
+                    deployment, scenario, number, results[policy.name]
+                )
                 progress.update()
         return results
 
-    async def _round(
+    async def _run_round(
         self,
         deployment: BenchDeployment,
         scenario: Scenario,
-        number: int,
+        round_number: int,
         result: PolicyResult,
     ) -> None:
-        await deployment.heal(scenario.times)
-        await deployment.servers.call("journal")
-        arrivals = plan(scenario, deployment.loads, self._seed + number)
-        before = await _usages(deployment)
-        async with _events(deployment, scenario):
-            start, samples = await send_all(
+        await deployment.reset_servers(scenario.times)
+        await deployment.server_worker.call("journal")
+        arrivals = plan_arrivals(
+            scenario, deployment.service_loads, self._seed + round_number
+        )
+        before = await _usage_by_process(deployment)
+        async with _scheduled_events(deployment, scenario):
+            start, samples = await send_arrivals(
                 arrivals,
                 self._http,
                 deployment.balancer,
                 self._sizes.caller_latency_ms,
             )
-        await asyncio.sleep(_LATE_WORK_S)
+        await asyncio.sleep(_STRAGGLER_WAIT_S)
         result.configuration_retries += deployment.configuration_retries
         deployment.configuration_retries = 0
-        after = await _usages(deployment)
-        journal = await deployment.servers.call("journal")
+        after = await _usage_by_process(deployment)
+        journal = await deployment.server_worker.call("journal")
         _add_usage(result, before, after)
         _add_journal(result, journal)
-        truth = Truth.from_journal(journal, deployment.revisions, start)
-        _add_samples(result, scenario, samples, truth)
+        truth = GroundTruth.from_journal(journal, deployment.accepted_revisions, start)
+        _evaluate_samples(result, scenario, samples, truth)
 
 
 @contextlib.asynccontextmanager
-async def _events(
+async def _scheduled_events(
     deployment: BenchDeployment, scenario: Scenario
 ) -> AsyncIterator[None]:
     """Let the scenario's events happen while the body runs."""
     tasks = [
-        asyncio.create_task(_event(deployment, event.at_s, event.do, event.fields))
+        asyncio.create_task(_run_event(deployment, event.at_s, event.do, event.fields))
         for event in scenario.events
         if event.do not in _LOAD_ACTIONS
     ]
     ended = asyncio.Event()
     if scenario.configuration_period_s is not None:
         # A change is never cancelled half-way: its revision would stay unknown.
-        changes = _change_configuration(
+        changes = _change_configuration_periodically(
             deployment, scenario.configuration_period_s, ended
         )
         tasks.append(asyncio.create_task(changes))
@@ -211,31 +219,31 @@
             task.cancel()
 
 
-async def _event(
+async def _run_event(
     deployment: BenchDeployment, at_s: float, action: str, fields: dict[str, Any]
 ) -> None:
     await asyncio.sleep(at_s)
     if action in _HOST_ACTIONS:
-        await deployment.restart_hosts(**fields)
+        await deployment.restart_entry_hosts(**fields)
     else:
-        await deployment.servers.call("act", action=action, fields=fields)
+        await deployment.server_worker.call("act", action=action, fields=fields)
 
 
-async def _change_configuration(
-    deployment: BenchDeployment, period_s: float, ended: asyncio.Event
+async def _change_configuration_periodically(
+    deployment: BenchDeployment, period_s: float, load_ended: asyncio.Event
 ) -> None:
     turn = 0
-    while not ended.is_set():
+    while not load_ended.is_set():
         turn += 1
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(period_s):
-                await ended.wait()
+                await load_ended.wait()
                 return
-        await deployment.apply(turn)
+        await deployment.apply_configuration(turn)
 
 
-async def _usages(deployment: BenchDeployment) -> dict[str, dict[str, float]]:
-    return await deployment.usage() | {_LOAD_GENERATOR: usage()}
+async def _usage_by_process(deployment: BenchDeployment) -> dict[str, dict[str, float]]:
+    return await deployment.usage_by_process() | {_LOAD_GENERATOR: process_usage()}
 
 
 def _add_usage(
@@ -259,13 +267,13 @@
     result.errors += journal["errors"]
 
 
-def _add_samples(
-    result: PolicyResult, scenario: Scenario, samples: list[Sample], truth: Truth
+def _evaluate_samples(
+    result: PolicyResult, scenario: Scenario, samples: list[Sample], truth: GroundTruth
 ) -> None:
-    result.truth.update(judge(samples, truth, result.violations))
+    result.truth.update(count_violations(samples, truth, result.violations))
     result.lags_ms += [sample.lag_ms for sample in samples]
     event_s = min((event.at_s for event in scenario.events), default=None)
     for phase in scenario.phases:
-        figures = result.phases.setdefault(phase.name, PhaseFigures())
+        figures = result.phases.setdefault(phase.name, PhaseMetrics())
         own = [sample for sample in samples if sample.arrival.phase == phase.name]
-        figures.add(own, truth, phase.duration_s, event_s)
+        figures.add_samples(own, truth, phase.duration_s, event_s)
--- a/packages/cli/src/kingcuplug_cli/_bench/_scenario.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_scenario.py
@@ -9,19 +9,19 @@
 
 __all__ = [
     "BenchFileInvalid",
-    "Event",
-    "Mix",
     "Phase",
     "Policy",
+    "RequestMix",
     "Scenario",
+    "ScenarioEvent",
+    "ServiceTimes",
     "Target",
-    "Times",
     "load_policy",
     "load_scenario",
-    "names",
+    "packaged_names",
 ]
 
-Action = Literal[
+EventAction = Literal[
     "bulk_burst",
     "cold_restart",
     "crash_request",
@@ -39,11 +39,11 @@
     """A scenario or policy file that cannot be used."""
 
 
-class _Model(BaseModel):
+class _StrictModel(BaseModel):
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class Times(_Model):
+class ServiceTimes(_StrictModel):
     """Service times of the stand-ins, without any event.
 
     Attributes
@@ -60,7 +60,7 @@
     straggle_factor: float = Field(default=6.0, ge=1)
 
 
-class Mix(_Model):
+class RequestMix(_StrictModel):
     """Shares of the arrivals; the rest of the queries is normal."""
 
     urgent: float = Field(default=0.3, ge=0, le=1)
@@ -69,7 +69,7 @@
     resent_orders: float = Field(default=0.3, ge=0, le=1)
 
 
-class Phase(_Model):
+class Phase(_StrictModel):
     """A stretch of one round; `load` is the share of the slots that it needs."""
 
     name: str
@@ -77,21 +77,21 @@
     load: float = Field(gt=0, le=3)
 
 
-class Event(_Model):
+class ScenarioEvent(_StrictModel):
     """Something that happens during a round, at seconds from its start."""
 
     at_s: float = Field(ge=0)
-    do: Action
+    do: EventAction
     fields: dict[str, Any] = Field(default_factory=dict)
 
 
-class Target(_Model):
+class Target(_StrictModel):
     """A bound on one figure of one policy.
 
     Attributes
     ----------
     figure : str
-        Name of a figure of `kingcuplug_cli._bench._figures`.
+        Name of a figure of `kingcuplug_cli._bench._phase_metrics`.
     phase : str
         Phase that is measured.
     against : str or None
@@ -111,26 +111,26 @@
     deployments: tuple[str, ...] = ()
 
     @model_validator(mode="after")
-    def _check_bound(self) -> "Target":
+    def _require_one_bound(self) -> "Target":
         if (self.at_most is None) == (self.at_least is None):
             raise ValueError("give exactly one of at_most and at_least")
         return self
 
 
-class Scenario(_Model):
+class Scenario(_StrictModel):
     """What happens in one round, and what is expected of it."""
 
     name: str
     description: str
     phases: tuple[Phase, ...] = Field(min_length=1)
-    events: tuple[Event, ...] = ()
+    events: tuple[ScenarioEvent, ...] = ()
     targets: tuple[Target, ...] = ()
-    mix: Mix = Mix()
-    times: Times = Times()
+    mix: RequestMix = RequestMix()
+    times: ServiceTimes = ServiceTimes()
     configuration_period_s: float | None = Field(default=1.0, gt=0)
 
     @model_validator(mode="after")
-    def _check_names(self) -> "Scenario":
+    def _check_references(self) -> "Scenario":
         known = {phase.name for phase in self.phases}
         for target in self.targets:
             for name in (target.phase, target.against):
@@ -147,7 +147,7 @@
         return sum(phase.duration_s for phase in self.phases)
 
 
-class Policy(_Model):
+class Policy(_StrictModel):
     """One side of a comparison.
 
     Attributes
@@ -170,7 +170,7 @@
 _Read = TypeVar("_Read", Scenario, Policy)
 
 
-def names(folder: str) -> list[str]:
+def packaged_names(folder: str) -> list[str]:
     """Return the names of the packaged files of ``scenarios`` or ``policies``."""
     files = resources.files("kingcuplug_cli").joinpath(folder).iterdir()
     return sorted(
@@ -180,15 +180,15 @@
 
 def load_scenario(name: str) -> Scenario:
     """Read a packaged scenario by name, or a file by path."""
-    return _read("scenarios", name, Scenario)
+    return _load_model("scenarios", name, Scenario)
 
 
 def load_policy(name: str) -> Policy:
     """Read a packaged policy by name, or a file by path."""
-    return _read("policies", name, Policy)
+    return _load_model("policies", name, Policy)
 
 
-def _read(folder: str, name: str, model: type[_Read]) -> _Read:
+def _load_model(folder: str, name: str, model: type[_Read]) -> _Read:
     try:
         if name.endswith(".json"):
             text = Path(name).read_text()
@@ -199,7 +199,8 @@
     except OSError as error:
         raise BenchFileInvalid(
             f"{name!r} cannot be read: {error.strerror}",
-            f"name a path ending in .json or one of {', '.join(names(folder))}",
+            "name a path ending in .json or one of "
+            f"{', '.join(packaged_names(folder))}",
         ) from error
     except ValidationError as error:
         raise BenchFileInvalid(
--- a/packages/cli/src/kingcuplug_cli/_bench/_schedule.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_schedule.py
@@ -10,13 +10,18 @@
 from collections.abc import Iterator, Sequence
 from typing import Any
 
-from kingcuplug_cli._bench._scenario import Event, Mix, Scenario, Times
+from kingcuplug_cli._bench._scenario import (
+    RequestMix,
+    Scenario,
+    ScenarioEvent,
+    ServiceTimes,
+)
 
-__all__ = ["Arrival", "ServiceLoad", "mean_service_ms", "plan"]
+__all__ = ["Arrival", "ServiceLoad", "mean_service_time_ms", "plan_arrivals"]
 
-_BODIES = 200
-_MILLISECONDS = 1_000
-_RESEND_AFTER_S = 0.05
+_DISTINCT_BODY_COUNT = 200
+_MS_PER_S = 1_000
+_MAX_RESEND_DELAY_S = 0.05
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -52,13 +57,13 @@
     extra: bool = False
 
 
-def mean_service_ms(times: Times) -> float:
+def mean_service_time_ms(times: ServiceTimes) -> float:
     """Return the mean of the service time distribution."""
     mean = times.median_ms * math.exp(times.spread**2 / 2)
     return mean * (1 + times.straggle_share * (times.straggle_factor - 1))
 
 
-def plan(
+def plan_arrivals(
     scenario: Scenario, services: Sequence[ServiceLoad], seed: int
 ) -> list[Arrival]:
     """Return the arrivals of one round in the order of their times.
@@ -70,13 +75,13 @@
     drawn = [
         arrival
         for service in services
-        for arrival in _of_service(scenario, service, source)
+        for arrival in _service_arrivals(scenario, service, source)
     ]
     for event in scenario.events:
         if event.do == "bulk_burst":
-            drawn += _burst(scenario, event, services, source)
+            drawn += _bulk_burst_arrivals(scenario, event, services, source)
         elif event.do == "crash_request":
-            drawn += _crashing(scenario, event, services[0], seed)
+            drawn += _crash_request_arrivals(scenario, event, services[0], seed)
     drawn.sort(key=lambda arrival: arrival.at_s)
     return [
         dataclasses.replace(arrival, number=number)
@@ -84,83 +89,88 @@
     ]
 
 
-def _of_service(
-    scenario: Scenario, service: ServiceLoad, source: random.Random
+def _service_arrivals(
+    scenario: Scenario, service: ServiceLoad, rng: random.Random
 ) -> Iterator[Arrival]:
     start = 0.0
     for phase in scenario.phases:
-        rate = _rate(service, phase.load, scenario.times)
-        for at_s in _poisson(rate, start, start + phase.duration_s, source):
-            yield from _requests(at_s, phase.name, service, scenario.mix, source)
+        rate = _arrival_rate_per_s(service, phase.load, scenario.times)
+        for at_s in _poisson_times(rate, start, start + phase.duration_s, rng):
+            yield from _draw_request(at_s, phase.name, service, scenario.mix, rng)
         start += phase.duration_s
 
 
-def _rate(service: ServiceLoad, load: float, times: Times) -> float:
+def _arrival_rate_per_s(
+    service: ServiceLoad, load: float, times: ServiceTimes
+) -> float:
     """Return the queries per second that need `load` of the service's slots."""
-    query_s = service.shard_count * mean_service_ms(times) / _MILLISECONDS
+    query_s = service.shard_count * mean_service_time_ms(times) / _MS_PER_S
     return load * service.slots / query_s
 
 
-def _poisson(
-    rate: float, start: float, end: float, source: random.Random
+def _poisson_times(
+    rate_per_s: float, start_s: float, end_s: float, rng: random.Random
 ) -> Iterator[float]:
-    at_s = start + source.expovariate(rate)
-    while at_s < end:
+    at_s = start_s + rng.expovariate(rate_per_s)
+    while at_s < end_s:
         yield at_s
-        at_s += source.expovariate(rate)
+        at_s += rng.expovariate(rate_per_s)
 
 
-def _requests(
-    at_s: float, phase: str, service: ServiceLoad, mix: Mix, source: random.Random
+def _draw_request(
+    at_s: float, phase: str, service: ServiceLoad, mix: RequestMix, rng: random.Random
 ) -> Iterator[Arrival]:
-    chosen = source.random()
-    body = {"check": source.randrange(_BODIES), "service": service.name}
+    chosen = rng.random()
+    body = {"check": rng.randrange(_DISTINCT_BODY_COUNT), "service": service.name}
     priority = "normal"
     if chosen < mix.urgent:
         priority = "urgent"
     elif chosen < mix.urgent + mix.bulk:
         priority = "bulk"
-    if source.random() >= mix.orders:
+    if rng.random() >= mix.orders:
         yield Arrival(0, at_s, phase, service.name, "query", priority, body)
         return
-    order = f"{source.getrandbits(64):016x}"
+    order = f"{rng.getrandbits(64):016x}"
     first = Arrival(0, at_s, phase, service.name, "order", "normal", body, order)
     yield first
-    if source.random() < mix.resent_orders:
-        later = at_s + source.random() * _RESEND_AFTER_S
+    if rng.random() < mix.resent_orders:
+        later = at_s + rng.random() * _MAX_RESEND_DELAY_S
         yield dataclasses.replace(first, at_s=later, resend=True)
 
 
-def _burst(
+def _bulk_burst_arrivals(
     scenario: Scenario,
-    event: Event,
+    event: ScenarioEvent,
     services: Sequence[ServiceLoad],
-    source: random.Random,
+    rng: random.Random,
 ) -> Iterator[Arrival]:
     """Yield extra bulk queries: fields ``load`` and ``duration_s``."""
     end = event.at_s + float(event.fields["duration_s"])
     for service in services:
-        rate = _rate(service, float(event.fields["load"]), scenario.times)
-        for at_s in _poisson(rate, event.at_s, end, source):
-            body = {"check": source.randrange(_BODIES), "service": service.name}
-            phase = _phase_at(scenario, at_s)
+        rate = _arrival_rate_per_s(service, float(event.fields["load"]), scenario.times)
+        for at_s in _poisson_times(rate, event.at_s, end, rng):
+            body = {
+                "check": rng.randrange(_DISTINCT_BODY_COUNT),
+                "service": service.name,
+            }
+            phase = _phase_name_at(scenario, at_s)
             yield Arrival(
                 0, at_s, phase, service.name, "query", "bulk", body, extra=True
             )
 
 
-def _crashing(
-    scenario: Scenario, event: Event, service: ServiceLoad, seed: int
+def _crash_request_arrivals(
+    scenario: Scenario, event: ScenarioEvent, service: ServiceLoad, seed: int
 ) -> Iterator[Arrival]:
     """Yield one request that crashes servers, resent by its caller."""
     body = {"crash-the-server": f"{scenario.name}-{seed}"}
     for turn in range(int(event.fields["times"])):
         at_s = event.at_s + turn * float(event.fields["period_s"])
-        phase = _phase_at(scenario, at_s)
+        phase = _phase_name_at(scenario, at_s)
         yield Arrival(0, at_s, phase, service.name, "query", "normal", body, extra=True)
 
 
-def _phase_at(scenario: Scenario, at_s: float) -> str:
+def _phase_name_at(scenario: Scenario, at_s: float) -> str:
     end = 0.0
     for phase in scenario.phases:
         end += phase.duration_s
--- a/packages/cli/src/kingcuplug_cli/_bench/_servers_worker.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_servers_worker.py
@@ -7,8 +7,8 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from kingcuplug_cli._bench._fleet import Fleet
-from kingcuplug_cli._bench._worker import serve_commands
+from kingcuplug_cli._bench._backend_fleet import BackendFleet
+from kingcuplug_cli._bench._worker_process import serve_commands
 from kingcuplug_cli._local import Group, Sizes
 from kingcuplug_cli._standin import Behaviour
 
@@ -19,43 +19,47 @@
     """Handlers of the commands."""
 
     def __init__(self) -> None:
-        self._entries: list[str] = []
-        self._random = random.Random(1)
-        self._tasks: set[asyncio.Task[None]] = set()
-        self._errors: list[str] = []
-        self._fleet: Fleet
+        self._entry_urls: list[str] = []
+        self._rng = random.Random(1)
+        self._event_tasks: set[asyncio.Task[None]] = set()
+        self._event_errors: list[str] = []
+        self._fleet: BackendFleet
 
     async def start(self, fields: dict[str, Any]) -> list[str]:
         """Start all servers; return their names."""
-        sizes = _sizes(fields["sizes"])
+        sizes = _parse_sizes(fields["sizes"])
         zone_of = fields["zone_of"]
 
         def latency_of(client: str, zone: str) -> float:
             return 0.0 if zone_of.get(client, zone) == zone else sizes.zone_latency_ms
 
-        self._entries = fields["entries"]
-        self._fleet = Fleet(sizes, self._balance, latency_of, fields["seed"])
+        self._entry_urls = fields["entries"]
+        self._fleet = BackendFleet(
+            sizes, self._choose_entry_url, latency_of, fields["seed"]
+        )
         await self._fleet.start(Behaviour(**fields["behaviour"]))
-        self._watch = asyncio.create_task(self._fleet.watch())
+        self._restart_task = asyncio.create_task(self._fleet.restart_crashed_servers())
         return [server.name for server in self._fleet.servers]
 
     async def entries(self, fields: dict[str, Any]) -> None:
         """Set the entry hosts at which servers announce."""
-        self._entries = fields["entries"]
+        self._entry_urls = fields["entries"]
 
     async def act(self, fields: dict[str, Any]) -> None:
         """Begin an event; it goes on in the background."""
-        self._spawn(self._fleet.act(fields["action"], fields["fields"]))
+        self._start_event(self._fleet.run_event(fields["action"], fields["fields"]))
 
     async def heal(self, fields: dict[str, Any]) -> None:
         """End all events and bring all servers back, with the given behaviour."""
-        if self._tasks:
-            await asyncio.wait(self._tasks)
+        if self._event_tasks:
+            await asyncio.wait(self._event_tasks)
         await self._fleet.start(Behaviour(**fields["behaviour"]))
 
     async def holders(self, _: dict[str, Any]) -> dict[str, list[list[str]]]:
         """Return, for each service and shard, the addresses that hold it."""
-        return {name: self._fleet.holders(name) for name in self._fleet.services}
+        return {
+            name: self._fleet.shard_addresses(name) for name in self._fleet.services
+        }
 
     async def journal(self, _: dict[str, Any]) -> dict[str, Any]:
         """Return the ground truth since the last call and forget it."""
@@ -70,27 +74,27 @@
         self._fleet.drain_lags_s.clear()
         result["snapshots"] = [
             [name, snapshot, count]
-            for name, counts in self._fleet.snapshots.items()
+            for name, counts in self._fleet.shard_counts.items()
             for snapshot, count in counts.items()
         ]
-        result["errors"] = list(self._errors)
+        result["errors"] = list(self._event_errors)
         return result
 
-    def _balance(self) -> str:
-        return self._random.choice(self._entries)
+    def _choose_entry_url(self) -> str:
+        return self._rng.choice(self._entry_urls)
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
-        self._tasks.add(task)
-        task.add_done_callback(self._ended)
+    def _start_event(self, event: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(event)
+        self._event_tasks.add(task)
+        task.add_done_callback(self._handle_event_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
-        self._tasks.discard(task)
+    def _handle_event_done(self, task: asyncio.Task[None]) -> None:
+        self._event_tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self._errors.append(repr(task.exception()))
+            self._event_errors.append(repr(task.exception()))
 
 
-def _sizes(fields: dict[str, Any]) -> Sizes:
+def _parse_sizes(fields: dict[str, Any]) -> Sizes:
     groups = tuple(
         Group(**(group | {"services": tuple(group["services"])}))
         for group in fields["groups"]
--- a/packages/cli/src/kingcuplug_cli/_bench/_targets.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_targets.py
@@ -7,16 +7,16 @@
 
 from kingcuplug_cli._bench._scenario import Scenario, Target
 
-__all__ = ["JUDGED_POLICY", "Verdict", "verdicts"]
+__all__ = ["EVALUATED_POLICY", "TargetResult", "evaluate_targets"]
 
-JUDGED_POLICY = "configured"
+EVALUATED_POLICY = "configured"
 
 # policy -> phase -> figure
-Summaries = Mapping[str, Mapping[str, Mapping[str, Any]]]
+PolicySummaries = Mapping[str, Mapping[str, Mapping[str, Any]]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Verdict:
+class TargetResult:
     """One line of the table of targets.
 
     Attributes
@@ -33,34 +33,36 @@
     passed: bool
 
 
-def verdicts(
-    scenario: Scenario, deployment: str, summaries: Summaries
-) -> list[Verdict]:
+def evaluate_targets(
+    scenario: Scenario, deployment: str, summaries: PolicySummaries
+) -> list[TargetResult]:
     """Return a verdict for each target that holds for `deployment`."""
     return [
-        _verdict(scenario, target, summaries)
+        _evaluate_target(scenario, target, summaries)
         for target in scenario.targets
         if not target.deployments or deployment in target.deployments
     ]
 
 
-def _verdict(scenario: Scenario, target: Target, summaries: Summaries) -> Verdict:
-    measured = _measure(target, JUDGED_POLICY, summaries)
-    others = [name for name in summaries if name != JUDGED_POLICY]
+def _evaluate_target(
+    scenario: Scenario, target: Target, summaries: PolicySummaries
+) -> TargetResult:
+    measured = _measured_value(target, EVALUATED_POLICY, summaries)
+    others = [name for name in summaries if name != EVALUATED_POLICY]
     baseline = None
     if others and target.against_policy is None:
-        baseline = _measure(target, others[0], summaries)
-    return Verdict(
+        baseline = _measured_value(target, others[0], summaries)
+    return TargetResult(
         scenario.name,
-        _title(target),
-        _bound(target),
+        _target_title(target),
+        _bound_text(target),
         measured,
         baseline,
-        _within(target, measured),
+        _meets_bound(target, measured),
     )
 
 
-def _measure(target: Target, policy: str, summaries: Summaries) -> float:
+def _measured_value(target: Target, policy: str, summaries: PolicySummaries) -> float:
     """Return the figure, divided as the target says; NaN if there is none."""
     if policy not in summaries:
         return math.nan
@@ -76,7 +78,7 @@
     return value / divisor if divisor else math.nan
 
 
-def _within(target: Target, measured: float) -> bool:
+def _meets_bound(target: Target, measured: float) -> bool:
     if math.isnan(measured):
         return False
     if target.at_most is not None:
@@ -84,7 +86,7 @@
     return target.at_least is not None and measured >= target.at_least
 
 
-def _title(target: Target) -> str:
+def _target_title(target: Target) -> str:
     title = f"{target.figure} in {target.phase!r}"
     if target.against is not None:
         title += f" / in {target.against!r}"
@@ -93,7 +95,7 @@
     return title
 
 
-def _bound(target: Target) -> str:
+def _bound_text(target: Target) -> str:
     if target.at_most is not None:
         return f"<= {target.at_most:g}"
     return f">= {target.at_least:g}"
--- a/packages/cli/src/kingcuplug_cli/_bench/_worker.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_worker_process.py
@@ -17,17 +17,17 @@
 from types import FrameType
 from typing import Any
 
-__all__ = ["Handler", "Worker", "serve_commands", "usage"]
+__all__ = ["CommandHandler", "WorkerProcess", "process_usage", "serve_commands"]
 
-Handler = Callable[[dict[str, Any]], Awaitable[Any]]
+CommandHandler = Callable[[dict[str, Any]], Awaitable[Any]]
 _LINE_LIMIT_BYTES = 64 * 1024 * 1024
-_END_TIMEOUT_S = 10.0
+_STOP_TIMEOUT_S = 10.0
 _KIB_PER_MIB = 1024
-_PROFILE_LINES = 60
-_SAMPLE_S = 0.001
+_PROFILE_LINE_COUNT = 60
+_SAMPLE_INTERVAL_S = 0.001
 
 
-class Worker:
+class WorkerProcess:
     """The parent's side of one child process.
 
     Parameters
@@ -42,7 +42,7 @@
         self.name = name
         self._module = module
         self._process: asyncio.subprocess.Process | None = None
-        self._turn = asyncio.Lock()
+        self._call_lock = asyncio.Lock()
 
     @property
     def running(self) -> bool:
@@ -72,7 +72,7 @@
         assert self._process.stdin is not None
         assert self._process.stdout is not None
         line = json.dumps({"command": command} | fields) + "\n"
-        async with self._turn:
+        async with self._call_lock:
             self._process.stdin.write(line.encode())
             await self._process.stdin.drain()
             answer = await self._process.stdout.readline()
@@ -90,23 +90,23 @@
             return
         process.stdin.close()
         try:
-            async with asyncio.timeout(_END_TIMEOUT_S):
+            async with asyncio.timeout(_STOP_TIMEOUT_S):
                 await process.wait()
         except TimeoutError:
             process.kill()
             await process.wait()
 
 
-async def serve_commands(handlers: Mapping[str, Handler]) -> None:
+async def serve_commands(handlers: Mapping[str, CommandHandler]) -> None:
     """Run commands from standard input until it ends; for the child's side."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=_LINE_LIMIT_BYTES)
     await loop.connect_read_pipe(
         lambda: asyncio.StreamReaderProtocol(reader), sys.stdin
     )
-    profiler = _Profiler()
+    profiler = _SamplingProfiler()
     every = {
-        "usage": _usage,
+        "usage": _handle_usage,
         "begin_profile": profiler.begin,
         "end_profile": profiler.end,
         **handlers,
@@ -120,7 +120,7 @@
         print(json.dumps(result), flush=True)
 
 
-class _Profiler:
+class _SamplingProfiler:
     """Samples the main thread on CPU time between two commands.
 
     A tracing profiler charges each Python call with its own cost and counts the time
@@ -128,42 +128,42 @@
     """
 
     def __init__(self) -> None:
-        self._own: Counter[str] = Counter()
-        self._under: Counter[str] = Counter()
+        self._self_samples: Counter[str] = Counter()
+        self._cumulative_samples: Counter[str] = Counter()
 
     async def begin(self, _: dict[str, Any]) -> None:
         """Start sampling."""
-        signal.signal(signal.SIGPROF, self._sample)
-        signal.setitimer(signal.ITIMER_PROF, _SAMPLE_S, _SAMPLE_S)
+        signal.signal(signal.SIGPROF, self._record_sample)
+        signal.setitimer(signal.ITIMER_PROF, _SAMPLE_INTERVAL_S, _SAMPLE_INTERVAL_S)
 
     async def end(self, _: dict[str, Any]) -> str:
         """Stop sampling; return where most samples were."""
         signal.setitimer(signal.ITIMER_PROF, 0)
-        total = max(self._own.total(), 1)
+        total = max(self._self_samples.total(), 1)
         lines = [f"{total} samples; share in the function itself"]
-        for place, count in self._own.most_common(_PROFILE_LINES):
+        for place, count in self._self_samples.most_common(_PROFILE_LINE_COUNT):
             lines.append(f"{count / total:6.1%} {place}")
         lines.append("share in the function and below")
-        for place, count in self._under.most_common(_PROFILE_LINES):
+        for place, count in self._cumulative_samples.most_common(_PROFILE_LINE_COUNT):
             lines.append(f"{count / total:6.1%} {place}")
         return "\n".join(lines) + "\n"
 
-    def _sample(self, _: int, frame: FrameType | None) -> None:
+    def _record_sample(self, _: int, frame: FrameType | None) -> None:
         places = []
         while frame is not None:
             code = frame.f_code
             file = "/".join(code.co_filename.rsplit("/", 2)[-2:])
             places.append(f"{file}:{code.co_qualname}")
             frame = frame.f_back
-        self._own.update(places[:1])
-        self._under.update(set(places))
+        self._self_samples.update(places[:1])
+        self._cumulative_samples.update(set(places))
 
 
-async def _usage(_: dict[str, Any]) -> dict[str, float]:
-    return usage()
+async def _handle_usage(_: dict[str, Any]) -> dict[str, float]:
+    return process_usage()
 
 
-def usage() -> dict[str, float]:
+def process_usage() -> dict[str, float]:
     """Return this process's CPU seconds, clock and peak memory."""
     peak_kib = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     return {
--- a/tests/cli/test_bench_run.py
+++ b/tests/cli/test_bench_run.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from kingcuplug_cli._bench._deployment import BenchDeployment
-from kingcuplug_cli._bench._runner import PolicyResult, Runner
+from kingcuplug_cli._bench._runner import PolicyResult, ScenarioRunner
 from kingcuplug_cli._bench._scenario import Scenario, load_policy
 from kingcuplug_cli._local import load_sizes
 from tqdm import tqdm
@@ -24,21 +24,21 @@
 )
 
 
-async def run_once() -> dict[str, PolicyResult]:
+async def run_scenario_once() -> dict[str, PolicyResult]:
     sizes = load_sizes(EXAMPLE / "servers.json", only=("inspector-01",))
     text = json.loads((EXAMPLE / "configuration.json").read_text())
     policies = [load_policy("configured")]
-    runner = Runner(
-        sizes, text, policies, 1, entry_hosts=2, host_processes=1, warm_up=None
+    runner = ScenarioRunner(
+        sizes, text, policies, 1, entry_host_count=2, host_process_count=1, warm_up=None
     )
-    async with runner.running():
+    async with runner.running_deployments():
         with tqdm(disable=True) as progress:
             return await runner.run(SCENARIO, 1, progress)
 
 
-def test_run_has_figures_and_is_true():
+def test_run_reports_metrics_without_violations():
     """Guards against a load tool that measures nothing or judges nothing."""
-    result = asyncio.run(run_once())["configured"]
+    result = asyncio.run(run_scenario_once())["configured"]
     figures: dict[str, Any] = result.summary()["all"]
     assert result.truth.total() == 0
     assert figures["requests"] > 0
@@ -49,7 +49,7 @@
     assert not result.errors
 
 
-def test_child_processes_end_with_their_deployment():
+def test_stopping_deployment_ends_child_processes():
     """Guards against processes that go on after a run."""
 
     async def start_and_stop() -> list[int | None]:
@@ -57,9 +57,9 @@
         deployment = BenchDeployment(
             sizes, {"services": {}}, load_policy("baseline"), None, 1
         )
-        for worker in deployment.processes:
+        for worker in deployment.workers:
             await worker.start()
         await deployment.stop()
-        return [worker.returncode for worker in deployment.processes]
+        return [worker.returncode for worker in deployment.workers]
 
     assert asyncio.run(start_and_stop()) == [0, 0, 0, 0]
--- a/tests/cli/test_bench_schedule.py
+++ b/tests/cli/test_bench_schedule.py
@@ -10,15 +10,19 @@
     Scenario,
     load_policy,
     load_scenario,
-    names,
+    packaged_names,
+)
+from kingcuplug_cli._bench._schedule import (
+    ServiceLoad,
+    mean_service_time_ms,
+    plan_arrivals,
 )
-from kingcuplug_cli._bench._schedule import ServiceLoad, mean_service_ms, plan
 from pydantic import ValidationError
 
 SERVICES = (ServiceLoad("counter-01", 9, 6), ServiceLoad("cutting", 30, 15))
 
 
-def scenario(**fields: object) -> Scenario:
+def make_scenario(**fields: object) -> Scenario:
     base = {
         "name": "test",
         "description": "A test.",
@@ -30,32 +34,32 @@
     return Scenario.model_validate(base | fields)
 
 
-def test_same_seed_gives_the_same_arrivals():
+def test_same_seed_gives_same_arrivals():
     """Guards against policies being compared on different work."""
-    first = plan(scenario(), SERVICES, seed=7)
-    assert first == plan(scenario(), SERVICES, seed=7)
-    assert first != plan(scenario(), SERVICES, seed=8)
+    first = plan_arrivals(make_scenario(), SERVICES, seed=7)
+    assert first == plan_arrivals(make_scenario(), SERVICES, seed=7)
+    assert first != plan_arrivals(make_scenario(), SERVICES, seed=8)
 
 
-def test_offered_load_is_the_stated_share_of_the_slots():
+def test_offered_load_matches_configured_share_of_slots():
     """Guards against a rate that ignores fan-out, slots or the mean service time."""
-    chosen = scenario(mix={"orders": 0.0})
-    arrivals = plan(chosen, SERVICES, seed=1)
+    chosen = make_scenario(mix={"orders": 0.0})
+    arrivals = plan_arrivals(chosen, SERVICES, seed=1)
     for phase, load in (("low", 0.5), ("high", 1.0)):
         for service in SERVICES:
             queries = [
                 a for a in arrivals if (a.phase, a.service) == (phase, service.name)
             ]
             busy_s = len(queries) * service.shard_count
-            busy_s *= mean_service_ms(chosen.times) / 1_000
+            busy_s *= mean_service_time_ms(chosen.times) / 1_000
             offered = busy_s / (20.0 * service.slots)
             # Four standard deviations of the number of Poisson arrivals.
             assert offered == pytest.approx(load, rel=4 / math.sqrt(len(queries)))
 
 
-def test_mean_service_time_is_that_of_the_distribution():
+def test_mean_service_time_matches_distribution():
     """Guards against stragglers or the spread being left out of the offered load."""
-    times = scenario().times
+    times = make_scenario().times
     source = random.Random(1)
     total = 0.0
     for _ in range(200_000):
@@ -63,22 +67,22 @@
         if source.random() < times.straggle_share:
             drawn *= times.straggle_factor
         total += drawn
-    assert mean_service_ms(times) == pytest.approx(total / 200_000, rel=0.01)
+    assert mean_service_time_ms(times) == pytest.approx(total / 200_000, rel=0.01)
 
 
-def test_arrivals_are_ordered_numbered_and_inside_their_phase():
+def test_arrivals_are_sorted_numbered_and_within_their_phase():
     """Guards against arrivals that are counted in a phase they did not meet."""
-    arrivals = plan(scenario(), SERVICES, seed=3)
+    arrivals = plan_arrivals(make_scenario(), SERVICES, seed=3)
     assert [a.number for a in arrivals] == list(range(len(arrivals)))
     assert all(a.at_s <= b.at_s for a, b in itertools.pairwise(arrivals))
     firsts = [a for a in arrivals if not a.resend]
     assert all((a.phase == "low") == (a.at_s < 20.0) for a in firsts)
 
 
-def test_orders_are_resent_with_their_key():
+def test_orders_are_resent_with_same_key():
     """Guards against a run that cannot find doubled orders."""
     mix = {"orders": 1.0, "resent_orders": 1.0}
-    arrivals = plan(scenario(mix=mix), SERVICES, seed=1)
+    arrivals = plan_arrivals(make_scenario(mix=mix), SERVICES, seed=1)
     resent = [a.order for a in arrivals if a.resend]
     assert resent
     assert sorted(resent) == sorted(a.order for a in arrivals if not a.resend)
@@ -90,7 +94,7 @@
         {"at_s": 1.0, "do": "crash_request", "fields": {"times": 3, "period_s": 0.5}},
         {"at_s": 2.0, "do": "bulk_burst", "fields": {"load": 1.0, "duration_s": 2.0}},
     ]
-    arrivals = plan(scenario(events=events), SERVICES, seed=1)
+    arrivals = plan_arrivals(make_scenario(events=events), SERVICES, seed=1)
     crashing = [a for a in arrivals if "crash-the-server" in a.body]
     assert [a.at_s for a in crashing] == [1.0, 1.5, 2.0]
     assert len({str(a.body) for a in crashing}) == 1
@@ -100,7 +104,7 @@
     assert all(2.0 <= a.at_s < 4.0 for a in burst)
 
 
-@pytest.mark.parametrize("name", names("scenarios"))
+@pytest.mark.parametrize("name", packaged_names("scenarios"))
 def test_packaged_scenario_is_valid_and_has_targets(name: str):
     """Guards against a packaged file that only fails in a long run."""
     found = load_scenario(name)
@@ -108,20 +112,20 @@
     assert found.targets
 
 
-@pytest.mark.parametrize("name", names("policies"))
+@pytest.mark.parametrize("name", packaged_names("policies"))
 def test_packaged_policy_is_valid(name: str):
     """Guards against a policy that names itself wrongly in reports."""
     assert load_policy(name).name == name
 
 
-def test_unknown_scenario_names_the_known_ones():
+def test_unknown_scenario_error_lists_packaged_names():
     """Guards against an error without a remedy."""
     with pytest.raises(BenchFileInvalid, match="straggler"):
         load_scenario("stragler")
 
 
-def test_target_of_an_unknown_phase_is_refused():
+def test_target_of_unknown_phase_is_rejected():
     """Guards against a misspelt phase that would fail after the run."""
     target = {"figure": "p99_ms", "phase": "hihg", "at_most": 1.0}
     with pytest.raises(ValidationError, match="unknown phase 'hihg'"):
-        scenario(targets=[target])
+        make_scenario(targets=[target])
