--- a/packages/cli/src/kingcuplug_cli/_bench/__init__.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/__init__.py
@@ -1,4 +1,4 @@
-"""Load and experiment tool: real entry hosts and stand-ins over loopback HTTP."""
+"""Load test tool: real hosts and simulated backend servers over loopback HTTP."""
 
 from kingcuplug_cli._bench._commands import Bench
 
--- a/packages/cli/src/kingcuplug_cli/_bench/_backend_fleet.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_backend_fleet.py
@@ -1,4 +1,4 @@
-"""The stand-in backend servers of one deployment and what happens to them."""
+"""Simulated backend servers of one deployment and the events of a scenario."""
 
 import asyncio
 import dataclasses
@@ -15,12 +15,13 @@
 _SUPERVISION_PERIOD_S = 0.1
 _ROLLOUT_STEP_S = 0.05
 
+# Snapshot -> shard count of the snapshot, shards that the server holds
 ShardsBySnapshot = dict[int, tuple[int, tuple[int, ...]]]
 
 
 @dataclasses.dataclass(slots=True)
 class DeployedService:
-    """One service: its sizes, its servers and its newest snapshot."""
+    """One service with its sizes, servers and newest snapshot."""
 
     name: str
     group: Group
@@ -29,22 +30,22 @@
     shard_count: int
 
     def shards_of_server(
-        self, number: int, snapshot: int, shard_count: int
+        self, server_index: int, snapshot: int, shard_count: int
     ) -> ShardsBySnapshot:
-        """Return what server `number` holds of one snapshot."""
-        shape = dataclasses.replace(self.group, shard_count=shard_count)
-        return {snapshot: (shard_count, shards_of(shape, number))}
+        """Return the shards of one snapshot that the server `server_index` holds."""
+        resized_group = dataclasses.replace(self.group, shard_count=shard_count)
+        return {snapshot: (shard_count, shards_of(resized_group, server_index))}
 
 
 class BackendFleet:
-    """All stand-ins of one deployment.
+    """All simulated backend servers of one deployment.
 
     Parameters
     ----------
     sizes : Sizes
         Zones and services.
-    balancer : callable
-        Returns the base URL of some entry host.
+    choose_entry_url : callable
+        Returns the base URL of an entry host.
     latency_of : callable
         Returns the one-way latency between a client's address and a zone.
     seed : int
@@ -53,11 +54,11 @@
     Attributes
     ----------
     journal : Journal
-        Ground truth.
+        Record of the work that the servers did.
     drain_lags_s : list of float
-        Time from each drain to the last new work that the server got.
-    snapshots : dict
-        Shard count of each snapshot of each service that ever existed.
+        Time from the start of each drain to the last new work that the server got.
+    shard_counts : dict
+        Shard count of every snapshot of each service, including replaced ones.
     """
 
     def __init__(
@@ -86,51 +87,53 @@
         choose_entry_url: Callable[[], str],
         latency_of: Callable[[str, str], float],
     ) -> None:
-        service = StandInService(
+        simulated_service = StandInService(
             name, group.slots, group.connections, group.connection_cost_ms
         )
-        served = DeployedService(name, group, [], 1, group.shard_count)
-        for number in range(group.servers):
-            zone = self._zones[number % len(self._zones)]
-            served.servers.append(
+        deployed = DeployedService(name, group, [], 1, group.shard_count)
+        for index in range(group.servers):
+            zone = self._zones[index % len(self._zones)]
+            deployed.servers.append(
                 StandIn(
-                    f"{name}-s{number}",
-                    service,
+                    f"{name}-s{index}",
+                    simulated_service,
                     zone,
-                    served.shards_of_server(number, 1, group.shard_count),
+                    deployed.shards_of_server(index, 1, group.shard_count),
                     self.journal,
                     choose_entry_url,
                     self._rng.getrandbits(32),
                     latency_of=_latency_to_zone(latency_of, zone),
                 )
             )
-        self.services[name] = served
+        self.services[name] = deployed
         self.shard_counts[name] = {1: group.shard_count}
 
     @property
     def servers(self) -> list[StandIn]:
         """All servers."""
-        return [s for served in self.services.values() for s in served.servers]
+        return [
+            server for service in self.services.values() for server in service.servers
+        ]
 
     def shard_addresses(self, service: str) -> list[list[str]]:
         """Return the addresses that hold each shard of the newest snapshot."""
-        served = self.services[service]
+        deployed = self.services[service]
         return [
             [
                 server.address
-                for server in served.servers
-                if shard in server.holdings[served.snapshot][1]
+                for server in deployed.servers
+                if shard in server.holdings[deployed.snapshot][1]
             ]
-            for shard in range(served.shard_count)
+            for shard in range(deployed.shard_count)
         ]
 
     async def start(self, behaviour: Behaviour) -> None:
-        """Start all servers."""
+        """Start all servers with the given behaviour."""
         self._default_behaviour = behaviour
         await self.reset_servers()
 
     async def restart_crashed_servers(self) -> None:
-        """Restart servers that crashed, as a supervisor does, until cancelled."""
+        """Restart crashed servers, as a process supervisor does, until cancelled."""
         while True:
             await asyncio.sleep(_SUPERVISION_PERIOD_S)
             for server in self.servers:
@@ -147,56 +150,60 @@
         self._unsupervised.discard(server.name)
 
     async def reset_servers(self) -> None:
-        """Bring every server back to its ordinary behaviour."""
+        """Start every stopped server and reset the behaviour of all."""
         self._unsupervised.clear()
         for server in self.servers:
             server.behaviour = dataclasses.replace(self._default_behaviour)
-        await asyncio.gather(*(s.start() for s in self.servers if not s.running))
+        await asyncio.gather(
+            *(server.start() for server in self.servers if not server.running)
+        )
 
     async def run_event(self, action: str, fields: dict[str, Any]) -> None:
-        """Let one event of a scenario happen; returns when it is over."""
+        """Run one event of a scenario to its end."""
         await getattr(self, f"_{action}")(**fields)
 
-    # Events
+    # Handlers of scenario events, named after their action
 
     async def _slow_server(self, factor: float) -> None:
-        for served in self.services.values():
-            served.servers[0].behaviour.slow_factor = factor
+        for service in self.services.values():
+            service.servers[0].behaviour.slow_factor = factor
 
     async def _lose_server(self) -> None:
-        await self._crash_servers(s.servers[0] for s in self.services.values())
+        await self._crash_servers(
+            service.servers[0] for service in self.services.values()
+        )
 
     async def _lose_zone(self, number: int = 0) -> None:
         zone = self._zones[number]
         await self._crash_servers(
-            s for s in self.servers if s.availability_zone == zone
+            server for server in self.servers if server.availability_zone == zone
         )
 
     async def _crash_servers(self, servers: Iterable[StandIn]) -> None:
-        lost = list(servers)
-        self._unsupervised.update(server.name for server in lost)
-        await asyncio.gather(*(server.crash() for server in lost))
+        crashed = list(servers)
+        self._unsupervised.update(server.name for server in crashed)
+        await asyncio.gather(*(server.crash() for server in crashed))
 
     async def _lie_about_load(self) -> None:
-        for number, server in enumerate(self.servers):
-            server.behaviour.reported_load = 0.0 if number % 2 else 1.0
+        for index, server in enumerate(self.servers):
+            server.behaviour.reported_load = 0.0 if index % 2 else 1.0
 
     async def _cold_restart(self, cold_ms: float, factor: float) -> None:
-        """Restart all servers of the first service at once, cold."""
-        served = next(iter(self.services.values()))
-        await self._crash_servers(served.servers)
+        """Restart all servers of the first service at once, with cold caches."""
+        service = next(iter(self.services.values()))
+        await self._crash_servers(service.servers)
         await asyncio.sleep(_RESTART_DELAY_S)
-        for server in served.servers:
+        for server in service.servers:
             server.behaviour.cold_ms = cold_ms
             server.behaviour.cold_factor = factor
             await server.start()
 
     async def _rolling_drain(self, hold_s: float, last_hold_s: float) -> None:
-        """Drain, stop and restart one server of each service after the other."""
+        """Drain, stop and restart the servers of each service one after the other."""
         await asyncio.gather(
             *(
-                self._drain_sequentially(served.servers, hold_s, last_hold_s)
-                for served in self.services.values()
+                self._drain_sequentially(service.servers, hold_s, last_hold_s)
+                for service in self.services.values()
             )
         )
 
@@ -204,35 +211,35 @@
         self, servers: Sequence[StandIn], hold_s: float, last_hold_s: float
     ) -> None:
         for server in servers:
-            drained = asyncio.get_running_loop().time()
+            drain_started_at = asyncio.get_running_loop().time()
             server.drain()
             await asyncio.sleep(last_hold_s if server is servers[-1] else hold_s)
-            self.drain_lags_s.append(max(server.last_new_work - drained, 0.0))
+            self.drain_lags_s.append(max(server.last_new_work - drain_started_at, 0.0))
             self._unsupervised.add(server.name)
             await server.stop()
             await server.start()
             self._unsupervised.discard(server.name)
 
     async def _index_change(self, shard_count: int, overlap_s: float) -> None:
-        """Replace the index by one with another number of shards, and back."""
-        for served in self.services.values():
-            former = served.group.shard_count
-            for count in (former + shard_count, former):
-                await self._publish_snapshot(served, count, overlap_s)
+        """Replace each index by one with another shard count, then change it back."""
+        for service in self.services.values():
+            original_count = service.group.shard_count
+            for new_count in (original_count + shard_count, original_count):
+                await self._publish_snapshot(service, new_count, overlap_s)
 
     async def _publish_snapshot(
         self, service: DeployedService, shard_count: int, overlap_s: float
     ) -> None:
         snapshot = service.snapshot + 1
         self.shard_counts[service.name][snapshot] = shard_count
-        for number, server in enumerate(service.servers):
-            new = service.shards_of_server(number, snapshot, shard_count)
-            server.hold(server.holdings | new)
+        for index, server in enumerate(service.servers):
+            new_shards = service.shards_of_server(index, snapshot, shard_count)
+            server.hold(server.holdings | new_shards)
             await asyncio.sleep(_ROLLOUT_STEP_S)
         service.snapshot, service.shard_count = snapshot, shard_count
         await asyncio.sleep(overlap_s)
-        for number, server in enumerate(service.servers):
-            server.hold(service.shards_of_server(number, snapshot, shard_count))
+        for index, server in enumerate(service.servers):
+            server.hold(service.shards_of_server(index, snapshot, shard_count))
             await asyncio.sleep(_ROLLOUT_STEP_S)
 
 
--- a/packages/cli/src/kingcuplug_cli/_bench/_bare_worker.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_bare_worker.py
@@ -1,8 +1,8 @@
-"""Child process with a bare aiohttp fan-out, to compare the tier's CPU with.
+"""Child process with a bare aiohttp fan-out, the reference for the tier's CPU.
 
-It sends what a query needs and nothing more: a random server for each shard, no
-limits, no retries, no checks. ``drive`` sends planned queries itself; ``listen``
-takes them from callers over HTTP, which the tier has to do as well.
+It sends only the sub-requests that a query needs, each to a random server of its
+shard, without limits, retries or checks. ``drive`` generates the planned queries in
+the process itself; ``listen`` accepts them from callers over HTTP, as the tier does.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 
 class FanOutWorker:
-    """Handlers of the commands."""
+    """Command handlers of the bare fan-out process."""
 
     def __init__(self) -> None:
         self._http = aiohttp.ClientSession(
@@ -38,7 +38,7 @@
         self._listener: Listener | None = None
 
     async def prepare(self, fields: dict[str, Any]) -> None:
-        """Set the service and the addresses that hold each of its shards."""
+        """Set the service and the server addresses of each of its shards."""
         self._service = fields["service"]
         self._shard_addresses = fields["holders"]
 
@@ -49,7 +49,7 @@
         return self._listener.address
 
     async def drive(self, fields: dict[str, Any]) -> None:
-        """Send queries with the given bodies at the given seconds from now."""
+        """Send the given queries, pairs of seconds from now and body."""
         loop = asyncio.get_running_loop()
         start = loop.time()
         tasks = []
@@ -65,8 +65,8 @@
     async def _fan_out(self, request_id: str, body: Any) -> list[dict[str, Any]]:
         replies = await asyncio.gather(
             *(
-                self._send_sub_request(request_id, s, body)
-                for s in range(len(self._shard_addresses))
+                self._send_sub_request(request_id, shard, body)
+                for shard in range(len(self._shard_addresses))
             )
         )
         return [{"shard": reply["shard"], "value": reply["value"]} for reply in replies]
@@ -95,20 +95,24 @@
         return {"value": None} | reply
 
     async def _asgi_application(self, scope: Any, receive: Any, send: Any) -> None:
-        parts = []
+        body_parts = []
         while True:
             message = await receive()
-            parts.append(message.get("body", b""))
+            body_parts.append(message.get("body", b""))
             if not message.get("more_body"):
                 break
-        fields = orjson.loads(b"".join(parts) or b"{}")
+        fields = orjson.loads(b"".join(body_parts) or b"{}")
         answer: dict[str, Any] = {}
         if "body" in fields:
             value = await self._fan_out(fields["request_id"], fields["body"])
             answer = _answer_fields(value, len(self._shard_addresses))
-        head = [(b"content-type", b"application/json")]
-        start = {"type": "http.response.start", "status": 200, "headers": head}
-        await send(start)
+        headers = [(b"content-type", b"application/json")]
+        response_start = {
+            "type": "http.response.start",
+            "status": 200,
+            "headers": headers,
+        }
+        await send(response_start)
         await send({"type": "http.response.body", "body": orjson.dumps(answer)})
 
 
--- a/packages/cli/src/kingcuplug_cli/_bench/_commands.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_commands.py
@@ -1,4 +1,4 @@
-"""Commands of the load tool."""
+"""Commands of the load test tool."""
 
 import asyncio
 import json
@@ -41,7 +41,7 @@
 
 
 class Bench:
-    """Load and experiment tool."""
+    """Load test and experiment tool."""
 
     def run(
         self,
@@ -60,32 +60,32 @@
         deployment : str
             Folder below `examples`: ``kavango`` or ``agency``.
         scenarios, policies : str
-            Names or paths, separated by commas; ``all`` takes every scenario.
+            Names or paths, separated by commas; ``all`` selects every scenario.
         rounds : int
-            Rounds of each scenario and policy.
+            Number of rounds of each scenario and policy.
         output : str
             Folder of the report.
         """
-        chosen = _split_names(scenarios)
-        if chosen == ["all"]:
-            chosen = packaged_names("scenarios")
+        scenario_names = _split_names(scenarios)
+        if scenario_names == ["all"]:
+            scenario_names = packaged_names("scenarios")
         try:
             run = _DeploymentRun(
                 Path(examples) / deployment, _split_names(policies), rounds, seed
             )
-            fields, found, true = asyncio.run(
-                run.run_scenarios([load_scenario(name) for name in chosen])
+            fields, target_results, valid = asyncio.run(
+                run.run_scenarios([load_scenario(name) for name in scenario_names])
             )
         except KingcuplugError as error:
             print(f"kingcuplug bench: {error}", file=sys.stderr)
             sys.exit(_EXIT_INVALID_INPUT)
-        write_report(Path(output) / deployment, fields, found)
+        write_report(Path(output) / deployment, fields, target_results)
         print(
-            f"\n{deployment}\n{format_targets_table(found)}\n"
+            f"\n{deployment}\n{format_targets_table(target_results)}\n"
             f"Report: {output}/{deployment}/report.md"
         )
-        if not true:
-            print("Ground truth was violated; see the report.", file=sys.stderr)
+        if not valid:
+            print("Invariants were violated; see the report.", file=sys.stderr)
             sys.exit(_EXIT_INVARIANT_VIOLATED)
 
     def cpu(
@@ -108,30 +108,30 @@
         service : str
             The one service that is queried.
         load : float
-            Share of its slots.
+            Offered load as a share of the service's slots.
         profile : bool
             Also print profiles of the entry host and of the bare fan-out.
         """
         example = Path(examples) / deployment
-        text = json.loads((example / "configuration.json").read_text())
+        configuration = json.loads((example / "configuration.json").read_text())
         sizes = load_sizes(example / "servers.json", only=(service,))
-        figures, found = asyncio.run(
+        results, profiles = asyncio.run(
             measure_cpu(
-                *(sizes, text, load_policy(policy), seed),
+                *(sizes, configuration, load_policy(policy), seed),
                 *(rounds, duration_s, load, profile),
             )
         )
-        print(found + format_cpu_table(figures))
-        write_cpu_report(Path(output) / deployment, figures)
+        print(profiles + format_cpu_table(results))
+        write_cpu_report(Path(output) / deployment, results)
 
     def all(
         self, rounds: int = 1, seed: int = 1, output: str = "bench-results"
     ) -> None:
-        """Run every scenario on every deployment, the deployments side by side."""
+        """Run every scenario on every deployment, the deployments in parallel."""
         options = [f"--rounds={rounds}", f"--seed={seed}", f"--output={output}"]
-        codes = asyncio.run(_run_all_deployments(options))
-        if any(codes):
-            sys.exit(max(codes))
+        exit_codes = asyncio.run(_run_all_deployments(options))
+        if any(exit_codes):
+            sys.exit(max(exit_codes))
 
     def list(self) -> None:
         """Print the packaged scenarios and policies."""
@@ -142,7 +142,7 @@
 
 
 class _DeploymentRun:
-    """One deployment, its policies and scenarios."""
+    """Run of several scenarios and policies on one deployment."""
 
     def __init__(
         self, example: Path, policies: Sequence[str], rounds: int, seed: int
@@ -151,35 +151,44 @@
         self._rounds = rounds
         self._seed = seed
         self._policies = [load_policy(name) for name in policies]
-        text = json.loads((example / "configuration.json").read_text())
+        configuration = json.loads((example / "configuration.json").read_text())
         sizes = load_sizes(
             example / "servers.json", only=_SERVICES_BY_DEPLOYMENT[self._deployment]
         )
-        self._runner = ScenarioRunner(sizes, text, self._policies, seed)
+        self._runner = ScenarioRunner(sizes, configuration, self._policies, seed)
 
     async def run_scenarios(
         self, scenarios: Sequence[Scenario]
     ) -> tuple[dict[str, Any], list[TargetResult], bool]:
-        """Run the scenarios; return the JSON value, the verdicts and if all is true."""
+        """Run the scenarios.
+
+        Returns
+        -------
+        tuple
+            The JSON value of the report, the results of all targets, and whether no
+            invariant was violated.
+        """
         fields: dict[str, Any] = {}
-        found: list[TargetResult] = []
-        true = True
-        steps = len(scenarios) * self._rounds * len(self._policies)
-        with tqdm(total=steps, desc=self._deployment, unit="round") as progress:
+        target_results: list[TargetResult] = []
+        valid = True
+        round_count = len(scenarios) * self._rounds * len(self._policies)
+        with tqdm(total=round_count, desc=self._deployment, unit="round") as progress:
             async with self._runner.running_deployments() as runner:
                 for scenario in scenarios:
                     results = await runner.run(scenario, self._rounds, progress)
                     summaries = {name: r.summary() for name, r in results.items()}
-                    judged = evaluate_targets(scenario, self._deployment, summaries)
-                    found += judged
-                    fields[scenario.name] = scenario_fields(results, judged)
-                    true = true and invariants_hold(results)
-        head = {
+                    scenario_targets = evaluate_targets(
+                        scenario, self._deployment, summaries
+                    )
+                    target_results += scenario_targets
+                    fields[scenario.name] = scenario_fields(results, scenario_targets)
+                    valid = valid and invariants_hold(results)
+        header = {
             "deployment": self._deployment,
             "seed": self._seed,
             "rounds": self._rounds,
         }
-        return head | {"scenarios": fields}, found, true
+        return header | {"scenarios": fields}, target_results, valid
 
 
 async def _run_all_deployments(options: Sequence[str]) -> list[int]:
@@ -195,5 +204,5 @@
 
 
 def _split_names(option: str | Sequence[str]) -> list[str]:
-    """Return the names of an option, which fire may have split already."""
+    """Return the names in an option, which fire may already have split."""
     return option.split(",") if isinstance(option, str) else [str(n) for n in option]
--- a/packages/cli/src/kingcuplug_cli/_bench/_cpu.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_cpu.py
@@ -1,7 +1,8 @@
-"""CPU of the tier per sub-request beside a bare fan-out's.
+"""Comparison of the tier's CPU per sub-request with a bare fan-out's.
 
 An entry host alone in its process, a bare aiohttp fan-out, and the bare fan-out
-behind an HTTP listener take turns with equal arrivals at equal stand-ins.
+behind an HTTP listener serve the same arrivals one after the other, with the same
+simulated backend servers.
 """
 
 import asyncio
@@ -29,6 +30,7 @@
 
 __all__ = ["ProcessCpu", "format_cpu_table", "measure_cpu", "write_cpu_report"]
 
+# Attempts such as hedges may outlive their request and are part of its cost.
 _STRAGGLER_WAIT_S = 0.3
 _ENTRY_HOST, _BARE_CLIENT, _BARE_SERVER = (
     "entry host",
@@ -41,13 +43,13 @@
 
 @dataclasses.dataclass(slots=True)
 class ProcessCpu:
-    """CPU of one kind of process, over all rounds.
+    """CPU time of one kind of process, summed over all rounds.
 
     Attributes
     ----------
     rest_share : float
-        Share of one core that the process uses without any query: sessions, renewals
-        of leases and readiness checks.
+        Share of one core that the idle process uses: sessions, lease renewals and
+        readiness checks.
     """
 
     cpu_s: float = 0.0
@@ -58,7 +60,7 @@
 
     @property
     def net_us(self) -> float:
-        """Microseconds per sub-request beyond what the process needs at rest."""
+        """Microseconds of CPU per sub-request, less what the idle process uses."""
         busy_s = self.cpu_s - self.rest_share * self.clock_s
         return busy_s / max(self.sub_requests, 1) * _US_PER_S
 
@@ -69,7 +71,7 @@
 
     @property
     def core_share(self) -> float:
-        """Share of one core."""
+        """Share of one core that the process used."""
         return self.cpu_s / max(self.clock_s, 1e-9)
 
 
@@ -83,7 +85,7 @@
     load: float,
     profile: bool,
 ) -> tuple[dict[str, ProcessCpu], str]:
-    """Measure the three kinds; return their figures and profiles."""
+    """Measure the three kinds of process; return their CPU times and profiles."""
     scenario = Scenario(
         name="cpu",
         description="Steady queries.",
@@ -105,26 +107,26 @@
         comparison = _CpuComparison(deployment, sizes, http)
         try:
             await comparison.start()
-            for number in range(-1, rounds):
+            for round_number in range(-1, rounds):
                 arrivals = plan_arrivals(
-                    scenario, deployment.service_loads, seed + number
+                    scenario, deployment.service_loads, seed + round_number
                 )
                 # The first round opens connections and is not counted.
-                await comparison.run_round(arrivals, counted=number >= 0)
+                await comparison.run_round(arrivals, counted=round_number >= 0)
             await comparison.measure_idle(duration_s)
-            found = ""
+            profiles = ""
             if profile:
                 arrivals = plan_arrivals(
                     scenario, deployment.service_loads, seed + rounds
                 )
-                found = await comparison.collect_profiles(arrivals)
-            return comparison.results, found
+                profiles = await comparison.collect_profiles(arrivals)
+            return comparison.results, profiles
         finally:
             await comparison.stop()
 
 
 class _CpuComparison:
-    """The three processes and the stand-ins that they share."""
+    """The three compared processes and the simulated servers that they share."""
 
     def __init__(
         self, deployment: BenchDeployment, sizes: Sizes, http: aiohttp.ClientSession
@@ -163,8 +165,8 @@
         await self._deployment.stop()
 
     async def run_round(self, arrivals: list[Arrival], counted: bool) -> None:
-        """Let each kind serve the arrivals once."""
-        turns: tuple[
+        """Let each kind of process serve the arrivals once."""
+        runs: tuple[
             tuple[str, WorkerProcess, Callable[[], Awaitable[list[Sample]]]], ...
         ] = (
             (
@@ -183,22 +185,22 @@
                 lambda: self._send_over_http(arrivals, self._bare_balancer),
             ),
         )
-        for name, worker, work in turns:
+        for name, worker, send in runs:
             await self._deployment.server_worker.call("journal")
             before = await worker.call("usage")
-            samples = await work()
+            samples = await send()
             await asyncio.sleep(_STRAGGLER_WAIT_S)
             after = await worker.call("usage")
             journal = await self._deployment.server_worker.call("journal")
             if counted:
-                figure = self.results[name]
-                figure.cpu_s += after["cpu_s"] - before["cpu_s"]
-                figure.clock_s += after["clock_s"] - before["clock_s"]
-                figure.sub_requests += journal["totals"]["received"]
-                figure.unanswered += sum(not sample.answered for sample in samples)
+                result = self.results[name]
+                result.cpu_s += after["cpu_s"] - before["cpu_s"]
+                result.clock_s += after["clock_s"] - before["clock_s"]
+                result.sub_requests += journal["totals"]["received"]
+                result.unanswered += sum(not sample.answered for sample in samples)
 
     async def measure_idle(self, duration_s: float) -> None:
-        """Measure the processes without queries."""
+        """Measure the CPU of the idle processes."""
         workers = (
             self._deployment.host_workers[1],
             self._bare_client,
@@ -207,19 +209,21 @@
         before = [await worker.call("usage") for worker in workers]
         await asyncio.sleep(duration_s)
         after = [await worker.call("usage") for worker in workers]
-        for figure, then, now in zip(self.results.values(), before, after, strict=True):
-            clock_s = now["clock_s"] - then["clock_s"]
-            figure.rest_share = (now["cpu_s"] - then["cpu_s"]) / clock_s
+        for result, earlier, later in zip(
+            self.results.values(), before, after, strict=True
+        ):
+            clock_s = later["clock_s"] - earlier["clock_s"]
+            result.rest_share = (later["cpu_s"] - earlier["cpu_s"]) / clock_s
 
     async def collect_profiles(self, arrivals: list[Arrival]) -> str:
         """Return the profiles of the entry host and of the bare fan-out."""
-        entry = self._deployment.host_workers[1]
-        await entry.call("begin_profile")
+        entry_host = self._deployment.host_workers[1]
+        await entry_host.call("begin_profile")
         await self._send_over_http(arrivals, self._deployment.balancer)
-        found = str(await entry.call("end_profile"))
+        entry_profile = str(await entry_host.call("end_profile"))
         await self._bare_client.call("begin_profile")
         await self._send_from_bare_client(arrivals)
-        return found + str(await self._bare_client.call("end_profile"))
+        return entry_profile + str(await self._bare_client.call("end_profile"))
 
     async def _send_over_http(
         self, arrivals: list[Arrival], balancer: LoadBalancer
@@ -234,26 +238,26 @@
 
 
 def format_cpu_table(results: dict[str, ProcessCpu]) -> str:
-    """Return the comparison and its verdict as a Markdown table."""
+    """Return the comparison and whether the target is met as a Markdown table."""
     bare = results[_BARE_CLIENT]
     lines = [
         "| process | sub-requests | refused queries | CPU share | at rest "
         "| us per sub-request | ratio to bare | without rest | ratio to bare |",
         "| --- " * 9 + "|",
     ]
-    for name, figure in results.items():
-        each = figure.per_sub_request_us
+    for name, result in results.items():
+        gross_us = result.per_sub_request_us
         lines.append(
-            f"| {name} | {figure.sub_requests} | {figure.unanswered} "
-            f"| {figure.core_share:.1%} | {figure.rest_share:.1%} "
-            f"| {each:.0f} | {_ratio(each, bare.per_sub_request_us):.2f} "
-            f"| {figure.net_us:.0f} | {_ratio(figure.net_us, bare.net_us):.2f} |"
+            f"| {name} | {result.sub_requests} | {result.unanswered} "
+            f"| {result.core_share:.1%} | {result.rest_share:.1%} "
+            f"| {gross_us:.0f} | {_ratio(gross_us, bare.per_sub_request_us):.2f} "
+            f"| {result.net_us:.0f} | {_ratio(result.net_us, bare.net_us):.2f} |"
         )
-    ratio = _ratio(results[_ENTRY_HOST].net_us, bare.net_us)
-    verdict = "pass" if ratio <= _MAX_NET_CPU_RATIO else "MISS"
+    net_ratio = _ratio(results[_ENTRY_HOST].net_us, bare.net_us)
+    verdict = "pass" if net_ratio <= _MAX_NET_CPU_RATIO else "MISS"
     lines.append(
         f"\nTarget: ratio without rest <= {_MAX_NET_CPU_RATIO}; "
-        f"measured {ratio:.2f}: {verdict}"
+        f"measured {net_ratio:.2f}: {verdict}"
     )
     return "\n".join(lines)
 
@@ -266,9 +270,9 @@
     """Write ``cpu.json`` and ``cpu.md``."""
     folder.mkdir(parents=True, exist_ok=True)
     fields = {
-        name: dataclasses.asdict(figure)
-        | {"per_sub_request_us": figure.per_sub_request_us, "net_us": figure.net_us}
-        for name, figure in results.items()
+        name: dataclasses.asdict(result)
+        | {"per_sub_request_us": result.per_sub_request_us, "net_us": result.net_us}
+        for name, result in results.items()
     }
     (folder / "cpu.json").write_text(json.dumps(fields, indent=2) + "\n")
     (folder / "cpu.md").write_text(format_cpu_table(results) + "\n")
--- a/packages/cli/src/kingcuplug_cli/_bench/_deployment.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_deployment.py
@@ -1,4 +1,4 @@
-"""One deployment under one policy, spread over child processes."""
+"""A deployment under one policy, in child processes."""
 
 import asyncio
 import contextlib
@@ -28,31 +28,31 @@
 
 
 class BenchDeployment:
-    """Hosts and stand-ins in processes of their own.
+    """Hosts and simulated backend servers in child processes.
 
     Parameters
     ----------
     sizes : Sizes
         Zones and services.
-    text : dict
-        The configuration text.
+    configuration : dict
+        The configuration, decoded from its JSON text.
     policy : Policy
         Routing under test.
     http : aiohttp.ClientSession
-        The callers' client.
+        Client that sends the callers' requests.
     seed : int
         Seed of the service times.
-    entry_hosts, host_processes : int
+    entry_host_count, host_process_count : int
         Number of entry hosts, and of processes that they are spread over. The
-        control hosts have a process of their own: in one with entry hosts, bursts
-        of queries delayed their heartbeats and caused elections.
+        control hosts run in a separate process: in one shared with entry hosts,
+        bursts of queries delayed their heartbeats and caused elections.
 
     Attributes
     ----------
-    revisions : list of (float, int)
-        Time on the loop's clock of each acceptance, and the revision.
+    accepted_revisions : list of (float, int)
+        Acceptance time, on the event loop's clock, and number of each revision.
     configuration_retries : int
-        Changes that had to be sent again, such as during an election.
+        Number of changes that were sent again, such as during an election.
     """
 
     def __init__(
@@ -98,7 +98,7 @@
 
     @property
     def service_loads(self) -> list[ServiceLoad]:
-        """The services that can be put under load."""
+        """The services that arrivals can be planned for."""
         return [
             ServiceLoad(name, group.servers * group.slots, group.shard_count)
             for group in self.sizes.groups
@@ -106,13 +106,13 @@
         ]
 
     async def start(self, times: ServiceTimes) -> None:
-        """Start everything and wait until every entry host knows all servers."""
+        """Start everything and wait until all hosts are ready."""
         await asyncio.gather(*(worker.start() for worker in self.workers))
-        for number in range(_CONTROL_HOST_COUNT):
-            await self._start_host(number)
+        for host_index in range(_CONTROL_HOST_COUNT):
+            await self._start_host(host_index)
         await self._bootstrap_control_group()
-        for number in range(_CONTROL_HOST_COUNT, self._host_count):
-            await self._start_host(number)
+        for host_index in range(_CONTROL_HOST_COUNT, self._host_count):
+            await self._start_host(host_index)
         await self._start_servers(times)
         self._readiness_checks = asyncio.create_task(
             self.balancer.run_readiness_checks()
@@ -130,28 +130,30 @@
         self._data_folder.cleanup()
 
     async def wait_until_ready(self) -> None:
-        """Wait until all hosts are ready and know all servers as serving."""
+        """Wait until all entry hosts are ready and list all servers as serving."""
         await _poll_until(self._is_ready)
 
     async def reset_servers(self, times: ServiceTimes) -> None:
-        """Bring all stand-ins back and wait until that is known everywhere."""
+        """Restore all servers and wait until every entry host lists them as serving."""
         await self.server_worker.call("heal", behaviour=_behaviour_fields(times))
         await self.wait_until_ready()
 
     async def usage_by_process(self) -> dict[str, dict[str, float]]:
-        """Return CPU seconds, clock and peak memory per child process."""
+        """Return CPU time, clock and peak memory of each child process."""
         return {worker.name: await worker.call("usage") for worker in self.workers}
 
     async def restart_entry_hosts(self, count: int) -> None:
-        """Restart `count` entry hosts, one after the other, gracefully."""
-        for number in range(self._host_count - count, self._host_count):
-            await self._host_worker(number).call("drain", host=_host_name(number))
-            await self._start_host(number)
+        """Restart `count` entry hosts gracefully, one after the other."""
+        for host_index in range(self._host_count - count, self._host_count):
+            await self._host_worker(host_index).call(
+                "drain", host=_host_name(host_index)
+            )
+            await self._start_host(host_index)
 
     async def apply_configuration(self, change_number: int) -> None:
-        """Apply a changed configuration text."""
+        """Submit a changed configuration and wait until it is accepted."""
         for service in self._configuration["services"].values():
-            # Only the upper bound of retries moves, so that the load is the same.
+            # Only the retry budget changes, so that the load stays the same.
             service["policy"]["retry_budget"] = 0.1 + change_number % 2 * 0.001
         fields = {
             "change_id": identifier(),
@@ -163,66 +165,66 @@
         }
         answer: dict[str, Any] = {}
 
-        async def accepted() -> bool:
-            # The same change id makes a repetition after a lost answer harmless.
+        async def submit_change() -> bool:
+            # The change id makes a repetition after a lost answer idempotent.
             with contextlib.suppress(RuntimeError):
                 answer.update(await self._call_operator_api("configuration", fields))
                 return True
             self.configuration_retries += 1
             return False
 
-        await _poll_until(accepted)
+        await _poll_until(submit_change)
         if answer.get("type") != "accepted":
             raise RuntimeError(f"the configuration was not accepted: {answer}")
         now = asyncio.get_running_loop().time()
         self.accepted_revisions.append((now, int(answer["revision"])))
 
-    # Start
-
     async def _bootstrap_control_group(self) -> None:
         await self._call_operator_api("control/bootstrap", {})
-        for number in range(1, _CONTROL_HOST_COUNT):
-            await _poll_until(partial(self._add_control_host, number))
+        for host_index in range(1, _CONTROL_HOST_COUNT):
+            await _poll_until(partial(self._add_control_host, host_index))
         await self.apply_configuration(0)
 
-    async def _add_control_host(self, number: int) -> bool:
-        """Add a control host; the first leader may not be elected yet."""
+    async def _add_control_host(self, host_index: int) -> bool:
+        """Add a control host; return False while there is no elected leader."""
         with contextlib.suppress(RuntimeError):
             await self._call_operator_api(
-                "control/add", {"address": self._control_seeds[number]}
+                "control/add", {"address": self._control_seeds[host_index]}
             )
             return True
         return False
 
-    async def _start_host(self, number: int) -> None:
+    async def _start_host(self, host_index: int) -> None:
         settings = self._settings_by_host.get(
-            _host_name(number)
-        ) or self._make_settings(number)
-        addresses = await self._host_worker(number).call(
+            _host_name(host_index)
+        ) or self._make_settings(host_index)
+        addresses = await self._host_worker(host_index).call(
             "start", settings=settings, policy=self.policy.model_dump()
         )
-        self._settings_by_host[_host_name(number)] = settings | addresses
+        self._settings_by_host[_host_name(host_index)] = settings | addresses
         if "entry" in settings["roles"]:
-            self.balancer.addresses[_host_name(number)] = addresses["caller_address"]
+            self.balancer.addresses[_host_name(host_index)] = addresses[
+                "caller_address"
+            ]
         if (
-            number < _CONTROL_HOST_COUNT
+            host_index < _CONTROL_HOST_COUNT
             and len(self._control_seeds) < _CONTROL_HOST_COUNT
         ):
             self._control_seeds.append(addresses["peer_address"])
 
-    def _make_settings(self, number: int) -> dict[str, Any]:
-        zone = number % len(self.sizes.availability_zones)
-        control = number < _CONTROL_HOST_COUNT
-        name = _host_name(number)
-        address = f"127.0.{zone + 1}.{number + 1}"
+    def _make_settings(self, host_index: int) -> dict[str, Any]:
+        zone_index = host_index % len(self.sizes.availability_zones)
+        is_control = host_index < _CONTROL_HOST_COUNT
+        name = _host_name(host_index)
+        address = f"127.0.{zone_index + 1}.{host_index + 1}"
         return {
             "host": name,
-            "availability_zone": self.sizes.availability_zones[zone],
-            "roles": ["control"] if control else ["entry"],
+            "availability_zone": self.sizes.availability_zones[zone_index],
+            "roles": ["control"] if is_control else ["entry"],
             "caller_address": f"{address}:0",
             "peer_address": f"{address}:0",
             "data_folder": str(Path(self._data_folder.name) / name)
-            if control
+            if is_control
             else None,
             "control_seeds": list(self._control_seeds),
             "shutdown_grace_ms": _SHUTDOWN_GRACE_MS,
@@ -237,7 +239,9 @@
             "start",
             sizes=dataclasses.asdict(self.sizes),
             zone_of=zone_of,
-            entries=[f"http://{a}" for a in self.balancer.addresses.values()],
+            entries=[
+                f"http://{address}" for address in self.balancer.addresses.values()
+            ],
             seed=self._seed,
             behaviour=_behaviour_fields(times),
         )
@@ -246,15 +250,18 @@
         await self.balancer.check_all_hosts()
         if len(self.balancer.ready_hosts) < self._entry_host_count:
             return False
-        known = await asyncio.gather(
-            *(w.call("knows", servers=self._server_names) for w in self.host_workers)
+        all_serving = await asyncio.gather(
+            *(
+                worker.call("knows", servers=self._server_names)
+                for worker in self.host_workers
+            )
         )
-        return all(known)
+        return all(all_serving)
 
-    def _host_worker(self, number: int) -> WorkerProcess:
-        if number < _CONTROL_HOST_COUNT:
+    def _host_worker(self, host_index: int) -> WorkerProcess:
+        if host_index < _CONTROL_HOST_COUNT:
             return self.host_workers[0]
-        return self.host_workers[1 + number % (len(self.host_workers) - 1)]
+        return self.host_workers[1 + host_index % (len(self.host_workers) - 1)]
 
     async def _call_operator_api(
         self, path: str, fields: dict[str, Any]
@@ -268,8 +275,8 @@
             return dict(answer)
 
 
-def _host_name(number: int) -> str:
-    return f"host-{number + 1:02}"
+def _host_name(host_index: int) -> str:
+    return f"host-{host_index + 1:02}"
 
 
 def _behaviour_fields(times: ServiceTimes) -> dict[str, float]:
@@ -282,14 +289,14 @@
 
 
 def _apply_policy(configuration: dict[str, Any], policy: Policy) -> dict[str, Any]:
-    copied: dict[str, Any] = json.loads(json.dumps(configuration))
-    for service in copied["services"].values():
+    changed: dict[str, Any] = json.loads(json.dumps(configuration))
+    for service in changed["services"].values():
         service.setdefault("policy", {}).update(policy.service)
-    return copied
+    return changed
 
 
 async def _poll_until(condition: Callable[[], Any]) -> None:
     async with asyncio.timeout(_CONDITION_TIMEOUT_S):
-        # State of other processes is asked for, so there is no event to wait for.
+        # The condition is the state of other processes, which set no local event.
         while not await condition():  # noqa: ASYNC110
             await asyncio.sleep(_POLL_PERIOD_S)
--- a/packages/cli/src/kingcuplug_cli/_bench/_ground_truth.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_ground_truth.py
@@ -1,4 +1,4 @@
-"""Judges samples against what the stand-ins really did."""
+"""Checks samples against the record of what the simulated servers did."""
 
 import dataclasses
 from collections import Counter
@@ -19,26 +19,27 @@
     "stale_revisions",
 )
 
+# Within this time of its acceptance, a revision must be in force on all hosts.
 _CONFIGURATION_DELAY_BOUND_S = 4.0
 _COVERAGE_TOLERANCE = 1e-9
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GroundTruth:
-    """What the stand-ins did in one round.
+    """Record of the work that the simulated servers did in one round.
 
     Attributes
     ----------
     received, started : Mapping
-        Sub-requests received and begun per request id.
+        Number of sub-requests received and started per request id.
     orders : Mapping
-        Runs per idempotency key.
+        Number of executions per idempotency key.
     shard_counts : Mapping
-        Shard count of each (service, snapshot) that ever existed.
+        Shard count of each (service, snapshot), including replaced snapshots.
     revisions : sequence of (float, int)
-        Time of each accepted configuration and its number.
+        Acceptance time and number of each configuration revision.
     start : float
-        Time of the start of the round, on the clock of `revisions`.
+        Start of the round, on the clock of `revisions`.
     """
 
     received: Mapping[str, int]
@@ -55,7 +56,7 @@
         revisions: Sequence[tuple[float, int]],
         start: float,
     ) -> "GroundTruth":
-        """Return the truth in a stand-ins' journal."""
+        """Return the ground truth in a journal of the simulated servers."""
         return cls(
             journal["received"],
             journal["started"],
@@ -71,28 +72,29 @@
     truth: GroundTruth,
     descriptions: list[dict[str, Any]] | None = None,
 ) -> Counter[str]:
-    """Count the violations of the invariants, by name.
+    """Count the violations of each invariant.
 
-    Each answer counts at most once per name; zero counts are present.
+    An answer counts at most once per invariant. Invariants without violations have
+    the count 0.
 
     Parameters
     ----------
-    examples : list, optional
-        Gets a description of each violation.
+    descriptions : list, optional
+        Receives a description of each violation.
     """
-    found = Counter(dict.fromkeys(INVARIANT_VIOLATIONS, 0))
+    counts = Counter(dict.fromkeys(INVARIANT_VIOLATIONS, 0))
     for sample in samples:
-        faults = _sample_violations(sample, truth)
-        found.update(faults)
-        if faults and descriptions is not None:
-            descriptions.append(_describe_violations(sample, faults, truth))
-    doubled = [key for key, runs in truth.orders.items() if runs > 1]
-    found["doubled_orders"] += len(doubled)
+        violations = _sample_violations(sample, truth)
+        counts.update(violations)
+        if violations and descriptions is not None:
+            descriptions.append(_describe_violations(sample, violations, truth))
+    doubled_orders = [key for key, executions in truth.orders.items() if executions > 1]
+    counts["doubled_orders"] += len(doubled_orders)
     if descriptions is not None:
         descriptions += [
-            {"faults": ["doubled_orders"], "order": key} for key in doubled
+            {"faults": ["doubled_orders"], "order": key} for key in doubled_orders
         ]
-    return found
+    return counts
 
 
 def _sample_violations(sample: Sample, truth: GroundTruth) -> set[str]:
@@ -109,7 +111,9 @@
         "request_id": sample.request_id,
         "arrival": dataclasses.asdict(sample.arrival),
         "latency_ms": sample.latency_ms,
-        "answer": {k: v for k, v in sample.answer.items() if k != "receipt"},
+        "answer": {
+            name: value for name, value in sample.answer.items() if name != "receipt"
+        },
         "started": truth.started.get(sample.request_id, 0),
         "order": sample.order_key,
         "order_runs": truth.orders.get(sample.order_key or "", 0),
@@ -117,29 +121,29 @@
 
 
 def _answer_violations(sample: Sample, truth: GroundTruth) -> set[str]:
-    faults = set()
+    violations = set()
     if _has_stale_revision(sample, truth):
-        faults.add("stale_revisions")
+        violations.add("stale_revisions")
     if sample.arrival.kind == "query":
-        faults |= _query_violations(sample, truth)
-    return faults
+        violations |= _query_violations(sample, truth)
+    return violations
 
 
 def _query_violations(sample: Sample, truth: GroundTruth) -> set[str]:
     answer, service = sample.answer, sample.arrival.service
-    faults = set()
+    violations = set()
     values = shard_values(answer)
-    right = 0
+    correct_count = 0
     for shard, value in values:
-        fault = _value_violation(sample, shard, value, truth)
-        if fault is None:
-            right += 1
+        violation = _value_violation(sample, shard, value, truth)
+        if violation is None:
+            correct_count += 1
         else:
-            faults.add(fault)
-    count = truth.shard_counts.get((service, answer["snapshot"]), 0)
-    if not _is_coverage_correct(answer, values, right, count):
-        faults.add("untrue_coverage")
-    return faults
+            violations.add(violation)
+    shard_count = truth.shard_counts.get((service, answer["snapshot"]), 0)
+    if not _is_coverage_correct(answer, values, correct_count, shard_count):
+        violations.add("untrue_coverage")
+    return violations
 
 
 def shard_values(answer: Mapping[str, Any]) -> list[tuple[int, Any]]:
@@ -148,12 +152,13 @@
     if all(isinstance(entry, dict) for entry in value):
         return [(entry["shard"], entry["value"]) for entry in value]
     missing = set(answer["missing_shards"])
-    shards = [s for s in range(answer["shard_count"]) if s not in missing]
-    # A wrong number of entries leaves shards or values without a partner.
+    shards = [shard for shard in range(answer["shard_count"]) if shard not in missing]
+    # If there are too few or too many entries, some shards get the value None or some
+    # values the shard -1.
     padded = [*value, *[None] * (len(shards) - len(value))]
     return [
-        (shards[place] if place < len(shards) else -1, entry)
-        for place, entry in enumerate(padded)
+        (shards[index] if index < len(shards) else -1, entry)
+        for index, entry in enumerate(padded)
     ]
 
 
@@ -164,8 +169,13 @@
     snapshot = sample.answer["snapshot"]
     if value == expected_value(service, snapshot, shard, body):
         return None
-    others = (number for name, number in truth.shard_counts if name == service)
-    if any(value == expected_value(service, other, shard, body) for other in others):
+    snapshots = (
+        known_snapshot for name, known_snapshot in truth.shard_counts if name == service
+    )
+    if any(
+        value == expected_value(service, other_snapshot, shard, body)
+        for other_snapshot in snapshots
+    ):
         return "mixed_snapshots"
     return "crossed_answers"
 
@@ -183,10 +193,10 @@
         or answer["shard_count"] != shard_count
     ):
         return False
-    missing = sorted(set(range(shard_count)) - shards)
+    missing_shards = sorted(set(range(shard_count)) - shards)
     return bool(
         abs(answer["coverage"] - correct_count / shard_count) < _COVERAGE_TOLERANCE
-        and sorted(answer["missing_shards"]) == missing
+        and sorted(answer["missing_shards"]) == missing_shards
         and answer["partial"] == (correct_count < shard_count)
     )
 
@@ -197,14 +207,21 @@
         return False
     if truth.started.get(sample.request_id, 0):
         return True
-    # A resent order speaks for every earlier sending of its key. An earlier sending
-    # that was refused stays truthful although a later one runs.
+    # The refusal of a resend covers all earlier attempts with its key. The refusal of
+    # an earlier attempt stays correct even if a later attempt is executed.
     key = sample.order_key
     return bool(sample.arrival.resend and key and truth.orders.get(key, 0))
 
 
 def _has_stale_revision(sample: Sample, truth: GroundTruth) -> bool:
-    """Return whether a newer revision was in force long before the arrival."""
-    in_force = truth.start + sample.arrival.at_s - _CONFIGURATION_DELAY_BOUND_S
-    newest = max((n for at, n in truth.revisions if at <= in_force), default=-1)
-    return int(sample.answer["revision"]) < newest
+    """Return whether a newer revision had to be in force at the arrival."""
+    accepted_by = truth.start + sample.arrival.at_s - _CONFIGURATION_DELAY_BOUND_S
+    required_revision = max(
+        (
+            revision
+            for accepted_at, revision in truth.revisions
+            if accepted_at <= accepted_by
+        ),
+        default=-1,
+    )
+    return int(sample.answer["revision"]) < required_revision
--- a/packages/cli/src/kingcuplug_cli/_bench/_hosts_worker.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_hosts_worker.py
@@ -1,4 +1,4 @@
-"""Child process with some of the hosts of one deployment."""
+"""Child process that runs some of the hosts of one deployment."""
 
 import asyncio
 import dataclasses
@@ -16,13 +16,15 @@
 
 
 def routing_policy(policy: Policy, service: Service) -> RoutingPolicy:
-    """Return the routing policy of one service under a bench policy."""
-    base = policy_of(service) if policy.base == "configured" else baseline_policy()
-    return dataclasses.replace(base, **policy.routing)
+    """Return the routing policy of one service under a policy of the load test."""
+    base_policy = (
+        policy_of(service) if policy.base == "configured" else baseline_policy()
+    )
+    return dataclasses.replace(base_policy, **policy.routing)
 
 
 class HostsWorker:
-    """Handlers of the commands."""
+    """Command handlers of a process with hosts."""
 
     def __init__(self) -> None:
         self._hosts: dict[str, Host] = {}
@@ -36,7 +38,7 @@
         host.settings = settings.model_copy(update={"control_seeds": seeds})
         await host.start()
         if host.entry is not None:
-            # The stand-ins know a host's availability zone by its address.
+            # Simulated servers derive a client's availability zone from its address.
             host.entry.backend.local_address = host.caller_address.rpartition(":")[0]
         self._hosts[settings.host] = host
         return {
@@ -49,14 +51,14 @@
         await self._hosts.pop(fields["host"]).stop()
 
     async def kill(self, fields: dict[str, Any]) -> None:
-        """End a host as a crashed process does."""
+        """End a host abruptly, as a crash of its process would."""
         await self._hosts.pop(fields["host"]).kill()
 
     async def knows(self, fields: dict[str, Any]) -> bool:
-        """Return whether every entry host here knows all servers as live."""
-        wanted = set(fields["servers"])
-        entries = [host for host in self._hosts.values() if host.entry is not None]
-        return all(wanted <= _serving_servers(host) for host in entries)
+        """Return whether every entry host here lists all given servers as serving."""
+        expected = set(fields["servers"])
+        entry_hosts = [host for host in self._hosts.values() if host.entry is not None]
+        return all(expected <= _serving_servers(host) for host in entry_hosts)
 
     async def stop(self, _: dict[str, Any]) -> None:
         """Stop all hosts."""
@@ -68,10 +70,10 @@
     assert host.entry is not None
     directory = host.entry.session.directory
     return {
-        entry.announcement.server
+        server.announcement.server
         for service in directory.services()
-        for entry in directory.servers(service)
-        if entry.live and entry.announcement.state == "serving"
+        for server in directory.servers(service)
+        if server.live and server.announcement.state == "serving"
     }
 
 
--- a/packages/cli/src/kingcuplug_cli/_bench/_load_balancer.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_load_balancer.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's load balancer in front of the entry hosts."""
+"""Simulated platform load balancer in front of the entry hosts."""
 
 import asyncio
 import contextlib
@@ -14,19 +14,19 @@
 
 
 class LoadBalancer:
-    """Round robin over the hosts whose last readiness check passed.
+    """Choose among the hosts whose last readiness check passed, round robin.
 
     Parameters
     ----------
     http : aiohttp.ClientSession
-        Sends the checks.
+        Client that sends the readiness checks.
 
     Attributes
     ----------
-    targets : dict
+    addresses : dict
         Caller address of each host by name.
-    ready : set of str
-        Names of the hosts that get requests.
+    ready_hosts : set of str
+        Names of the hosts that receive requests.
     """
 
     def __init__(self, http: aiohttp.ClientSession) -> None:
@@ -36,22 +36,23 @@
         self._next_index = itertools.count()
 
     def next_host(self, excluded: Iterable[str] = ()) -> tuple[str, str]:
-        """Return name and address of the next ready host.
+        """Return the name and address of the next ready host.
 
-        Hosts in `exclude` are avoided while there is another one.
+        A host in `excluded` is only returned if no other host is ready. If no host
+        is ready, all of them take part, in the same order.
         """
         names = sorted(self.ready_hosts - set(excluded)) or sorted(self.addresses)
         name = names[next(self._next_index) % len(names)]
         return name, self.addresses[name]
 
     async def run_readiness_checks(self) -> None:
-        """Check all hosts until cancelled."""
+        """Check the readiness of all hosts periodically until cancelled."""
         while True:
             await self.check_all_hosts()
             await asyncio.sleep(_READINESS_CHECK_PERIOD_S)
 
     async def check_all_hosts(self) -> None:
-        """Ask every host once whether it is ready."""
+        """Send one readiness check to every host."""
         await asyncio.gather(*(self._check_host(name) for name in list(self.addresses)))
 
     async def _check_host(self, name: str) -> None:
--- a/packages/cli/src/kingcuplug_cli/_bench/_load_generator.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_load_generator.py
@@ -1,4 +1,4 @@
-"""Sends the planned arrivals and notes how each one ended."""
+"""Load generator: sends the planned arrivals and records each outcome."""
 
 import asyncio
 import dataclasses
@@ -21,14 +21,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Sample:
-    """How one arrival ended.
+    """Outcome of one arrival.
 
     Attributes
     ----------
     lag_ms : float
-        How late the load generator began it.
+        Delay of the load generator, from the planned time to the start of the send.
     latency_ms : float
-        From the planned arrival until the caller has the whole answer.
+        Time from the planned arrival until the caller has the whole answer.
     status : int
         HTTP status; 0 if the connection broke or no answer came in time.
     """
@@ -44,12 +44,12 @@
 
     @property
     def answered(self) -> bool:
-        """Whether there is an answer, whole or partial."""
+        """Whether there is an answer, complete or partial."""
         return self.status == 200
 
 
 class _RequestSender:
-    """What the senders of one round share."""
+    """Sends the requests of one round."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         self.started_unix_ms = time.time_ns() // 1_000_000
 
     async def send(self, arrival: Arrival, planned_at: float) -> Sample:
-        """Send one arrival, whose planned time is `planned`."""
+        """Send one arrival, planned for `planned_at` on the event loop's clock."""
         loop = asyncio.get_running_loop()
         sample = Sample(arrival, identifier())
         sample.lag_ms = (loop.time() - planned_at) * _MS_PER_S
@@ -73,8 +73,8 @@
                 await self._post(sample, self._request_fields(sample))
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             sample.error = repr(error)
-        ended = loop.time() + self.latency_s
-        sample.latency_ms = (ended - planned_at) * _MS_PER_S
+        completed_at = loop.time() + self.latency_s
+        sample.latency_ms = (completed_at - planned_at) * _MS_PER_S
         return sample
 
     def _request_fields(self, sample: Sample) -> dict[str, Any]:
@@ -92,11 +92,11 @@
         return fields
 
     async def _post(self, sample: Sample, fields: dict[str, Any]) -> None:
-        """Send through the balancer, which tries another host on a refused connect."""
+        """Post to a host; after a failed connect, try another one."""
         path = f"/v1/services/{sample.arrival.service}/{sample.arrival.kind}"
-        refused: list[str] = []
+        unreachable: list[str] = []
         while True:
-            name, address = self.balancer.next_host(refused)
+            name, address = self.balancer.next_host(unreachable)
             try:
                 async with self.http.post(
                     f"http://{address}{path}", json=fields
@@ -105,8 +105,8 @@
                     sample.status = response.status
                     return
             except aiohttp.ClientConnectorError:
-                refused.append(name)
-                if len(refused) == _MAX_CONNECT_ATTEMPTS:
+                unreachable.append(name)
+                if len(unreachable) == _MAX_CONNECT_ATTEMPTS:
                     raise
 
 
@@ -117,22 +117,22 @@
     caller_latency_ms: float,
     on_completed: Callable[[Sample], None] = lambda _: None,
 ) -> tuple[float, list[Sample]]:
-    """Send all arrivals at their times and wait for the last answer.
+    """Send all arrivals at their planned times and wait for the last answer.
 
     Returns
     -------
     tuple
-        The loop's time at the start of the round, and the samples.
+        Start of the round, on the event loop's clock, and the samples.
     """
     loop = asyncio.get_running_loop()
-    current = _RequestSender(http, balancer, caller_latency_ms)
+    sender = _RequestSender(http, balancer, caller_latency_ms)
     start = loop.time()
     tasks = []
     for arrival in arrivals:
-        planned = start + arrival.at_s
-        if planned > loop.time():
-            await asyncio.sleep(planned - loop.time())
-        task = loop.create_task(current.send(arrival, planned))
-        task.add_done_callback(lambda done: on_completed(done.result()))
+        planned_at = start + arrival.at_s
+        if planned_at > loop.time():
+            await asyncio.sleep(planned_at - loop.time())
+        task = loop.create_task(sender.send(arrival, planned_at))
+        task.add_done_callback(lambda completed: on_completed(completed.result()))
         tasks.append(task)
     return start, list(await asyncio.gather(*tasks))
--- a/packages/cli/src/kingcuplug_cli/_bench/_phase_metrics.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_phase_metrics.py
@@ -1,4 +1,4 @@
-"""Figures of one policy in one phase, added up over rounds."""
+"""Metrics of one policy in one phase, summed over rounds."""
 
 import dataclasses
 from collections import Counter
@@ -30,12 +30,14 @@
     Attributes
     ----------
     latencies, urgent : HdrHistogram
-        Latency of answers in microseconds, from the planned arrival.
+        Latency of all answers, and of the answers to urgent requests, in microseconds
+        from the planned arrival.
     needed, received, started, delivered : int
-        Sub-requests: needed by the answered requests, received and begun by the
-        stand-ins for them, and results that reached a caller.
+        Numbers of sub-requests: needed by the answered queries, received by the
+        backend servers for these, started for any request, and those whose results
+        reached a caller.
     worst_recovery_s : float
-        Longest time from the first event to an arrival that was not served whole.
+        Longest time from the first event to an arrival without a complete answer.
     """
 
     duration_s: float = 0.0
@@ -57,7 +59,7 @@
         duration_s: float,
         event_s: float | None,
     ) -> None:
-        """Add one round's samples of this phase."""
+        """Add the samples that one round has of this phase."""
         self.duration_s += duration_s
         for sample in samples:
             if sample.arrival.extra:
@@ -92,11 +94,12 @@
     def _record_failure(self, sample: Sample, truth: GroundTruth) -> None:
         refusal = sample.answer.get("refusal")
         if refusal is None:
+            # The connection broke, or no answer came in time.
             self.counts["cut"] += 1
             return
         self.refusals[f"{refusal['kind']}: {refusal['reason']}"] += 1
-        early = not truth.received.get(sample.request_id, 0)
-        if not early or refusal["kind"] != "not_run":
+        undispatched = not truth.received.get(sample.request_id, 0)
+        if not undispatched or refusal["kind"] != "not_run":
             self.counts["late_refusals"] += 1
 
     def _count_sub_requests(self, sample: Sample, truth: GroundTruth) -> None:
@@ -109,22 +112,22 @@
             self.needed += sample.answer["shard_count"]
             self.delivered += len(shard_values(sample.answer))
         else:
-            # A resend is answered from the ledger and may need nothing.
+            # A resent order is answered from the ledger and may need no sub-request.
             self.delivered += truth.started.get(sample.request_id, 0)
 
     def _update_recovery_time(self, sample: Sample, event_s: float | None) -> None:
         if event_s is None or sample.arrival.at_s < event_s:
             return
-        whole = sample.answered and not sample.answer.get("partial")
-        if not whole:
-            after_s = sample.arrival.at_s - event_s
-            self.worst_recovery_s = max(self.worst_recovery_s, after_s)
+        complete = sample.answered and not sample.answer.get("partial")
+        if not complete:
+            since_event_s = sample.arrival.at_s - event_s
+            self.worst_recovery_s = max(self.worst_recovery_s, since_event_s)
 
     def summary(self) -> dict[str, Any]:
-        """Return all figures by name."""
+        """Return all metrics by name."""
         queries = self.counts["queries"]
         needed = max(self.needed, 1)
-        figures: dict[str, Any] = {
+        metrics: dict[str, Any] = {
             "requests": self.counts["requests"],
             "answered": self.counts["answered"],
             "whole": self.counts["whole"],
@@ -141,10 +144,10 @@
             "extra_requests": self.counts["extra_requests"],
             "extra_answered": self.counts["extra_answered"],
         }
-        for name, share in _PERCENTILES.items():
-            figures[name] = _percentile_ms(self.latencies, share)
-            figures[f"urgent_{name}"] = _percentile_ms(self.urgent, share)
-        return figures
+        for name, percentile in _PERCENTILES.items():
+            metrics[name] = _percentile_ms(self.latencies, percentile)
+            metrics[f"urgent_{name}"] = _percentile_ms(self.urgent, percentile)
+        return metrics
 
 
 def _percentile_ms(histogram: Any, percentile: float) -> float:
--- a/packages/cli/src/kingcuplug_cli/_bench/_report.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_report.py
@@ -1,4 +1,4 @@
-"""JSON, table and plots of one deployment's run."""
+"""Report of one deployment's run: JSON, Markdown tables and plots."""
 
 import json
 import math
@@ -42,8 +42,8 @@
     return {
         "policies": {name: _policy_fields(result) for name, result in results.items()},
         "verdicts": [
-            {name: getattr(verdict, name) for name in TargetResult.__slots__}
-            for verdict in target_results
+            {name: getattr(target_result, name) for name in TargetResult.__slots__}
+            for target_result in target_results
         ],
     }
 
@@ -69,9 +69,12 @@
 
 
 def is_saturated(result: PolicyResult) -> bool:
-    """Return whether a process or the load generator was the bottleneck."""
-    busiest = max(result.cpu.values(), default=0.0)
-    return busiest > _SATURATED_CORE_SHARE or _start_lag_ms(result) > _MAX_START_LAG_MS
+    """Return whether CPU or the load generator limited the load."""
+    highest_share = max(result.cpu.values(), default=0.0)
+    return (
+        highest_share > _SATURATED_CORE_SHARE
+        or _start_lag_ms(result) > _MAX_START_LAG_MS
+    )
 
 
 def invariants_hold(results: Mapping[str, PolicyResult]) -> bool:
@@ -80,17 +83,17 @@
 
 
 def format_targets_table(target_results: Sequence[TargetResult]) -> str:
-    """Return the targets as a Markdown table."""
+    """Return the results of the targets as a Markdown table."""
     lines = [
         "| scenario | target | bound | measured | baseline | verdict |",
         "| --- | --- | --- | --- | --- | --- |",
     ]
-    for each in target_results:
-        baseline = "" if each.baseline is None else _format_number(each.baseline)
-        verdict = "pass" if each.passed else "MISS"
+    for result in target_results:
+        baseline = "" if result.baseline is None else _format_number(result.baseline)
+        verdict = "pass" if result.passed else "MISS"
         lines.append(
-            f"| {each.scenario} | {each.target} | {each.bound} | "
-            f"{_format_number(each.measured)} | {baseline} | {verdict} |"
+            f"| {result.scenario} | {result.target} | {result.bound} | "
+            f"{_format_number(result.measured)} | {baseline} | {verdict} |"
         )
     return "\n".join(lines)
 
@@ -126,9 +129,9 @@
         "| --- " * (len(_METRIC_COLUMNS) + 2) + "|",
     ]
     for policy, fields in scenario["policies"].items():
-        for phase, figures in fields["phases"].items():
+        for phase, metrics in fields["phases"].items():
             values = " | ".join(
-                _format_number(float(figures[name])) for name in _METRIC_COLUMNS
+                _format_number(float(metrics[name])) for name in _METRIC_COLUMNS
             )
             lines.append(f"| {policy} | {phase} | {values} |")
     return "\n".join(lines)
@@ -138,36 +141,42 @@
     lines = []
     for policy, fields in scenario["policies"].items():
         cpu = ", ".join(f"{name} {share:.0%}" for name, share in fields["cpu"].items())
-        truth = ", ".join(f"{name} {n}" for name, n in fields["truth"].items())
+        violations = ", ".join(
+            f"{name} {count}" for name, count in fields["truth"].items()
+        )
         validity = (
-            "INVALID (a full CPU or late arrivals)" if fields["saturated"] else "valid"
+            "INVALID (saturated CPU or late arrivals)"
+            if fields["saturated"]
+            else "valid"
         )
         lines.append(
             f"* {policy}: {validity}; CPU: {cpu}; load generator's lag p99 "
             f"{fields['lag_p99_ms']:.1f} ms; configuration changes sent again "
-            f"{fields['configuration_retries']}; ground truth: {truth}"
+            f"{fields['configuration_retries']}; ground truth: {violations}"
         )
-        for phase, figures in fields["phases"].items():
-            if figures["refusals"]:
-                lines.append(f"  * refusals in {phase}: {figures['refusals']}")
+        for phase, metrics in fields["phases"].items():
+            if metrics["refusals"]:
+                lines.append(f"  * refusals in {phase}: {metrics['refusals']}")
     return "\n".join(lines)
 
 
 def _write_plot(path: Path, title: str, scenario: dict[str, Any]) -> None:
-    # Loading matplotlib takes half a second, which other commands need not pay.
+    # Importing matplotlib takes half a second, which other commands would pay too.
     from matplotlib.figure import Figure
 
     figure = Figure(figsize=(10, 4), layout="constrained")
-    tail, share = figure.subplots(1, 2)
+    latency_axes, extra_load_axes = figure.subplots(1, 2)
     for policy, fields in scenario["policies"].items():
-        for phase, figures in fields["phases"].items():
+        for phase, metrics in fields["phases"].items():
             label = f"{policy}, {phase}"
-            heights = [figures[name] for name in ("p50_ms", "p99_ms", "p999_ms")]
-            tail.plot(["p50", "p99", "p99.9"], heights, marker="o", label=label)
-            share.barh(label, figures["extra_load"])
-    tail.set_ylabel("latency from planned arrival, ms")
-    tail.set_yscale("log")
-    tail.legend(fontsize="x-small")
-    share.set_xlabel("extra sub-requests, share of those needed")
+            latencies_ms = [metrics[name] for name in ("p50_ms", "p99_ms", "p999_ms")]
+            latency_axes.plot(
+                ["p50", "p99", "p99.9"], latencies_ms, marker="o", label=label
+            )
+            extra_load_axes.barh(label, metrics["extra_load"])
+    latency_axes.set_ylabel("latency from planned arrival, ms")
+    latency_axes.set_yscale("log")
+    latency_axes.legend(fontsize="x-small")
+    extra_load_axes.set_xlabel("extra sub-requests, share of those needed")
     figure.suptitle(title)
     figure.savefig(path, dpi=90)
--- a/packages/cli/src/kingcuplug_cli/_bench/_runner.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_runner.py
@@ -1,4 +1,4 @@
-"""Runs scenarios on one deployment, the policies taking turns."""
+"""Runs scenarios under several policies, one policy at a time."""
 
 import asyncio
 import contextlib
@@ -31,6 +31,7 @@
     phases=(Phase(name="warm-up", duration_s=2.0, load=0.3),),
     configuration_period_s=None,
 )
+# Attempts such as hedges may outlive their request and are part of its cost.
 _STRAGGLER_WAIT_S = 0.3
 _HOST_ACTIONS = frozenset(("restart_hosts",))
 _LOAD_ACTIONS = frozenset(("bulk_burst", "crash_request"))
@@ -39,18 +40,20 @@
 
 @dataclasses.dataclass(slots=True)
 class PolicyResult:
-    """What one policy did in one scenario, over all rounds.
+    """Result of one policy in one scenario, over all rounds.
 
     Attributes
     ----------
     truth : Counter
-        Violations by name; all must be 0.
+        Number of violations of each invariant; all must be 0.
     cpu : dict
         Highest share of one core that each process used in any round.
     peak_mib : dict
         Peak memory of each process.
     lags_ms : list of float
-        How late the load generator began each arrival.
+        Delay of the load generator before it sent each arrival.
+    totals : Counter
+        Counters of the simulated backend servers, summed over rounds.
     """
 
     phases: dict[str, PhaseMetrics] = dataclasses.field(default_factory=dict)
@@ -68,31 +71,35 @@
     violations: list[dict[str, Any]] = dataclasses.field(default_factory=list)
 
     def summary(self) -> dict[str, dict[str, Any]]:
-        """Return the figures per phase."""
+        """Return the metrics of each phase."""
         common = {
             "drain_lag_s": self.drain_lag_s,
             "servers_crashed": self.servers_crashed,
         }
-        return {name: p.summary() | common for name, p in self.phases.items()}
+        return {
+            name: metrics.summary() | common for name, metrics in self.phases.items()
+        }
 
 
 class ScenarioRunner:
-    """One deployment per policy, all alive at once, loaded one at a time.
+    """Runs scenarios on one deployment per policy.
+
+    All deployments run at the same time, and one of them at a time is under load.
 
     Parameters
     ----------
     sizes : Sizes
         Zones and services.
-    text : dict
-        Configuration text.
+    configuration : dict
+        Configuration, decoded from its JSON text.
     policies : sequence of Policy
-        What is compared.
+        Policies to compare.
     seed : int
-        Seed of arrivals and service times, equal for all policies.
-    entry_hosts, host_processes : int
-        Size of each deployment.
+        Seed of arrivals and service times, the same for all policies.
+    entry_host_count, host_process_count : int
+        Numbers of entry hosts and of their processes in each deployment.
     warm_up : Scenario, optional
-        Run first and not counted.
+        Run first, without recording its results.
     """
 
     def __init__(
@@ -117,7 +124,7 @@
 
     @contextlib.asynccontextmanager
     async def running_deployments(self) -> AsyncIterator["ScenarioRunner"]:
-        """Start one deployment per policy and stop them in the end."""
+        """Start one deployment per policy; stop them on exit."""
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(
             connector=connector, cookie_jar=aiohttp.DummyCookieJar()
@@ -148,16 +155,16 @@
     async def run(
         self, scenario: Scenario, rounds: int, progress: "tqdm[Any]"
     ) -> dict[str, PolicyResult]:
-        """Run a scenario; in each round every policy meets the same arrivals."""
+        """Run a scenario, in each round with the same arrivals for every policy."""
         results = {policy.name: PolicyResult() for policy in self._policies}
-        for number in range(rounds):
-            # The order alternates, so that drift of the machine favours nobody.
-            order = self._policies if number % 2 == 0 else self._policies[::-1]
+        for round_number in range(rounds):
+            # The order alternates, so that a drift of CPU speed favours no policy.
+            order = self._policies if round_number % 2 == 0 else self._policies[::-1]
             for policy in order:
                 progress.set_postfix_str(f"{scenario.name}, {policy.name}")
                 deployment = self._deployments[policy.name]
                 await self._run_round(
-                    deployment, scenario, number, results[policy.name]
+                    deployment, scenario, round_number, results[policy.name]
                 )
                 progress.update()
         return results
@@ -197,22 +204,22 @@
 async def _scheduled_events(
     deployment: BenchDeployment, scenario: Scenario
 ) -> AsyncIterator[None]:
-    """Let the scenario's events happen while the body runs."""
+    """Run the scenario's events while the body runs."""
     tasks = [
         asyncio.create_task(_run_event(deployment, event.at_s, event.do, event.fields))
         for event in scenario.events
         if event.do not in _LOAD_ACTIONS
     ]
-    ended = asyncio.Event()
+    load_ended = asyncio.Event()
     if scenario.configuration_period_s is not None:
-        # A change is never cancelled half-way: its revision would stay unknown.
-        changes = _change_configuration_periodically(
-            deployment, scenario.configuration_period_s, ended
+        # A change isn't cancelled midway, as its revision would stay unknown.
+        change_loop = _change_configuration_periodically(
+            deployment, scenario.configuration_period_s, load_ended
         )
-        tasks.append(asyncio.create_task(changes))
+        tasks.append(asyncio.create_task(change_loop))
     try:
         yield
-        ended.set()
+        load_ended.set()
         await asyncio.gather(*tasks)
     finally:
         for task in tasks:
@@ -232,14 +239,14 @@
 async def _change_configuration_periodically(
     deployment: BenchDeployment, period_s: float, load_ended: asyncio.Event
 ) -> None:
-    turn = 0
+    change_number = 0
     while not load_ended.is_set():
-        turn += 1
+        change_number += 1
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(period_s):
                 await load_ended.wait()
                 return
-        await deployment.apply_configuration(turn)
+        await deployment.apply_configuration(change_number)
 
 
 async def _usage_by_process(deployment: BenchDeployment) -> dict[str, dict[str, float]]:
@@ -251,11 +258,11 @@
     before: dict[str, dict[str, float]],
     after: dict[str, dict[str, float]],
 ) -> None:
-    for name, now in after.items():
-        then = before[name]
-        share = (now["cpu_s"] - then["cpu_s"]) / (now["clock_s"] - then["clock_s"])
+    for name, end in after.items():
+        start = before[name]
+        share = (end["cpu_s"] - start["cpu_s"]) / (end["clock_s"] - start["clock_s"])
         result.cpu[name] = max(result.cpu.get(name, 0.0), share)
-        result.peak_mib[name] = now["peak_mib"]
+        result.peak_mib[name] = end["peak_mib"]
 
 
 def _add_journal(result: PolicyResult, journal: dict[str, Any]) -> None:
@@ -274,6 +281,8 @@
     result.lags_ms += [sample.lag_ms for sample in samples]
     event_s = min((event.at_s for event in scenario.events), default=None)
     for phase in scenario.phases:
-        figures = result.phases.setdefault(phase.name, PhaseMetrics())
-        own = [sample for sample in samples if sample.arrival.phase == phase.name]
-        figures.add_samples(own, truth, phase.duration_s, event_s)
+        metrics = result.phases.setdefault(phase.name, PhaseMetrics())
+        phase_samples = [
+            sample for sample in samples if sample.arrival.phase == phase.name
+        ]
+        metrics.add_samples(phase_samples, truth, phase.duration_s, event_s)
--- a/packages/cli/src/kingcuplug_cli/_bench/_scenario.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios, policies and targets, read from validated JSON files."""
+"""Models of scenario and policy files, and their loaders."""
 
 from importlib import resources
 from pathlib import Path
@@ -36,7 +36,7 @@
 
 
 class BenchFileInvalid(KingcuplugError):
-    """A scenario or policy file that cannot be used."""
+    """Raised when a scenario or policy file can't be read or is invalid."""
 
 
 class _StrictModel(BaseModel):
@@ -44,14 +44,15 @@
 
 
 class ServiceTimes(_StrictModel):
-    """Service times of the stand-ins, without any event.
+    """Service times of the simulated servers outside of events.
 
     Attributes
     ----------
     median_ms, spread : float
         Median and sigma of the lognormal distribution.
     straggle_share, straggle_factor : float
-        Share of sub-requests that take so many times as long.
+        Share of sub-requests that are stragglers, and the factor by which these take
+        longer.
     """
 
     median_ms: float = Field(default=15.0, gt=0)
@@ -61,7 +62,7 @@
 
 
 class RequestMix(_StrictModel):
-    """Shares of the arrivals; the rest of the queries is normal."""
+    """Shares of the arrivals by kind; the other queries have normal priority."""
 
     urgent: float = Field(default=0.3, ge=0, le=1)
     bulk: float = Field(default=0.1, ge=0, le=1)
@@ -70,7 +71,7 @@
 
 
 class Phase(_StrictModel):
-    """A stretch of one round; `load` is the share of the slots that it needs."""
+    """A part of a round with constant load, given as a share of the servers' slots."""
 
     name: str
     duration_s: float = Field(gt=0)
@@ -78,7 +79,7 @@
 
 
 class ScenarioEvent(_StrictModel):
-    """Something that happens during a round, at seconds from its start."""
+    """A fault or change during a round, at seconds from its start."""
 
     at_s: float = Field(ge=0)
     do: EventAction
@@ -86,20 +87,20 @@
 
 
 class Target(_StrictModel):
-    """A bound on one figure of one policy.
+    """A bound on one metric of the configured policy.
 
     Attributes
     ----------
     figure : str
-        Name of a figure of `kingcuplug_cli._bench._phase_metrics`.
+        Name of a metric in `PhaseMetrics.summary`.
     phase : str
-        Phase that is measured.
+        Phase that the metric is taken from.
     against : str or None
-        Phase of the same policy that the figure is divided by.
+        Phase of the same policy whose value is the divisor.
     against_policy : str or None
-        Policy whose figure in the same phase it is divided by.
+        Policy whose value in the same phase is the divisor.
     deployments : tuple of str
-        Deployments that it holds for; empty for all.
+        Deployments that the target applies to; empty for all.
     """
 
     figure: str
@@ -118,7 +119,7 @@
 
 
 class Scenario(_StrictModel):
-    """What happens in one round, and what is expected of it."""
+    """Load and events of one round, and the targets for its metrics."""
 
     name: str
     description: str
@@ -131,11 +132,11 @@
 
     @model_validator(mode="after")
     def _check_references(self) -> "Scenario":
-        known = {phase.name for phase in self.phases}
+        phase_names = {phase.name for phase in self.phases}
         for target in self.targets:
             for name in (target.phase, target.against):
-                if name is not None and name not in known:
-                    raise ValueError(f"target names the unknown phase {name!r}")
+                if name is not None and name not in phase_names:
+                    raise ValueError(f"target refers to the unknown phase {name!r}")
         for event in self.events:
             if event.at_s >= self.duration_s:
                 raise ValueError(f"event {event.do!r} is after the last phase")
@@ -143,22 +144,22 @@
 
     @property
     def duration_s(self) -> float:
-        """Length of one round."""
+        """Duration of one round."""
         return sum(phase.duration_s for phase in self.phases)
 
 
 class Policy(_StrictModel):
-    """One side of a comparison.
+    """A routing policy that takes part in a comparison.
 
     Attributes
     ----------
     base : str
         ``configured`` follows the services' configuration; ``baseline`` is the
-        plainest policy of the routing package.
+        simplest policy of the routing package.
     routing : dict
-        Fields of `RoutingPolicy` that differ from the base.
+        Fields of `RoutingPolicy` that replace those of the base.
     service : dict
-        Fields of every configured service's policy that differ from the text.
+        Fields that replace those of each service's policy in the configuration.
     """
 
     name: str
@@ -167,7 +168,7 @@
     service: dict[str, Any] = Field(default_factory=dict)
 
 
-_Read = TypeVar("_Read", Scenario, Policy)
+_ModelT = TypeVar("_ModelT", Scenario, Policy)
 
 
 def packaged_names(folder: str) -> list[str]:
@@ -188,7 +189,7 @@
     return _load_model("policies", name, Policy)
 
 
-def _load_model(folder: str, name: str, model: type[_Read]) -> _Read:
+def _load_model(folder: str, name: str, model: type[_ModelT]) -> _ModelT:
     try:
         if name.endswith(".json"):
             text = Path(name).read_text()
@@ -204,6 +205,6 @@
         ) from error
     except ValidationError as error:
         raise BenchFileInvalid(
-            f"{name!r} has {error.error_count()} faults: {error}",
-            "correct the named fields",
+            f"{name!r} has {error.error_count()} errors: {error}",
+            "correct the listed fields",
         ) from error
--- a/packages/cli/src/kingcuplug_cli/_bench/_schedule.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_schedule.py
@@ -1,7 +1,7 @@
-"""The arrivals of one round, drawn before it starts.
+"""Open-loop schedule of the arrivals of one round, drawn before it starts.
 
-Arrivals are a Poisson process that does not wait for answers (open loop), so a slow
-answer delays nobody else's planned time and hides no latency.
+Arrivals are a Poisson process that does not wait for answers. A slow answer therefore
+delays no later arrival and hides no latency (no coordinated omission).
 """
 
 import dataclasses
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceLoad:
-    """A service under load: its slots and the sub-requests of one query."""
+    """A service under load, with its slots and the sub-requests of one query."""
 
     name: str
     slots: int
@@ -42,7 +42,7 @@
     at_s : float
         Seconds after the start of the round.
     extra : bool
-        Whether an event of the scenario adds it to the phase's load.
+        Whether it belongs to an event and not to the phase's load.
     """
 
     number: int
@@ -59,45 +59,47 @@
 
 def mean_service_time_ms(times: ServiceTimes) -> float:
     """Return the mean of the service time distribution."""
-    mean = times.median_ms * math.exp(times.spread**2 / 2)
-    return mean * (1 + times.straggle_share * (times.straggle_factor - 1))
+    lognormal_mean_ms = times.median_ms * math.exp(times.spread**2 / 2)
+    return lognormal_mean_ms * (1 + times.straggle_share * (times.straggle_factor - 1))
 
 
 def plan_arrivals(
     scenario: Scenario, services: Sequence[ServiceLoad], seed: int
 ) -> list[Arrival]:
-    """Return the arrivals of one round in the order of their times.
+    """Return the arrivals of one round, sorted by time.
 
     The same scenario, services and seed give the same arrivals, so that policies
-    are compared on equal work.
+    are compared on the same work.
     """
-    source = random.Random(seed)
-    drawn = [
+    rng = random.Random(seed)
+    arrivals = [
         arrival
         for service in services
-        for arrival in _service_arrivals(scenario, service, source)
+        for arrival in _service_arrivals(scenario, service, rng)
     ]
     for event in scenario.events:
         if event.do == "bulk_burst":
-            drawn += _bulk_burst_arrivals(scenario, event, services, source)
+            arrivals += _bulk_burst_arrivals(scenario, event, services, rng)
         elif event.do == "crash_request":
-            drawn += _crash_request_arrivals(scenario, event, services[0], seed)
-    drawn.sort(key=lambda arrival: arrival.at_s)
+            arrivals += _crash_request_arrivals(scenario, event, services[0], seed)
+    arrivals.sort(key=lambda arrival: arrival.at_s)
     return [
         dataclasses.replace(arrival, number=number)
-        for number, arrival in enumerate(drawn)
+        for number, arrival in enumerate(arrivals)
     ]
 
 
 def _service_arrivals(
     scenario: Scenario, service: ServiceLoad, rng: random.Random
 ) -> Iterator[Arrival]:
-    start = 0.0
+    phase_start_s = 0.0
     for phase in scenario.phases:
-        rate = _arrival_rate_per_s(service, phase.load, scenario.times)
-        for at_s in _poisson_times(rate, start, start + phase.duration_s, rng):
+        rate_per_s = _arrival_rate_per_s(service, phase.load, scenario.times)
+        for at_s in _poisson_times(
+            rate_per_s, phase_start_s, phase_start_s + phase.duration_s, rng
+        ):
             yield from _draw_request(at_s, phase.name, service, scenario.mix, rng)
-        start += phase.duration_s
+        phase_start_s += phase.duration_s
 
 
 def _arrival_rate_per_s(
@@ -120,12 +122,12 @@
 def _draw_request(
     at_s: float, phase: str, service: ServiceLoad, mix: RequestMix, rng: random.Random
 ) -> Iterator[Arrival]:
-    chosen = rng.random()
+    priority_draw = rng.random()
     body = {"check": rng.randrange(_DISTINCT_BODY_COUNT), "service": service.name}
     priority = "normal"
-    if chosen < mix.urgent:
+    if priority_draw < mix.urgent:
         priority = "urgent"
-    elif chosen < mix.urgent + mix.bulk:
+    elif priority_draw < mix.urgent + mix.bulk:
         priority = "bulk"
     if rng.random() >= mix.orders:
         yield Arrival(0, at_s, phase, service.name, "query", priority, body)
@@ -134,8 +136,8 @@
     first = Arrival(0, at_s, phase, service.name, "order", "normal", body, order)
     yield first
     if rng.random() < mix.resent_orders:
-        later = at_s + rng.random() * _MAX_RESEND_DELAY_S
-        yield dataclasses.replace(first, at_s=later, resend=True)
+        resent_at_s = at_s + rng.random() * _MAX_RESEND_DELAY_S
+        yield dataclasses.replace(first, at_s=resent_at_s, resend=True)
 
 
 def _bulk_burst_arrivals(
@@ -144,11 +146,13 @@
     services: Sequence[ServiceLoad],
     rng: random.Random,
 ) -> Iterator[Arrival]:
-    """Yield extra bulk queries: fields ``load`` and ``duration_s``."""
-    end = event.at_s + float(event.fields["duration_s"])
+    """Yield extra bulk queries with the event's ``load`` and ``duration_s``."""
+    end_s = event.at_s + float(event.fields["duration_s"])
     for service in services:
-        rate = _arrival_rate_per_s(service, float(event.fields["load"]), scenario.times)
-        for at_s in _poisson_times(rate, event.at_s, end, rng):
+        rate_per_s = _arrival_rate_per_s(
+            service, float(event.fields["load"]), scenario.times
+        )
+        for at_s in _poisson_times(rate_per_s, event.at_s, end_s, rng):
             body = {
                 "check": rng.randrange(_DISTINCT_BODY_COUNT),
                 "service": service.name,
@@ -162,18 +166,18 @@
 def _crash_request_arrivals(
     scenario: Scenario, event: ScenarioEvent, service: ServiceLoad, seed: int
 ) -> Iterator[Arrival]:
-    """Yield one request that crashes servers, resent by its caller."""
+    """Yield one request that crashes servers, as often as its caller sends it."""
     body = {"crash-the-server": f"{scenario.name}-{seed}"}
-    for turn in range(int(event.fields["times"])):
-        at_s = event.at_s + turn * float(event.fields["period_s"])
+    for send_number in range(int(event.fields["times"])):
+        at_s = event.at_s + send_number * float(event.fields["period_s"])
         phase = _phase_name_at(scenario, at_s)
         yield Arrival(0, at_s, phase, service.name, "query", "normal", body, extra=True)
 
 
 def _phase_name_at(scenario: Scenario, at_s: float) -> str:
-    end = 0.0
+    phase_end_s = 0.0
     for phase in scenario.phases:
-        end += phase.duration_s
-        if at_s < end:
+        phase_end_s += phase.duration_s
+        if at_s < phase_end_s:
             return phase.name
     return scenario.phases[-1].name
--- a/packages/cli/src/kingcuplug_cli/_bench/_servers_worker.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_servers_worker.py
@@ -1,4 +1,4 @@
-"""Child process with the stand-in backend servers of one deployment."""
+"""Child process that runs the simulated backend servers of one deployment."""
 
 import asyncio
 import dataclasses
@@ -16,7 +16,7 @@
 
 
 class ServersWorker:
-    """Handlers of the commands."""
+    """Command handlers of the process with backend servers."""
 
     def __init__(self) -> None:
         self._entry_urls: list[str] = []
@@ -42,27 +42,30 @@
         return [server.name for server in self._fleet.servers]
 
     async def entries(self, fields: dict[str, Any]) -> None:
-        """Set the entry hosts at which servers announce."""
+        """Set the URLs of the entry hosts that servers announce themselves to."""
         self._entry_urls = fields["entries"]
 
     async def act(self, fields: dict[str, Any]) -> None:
-        """Begin an event; it goes on in the background."""
+        """Start an event, which continues in the background."""
         self._start_event(self._fleet.run_event(fields["action"], fields["fields"]))
 
     async def heal(self, fields: dict[str, Any]) -> None:
-        """End all events and bring all servers back, with the given behaviour."""
+        """Wait for the end of all events, then restore all servers.
+
+        They get the given behaviour.
+        """
         if self._event_tasks:
             await asyncio.wait(self._event_tasks)
         await self._fleet.start(Behaviour(**fields["behaviour"]))
 
     async def holders(self, _: dict[str, Any]) -> dict[str, list[list[str]]]:
-        """Return, for each service and shard, the addresses that hold it."""
+        """Return the addresses of the servers that hold each shard of each service."""
         return {
             name: self._fleet.shard_addresses(name) for name in self._fleet.services
         }
 
     async def journal(self, _: dict[str, Any]) -> dict[str, Any]:
-        """Return the ground truth since the last call and forget it."""
+        """Return the record of work since the last call and clear it."""
         journal = self._fleet.journal
         result: dict[str, Any] = {
             field.name: dict(getattr(journal, field.name))
@@ -73,9 +76,9 @@
         result["drain_lags_s"] = list(self._fleet.drain_lags_s)
         self._fleet.drain_lags_s.clear()
         result["snapshots"] = [
-            [name, snapshot, count]
-            for name, counts in self._fleet.shard_counts.items()
-            for snapshot, count in counts.items()
+            [name, snapshot, shard_count]
+            for name, shard_counts in self._fleet.shard_counts.items()
+            for snapshot, shard_count in shard_counts.items()
         ]
         result["errors"] = list(self._event_errors)
         return result
@@ -99,8 +102,10 @@
         Group(**(group | {"services": tuple(group["services"])}))
         for group in fields["groups"]
     )
-    zones = tuple(fields["availability_zones"])
-    return Sizes(**(fields | {"groups": groups, "availability_zones": zones}))
+    availability_zones = tuple(fields["availability_zones"])
+    return Sizes(
+        **(fields | {"groups": groups, "availability_zones": availability_zones})
+    )
 
 
 async def _main() -> None:
@@ -113,6 +118,6 @@
 
 
 if __name__ == "__main__":
-    # uvicorn reports each request that a crash of a stand-in leaves unanswered.
+    # uvicorn logs an error for each request that a simulated crash leaves unanswered.
     logging.getLogger("uvicorn.error").setLevel(logging.CRITICAL)
     asyncio.run(_main())
--- a/packages/cli/src/kingcuplug_cli/_bench/_targets.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_targets.py
@@ -1,4 +1,4 @@
-"""Verdicts on a scenario's targets."""
+"""Evaluation of a scenario's targets."""
 
 import dataclasses
 import math
@@ -11,18 +11,18 @@
 
 EVALUATED_POLICY = "configured"
 
-# policy -> phase -> figure
+# Policy -> phase -> metric -> value
 PolicySummaries = Mapping[str, Mapping[str, Mapping[str, Any]]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetResult:
-    """One line of the table of targets.
+    """Result of one target.
 
     Attributes
     ----------
     baseline : float or None
-        The same figure of the baseline, where it was run.
+        The same value of the baseline policy, if that was run.
     """
 
     scenario: str
@@ -36,7 +36,7 @@
 def evaluate_targets(
     scenario: Scenario, deployment: str, summaries: PolicySummaries
 ) -> list[TargetResult]:
-    """Return a verdict for each target that holds for `deployment`."""
+    """Return the result of each target that applies to `deployment`."""
     return [
         _evaluate_target(scenario, target, summaries)
         for target in scenario.targets
@@ -48,10 +48,10 @@
     scenario: Scenario, target: Target, summaries: PolicySummaries
 ) -> TargetResult:
     measured = _measured_value(target, EVALUATED_POLICY, summaries)
-    others = [name for name in summaries if name != EVALUATED_POLICY]
+    other_policies = [name for name in summaries if name != EVALUATED_POLICY]
     baseline = None
-    if others and target.against_policy is None:
-        baseline = _measured_value(target, others[0], summaries)
+    if other_policies and target.against_policy is None:
+        baseline = _measured_value(target, other_policies[0], summaries)
     return TargetResult(
         scenario.name,
         _target_title(target),
@@ -63,7 +63,11 @@
 
 
 def _measured_value(target: Target, policy: str, summaries: PolicySummaries) -> float:
-    """Return the figure, divided as the target says; NaN if there is none."""
+    """Return the value to compare with the bound; NaN if it is undefined.
+
+    It is the metric, divided by that of the target's other phase or policy if the
+    target names one.
+    """
     if policy not in summaries:
         return math.nan
     value = float(summaries[policy][target.phase][target.figure])
@@ -71,9 +75,11 @@
     if target.against is not None:
         divisor = float(summaries[policy][target.against][target.figure])
     elif target.against_policy is not None:
-        other = summaries.get(target.against_policy)
+        divisor_summary = summaries.get(target.against_policy)
         divisor = (
-            math.nan if other is None else float(other[target.phase][target.figure])
+            math.nan
+            if divisor_summary is None
+            else float(divisor_summary[target.phase][target.figure])
         )
     return value / divisor if divisor else math.nan
 
--- a/packages/cli/src/kingcuplug_cli/_bench/_worker_process.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_worker_process.py
@@ -1,7 +1,7 @@
-"""Child processes of the load tool and the channel to them.
+"""Child processes of the load test tool and the protocol to control them.
 
 A child reads one JSON command per line on standard input and answers with one JSON
-line on standard output. It ends when its input ends, so it never outlives its
+line on standard output. It exits at the end of its input, so it doesn't outlive its
 parent.
 """
 
@@ -28,14 +28,14 @@
 
 
 class WorkerProcess:
-    """The parent's side of one child process.
+    """Handle of the parent for one child process.
 
     Parameters
     ----------
     name : str
-        Name in reports.
+        Name of the child in reports.
     module : str
-        Module that the child runs.
+        Module to run in the child.
     """
 
     def __init__(self, name: str, module: str) -> None:
@@ -46,7 +46,7 @@
 
     @property
     def running(self) -> bool:
-        """Whether the child was started and has not ended."""
+        """Whether the child was started and has not exited."""
         return self._process is not None and self._process.returncode is None
 
     @property
@@ -77,14 +77,14 @@
             await self._process.stdin.drain()
             answer = await self._process.stdout.readline()
         if not answer:
-            raise RuntimeError(f"{self.name} ended during the command {command!r}")
+            raise RuntimeError(f"{self.name} exited during the command {command!r}")
         result = json.loads(answer)
         if "error" in result:
             raise RuntimeError(f"{command!r} failed in {self.name}: {result['error']}")
         return result["result"]
 
     async def stop(self) -> None:
-        """End the child by closing its input."""
+        """End the child by closing its input; kill it after a timeout."""
         process = self._process
         if process is None or process.stdin is None:
             return
@@ -98,14 +98,14 @@
 
 
 async def serve_commands(handlers: Mapping[str, CommandHandler]) -> None:
-    """Run commands from standard input until it ends; for the child's side."""
+    """Run commands from standard input until its end; used in the child."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=_LINE_LIMIT_BYTES)
     await loop.connect_read_pipe(
         lambda: asyncio.StreamReaderProtocol(reader), sys.stdin
     )
     profiler = _SamplingProfiler()
-    every = {
+    all_handlers = {
         "usage": _handle_usage,
         "begin_profile": profiler.begin,
         "end_profile": profiler.end,
@@ -114,17 +114,17 @@
     while line := await reader.readline():
         fields = json.loads(line)
         try:
-            result = {"result": await every[fields.pop("command")](fields)}
+            result = {"result": await all_handlers[fields.pop("command")](fields)}
         except Exception as error:
             result = {"error": repr(error)}
         print(json.dumps(result), flush=True)
 
 
 class _SamplingProfiler:
-    """Samples the main thread on CPU time between two commands.
+    """Profiler that samples the main thread by CPU time.
 
-    A tracing profiler charges each Python call with its own cost and counts the time
-    in which the process was not running; both hide where the CPU goes.
+    A tracing profiler adds its own cost to each Python call and counts time in which
+    the process wasn't running; both distort the distribution of CPU time.
     """
 
     def __init__(self) -> None:
@@ -137,26 +137,28 @@
         signal.setitimer(signal.ITIMER_PROF, _SAMPLE_INTERVAL_S, _SAMPLE_INTERVAL_S)
 
     async def end(self, _: dict[str, Any]) -> str:
-        """Stop sampling; return where most samples were."""
+        """Stop sampling; return the functions with the most samples."""
         signal.setitimer(signal.ITIMER_PROF, 0)
         total = max(self._self_samples.total(), 1)
         lines = [f"{total} samples; share in the function itself"]
-        for place, count in self._self_samples.most_common(_PROFILE_LINE_COUNT):
-            lines.append(f"{count / total:6.1%} {place}")
+        for function, count in self._self_samples.most_common(_PROFILE_LINE_COUNT):
+            lines.append(f"{count / total:6.1%} {function}")
         lines.append("share in the function and below")
-        for place, count in self._cumulative_samples.most_common(_PROFILE_LINE_COUNT):
-            lines.append(f"{count / total:6.1%} {place}")
+        for function, count in self._cumulative_samples.most_common(
+            _PROFILE_LINE_COUNT
+        ):
+            lines.append(f"{count / total:6.1%} {function}")
         return "\n".join(lines) + "\n"
 
     def _record_sample(self, _: int, frame: FrameType | None) -> None:
-        places = []
+        functions = []
         while frame is not None:
             code = frame.f_code
             file = "/".join(code.co_filename.rsplit("/", 2)[-2:])
-            places.append(f"{file}:{code.co_qualname}")
+            functions.append(f"{file}:{code.co_qualname}")
             frame = frame.f_back
-        self._self_samples.update(places[:1])
-        self._cumulative_samples.update(set(places))
+        self._self_samples.update(functions[:1])
+        self._cumulative_samples.update(set(functions))
 
 
 async def _handle_usage(_: dict[str, Any]) -> dict[str, float]:
@@ -164,7 +166,7 @@
 
 
 def process_usage() -> dict[str, float]:
-    """Return this process's CPU seconds, clock and peak memory."""
+    """Return CPU time, clock and peak memory of this process."""
     peak_kib = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     return {
         "cpu_s": time.process_time(),
--- a/tests/cli/test_bench_report.py
+++ b/tests/cli/test_bench_report.py
@@ -1,4 +1,4 @@
-"""Figures, verdicts and report of the load tool."""
+"""Tests of the load test tool's metrics, targets and report."""
 
 import math
 from pathlib import Path
@@ -40,10 +40,10 @@
         "coverage": 1.0,
         "partial": False,
     }
-    made = Sample(arrival, f"request-{number}", status=200, answer=answer)
+    sample = Sample(arrival, f"request-{number}", status=200, answer=answer)
     for name, value in fields.items():
-        setattr(made, name, value)
-    return made
+        setattr(sample, name, value)
+    return sample
 
 
 def make_refused_sample(number: int, kind: str = "not_run") -> Sample:
@@ -52,64 +52,66 @@
 
 
 def summarize(
-    samples: list[Sample], event_s: float | None = None, **done: dict[str, int]
+    samples: list[Sample], event_s: float | None = None, **sub_requests: dict[str, int]
 ) -> dict[str, Any]:
-    truth = GroundTruth(done.get("received", {}), done.get("started", {}), {}, {})
-    phase = PhaseMetrics()
-    phase.add_samples(samples, truth, 2.0, event_s)
-    return phase.summary()
+    truth = GroundTruth(
+        sub_requests.get("received", {}), sub_requests.get("started", {}), {}, {}
+    )
+    metrics = PhaseMetrics()
+    metrics.add_samples(samples, truth, 2.0, event_s)
+    return metrics.summary()
 
 
 def test_percentiles_match_recorded_latencies():
-    """Guards against a wrong unit or a percentile of the wrong samples."""
-    found = summarize([make_sample(n, latency_ms=float(n + 1)) for n in range(100)])
-    assert found["p50_ms"] == pytest.approx(50, rel=0.01)
-    assert found["p99_ms"] == pytest.approx(99, rel=0.01)
-    assert found["urgent_p99_ms"] == found["p99_ms"]
+    """Guards against a wrong unit and against percentiles of the wrong samples."""
+    summary = summarize([make_sample(n, latency_ms=float(n + 1)) for n in range(100)])
+    assert summary["p50_ms"] == pytest.approx(50, rel=0.01)
+    assert summary["p99_ms"] == pytest.approx(99, rel=0.01)
+    assert summary["urgent_p99_ms"] == summary["p99_ms"]
 
 
 def test_extra_load_is_relative_to_the_needed_sub_requests():
-    """Guards against retries and hedges that the figure does not show."""
-    found = summarize(
+    """Guards against retries and hedges that extra load does not include."""
+    summary = summarize(
         [make_sample(0), make_sample(1)], received={"request-0": 4, "request-1": 6}
     )
-    assert found["extra_load"] == pytest.approx(0.25)
+    assert summary["extra_load"] == pytest.approx(0.25)
 
 
 def test_work_of_refused_request_counts_as_wasted():
-    """Guards against work that is hidden because its request got no answer."""
-    found = summarize(
+    """Guards against omitting the work of requests that got no answer."""
+    summary = summarize(
         [make_sample(0), make_refused_sample(1)],
         started={"request-0": 4, "request-1": 2},
     )
-    assert found["work_for_nobody"] == pytest.approx(0.5)
-    assert found["extra_load"] == pytest.approx(-1.0)
+    assert summary["work_for_nobody"] == pytest.approx(0.5)
+    assert summary["extra_load"] == pytest.approx(-1.0)
 
 
 def test_refusals_are_counted_by_kind_and_reason():
-    """Guards against refusals that are late or of unknown outcome going unseen."""
+    """Guards against missing refusals that are late or of unknown outcome."""
     samples = [
         make_refused_sample(0),
         make_refused_sample(1),
         make_refused_sample(2, "outcome_unknown"),
     ]
-    found = summarize(samples, received={"request-1": 1})
-    assert found["refusals"] == {
+    summary = summarize(samples, received={"request-1": 1})
+    assert summary["refusals"] == {
         "not_run: overloaded": 2,
         "outcome_unknown: overloaded": 1,
     }
-    assert found["late_refusals"] == 2
-    assert found["cut"] == 0
+    assert summary["late_refusals"] == 2
+    assert summary["cut"] == 0
 
 
 def test_request_without_response_counts_as_cut():
-    """Guards against broken connections that are counted as refusals."""
-    found = summarize([make_sample(0, status=0, answer={})])
-    assert (found["cut"], found["refused"], found["answered"]) == (1, 0, 0)
+    """Guards against counting broken connections as refusals."""
+    summary = summarize([make_sample(0, status=0, answer={})])
+    assert (summary["cut"], summary["refused"], summary["answered"]) == (1, 0, 0)
 
 
 def test_recovery_lasts_until_last_incomplete_answer():
-    """Guards against a recovery time that ends at the first whole answer."""
+    """Guards against a recovery time that ends at the first complete answer."""
     partial = make_sample(4).answer | {"partial": True, "coverage": 0.75}
     samples = [
         make_refused_sample(1),
@@ -122,13 +124,13 @@
 
 
 def test_extra_requests_are_excluded_from_metrics():
-    """Guards against a burst that hides the latency of ordinary requests."""
-    found = summarize(
+    """Guards against a burst of extra requests changing the latency percentiles."""
+    summary = summarize(
         [make_sample(0, latency_ms=1.0), make_sample(1, True, latency_ms=900.0)]
     )
-    assert found["requests"] == 1
-    assert found["extra_requests"] == 1
-    assert found["p99_ms"] == pytest.approx(1.0, rel=0.01)
+    assert summary["requests"] == 1
+    assert summary["extra_requests"] == 1
+    assert summary["p99_ms"] == pytest.approx(1.0, rel=0.01)
 
 
 def make_scenario(**target: Any) -> Scenario:
@@ -165,62 +167,64 @@
 def test_target_evaluation(
     target: dict[str, Any], measured: float, baseline: float | None, passed: bool
 ):
-    """Guards against a miss that is reported as a pass, and the reverse."""
-    (found,) = evaluate_targets(make_scenario(**target), "kavango", SUMMARIES)
-    assert (found.measured, found.baseline) == (measured, baseline)
-    assert found.passed is passed
+    """Guards against reporting a missed target as met, and the reverse."""
+    (result,) = evaluate_targets(make_scenario(**target), "kavango", SUMMARIES)
+    assert (result.measured, result.baseline) == (measured, baseline)
+    assert result.passed is passed
 
 
 def test_target_with_undefined_value_fails():
-    """Guards against a target that passes because nothing was measured."""
+    """Guards against a target that passes although its value is undefined."""
     summaries = {"configured": {"a": {"p99_ms": 0.0}, "b": {"p99_ms": 0.0}}}
     target = {"at_most": 1.5, "against": "a"}
-    (found,) = evaluate_targets(make_scenario(**target), "kavango", summaries)
-    assert math.isnan(found.measured)
-    assert not found.passed
+    (result,) = evaluate_targets(make_scenario(**target), "kavango", summaries)
+    assert math.isnan(result.measured)
+    assert not result.passed
 
 
 def test_target_of_another_deployment_is_skipped():
-    """Guards against the agency being judged by Kavango's profile."""
+    """Guards against applying a target of Kavango to the agency."""
     scenario = make_scenario(at_most=1.0, deployments=["kavango"])
     assert evaluate_targets(scenario, "agency", SUMMARIES) == []
     assert len(evaluate_targets(scenario, "kavango", SUMMARIES)) == 1
 
 
 def test_one_violation_fails_the_run():
-    """Guards against a run that exits with 0 although an answer was wrong."""
-    good, bad = PolicyResult(), PolicyResult()
-    bad.truth["crossed_answers"] += 1
-    assert invariants_hold({"configured": good})
-    assert not invariants_hold({"configured": good, "baseline": bad})
+    """Guards against a run that exits with 0 although an invariant was violated."""
+    correct, violating = PolicyResult(), PolicyResult()
+    violating.truth["crossed_answers"] += 1
+    assert invariants_hold({"configured": correct})
+    assert not invariants_hold({"configured": correct, "baseline": violating})
 
 
 def test_saturated_run_is_marked():
-    """Guards against figures of a run that a full CPU or late arrivals spoilt."""
+    """Guards against accepting a run with a saturated CPU or late arrivals."""
     assert not is_saturated(PolicyResult(cpu={"hosts 1": 0.5}, lags_ms=[1.0] * 100))
     assert is_saturated(PolicyResult(cpu={"hosts 1": 0.9}))
     assert is_saturated(PolicyResult(lags_ms=[50.0] * 100))
 
 
 def test_report_contains_table_and_plots(tmp_path: Path):
-    """Guards against a report that lacks a scenario's figures, verdict or plot."""
-    result = PolicyResult()
+    """Guards against a report without a scenario's metrics, targets or plot."""
+    policy_result = PolicyResult()
     for name in ("a", "b"):
-        result.phases[name] = PhaseMetrics()
-        result.phases[name].add_samples(
+        policy_result.phases[name] = PhaseMetrics()
+        policy_result.phases[name].add_samples(
             [make_sample(0), make_refused_sample(1)],
             GroundTruth({}, {}, {}, {}),
             1,
             None,
         )
     scenario = make_scenario(at_most=0.0)
-    results = {"configured": result}
-    found = evaluate_targets(scenario, "kavango", {"configured": result.summary()})
+    results = {"configured": policy_result}
+    target_results = evaluate_targets(
+        scenario, "kavango", {"configured": policy_result.summary()}
+    )
     fields = {"deployment": "kavango", "seed": 1}
-    fields |= {"scenarios": {"test": scenario_fields(results, found)}}
-    write_report(tmp_path, fields, found)
-    text = (tmp_path / "report.md").read_text()
-    assert format_targets_table(found) in text
-    assert "not_run: overloaded" in text
+    fields |= {"scenarios": {"test": scenario_fields(results, target_results)}}
+    write_report(tmp_path, fields, target_results)
+    report = (tmp_path / "report.md").read_text()
+    assert format_targets_table(target_results) in report
+    assert "not_run: overloaded" in report
     assert (tmp_path / "test.png").stat().st_size
     assert (tmp_path / "results.json").stat().st_size
--- a/tests/cli/test_bench_run.py
+++ b/tests/cli/test_bench_run.py
@@ -1,4 +1,4 @@
-"""One small run from end to end: processes, load, faults, truth and figures."""
+"""End-to-end test of a small load test run, including its child processes."""
 
 import asyncio
 import json
@@ -26,10 +26,16 @@
 
 async def run_scenario_once() -> dict[str, PolicyResult]:
     sizes = load_sizes(EXAMPLE / "servers.json", only=("inspector-01",))
-    text = json.loads((EXAMPLE / "configuration.json").read_text())
+    configuration = json.loads((EXAMPLE / "configuration.json").read_text())
     policies = [load_policy("configured")]
     runner = ScenarioRunner(
-        sizes, text, policies, 1, entry_host_count=2, host_process_count=1, warm_up=None
+        sizes,
+        configuration,
+        policies,
+        1,
+        entry_host_count=2,
+        host_process_count=1,
+        warm_up=None,
     )
     async with runner.running_deployments():
         with tqdm(disable=True) as progress:
@@ -37,20 +43,20 @@
 
 
 def test_run_reports_metrics_without_violations():
-    """Guards against a load tool that measures nothing or judges nothing."""
+    """Guards against a run that sends no load or doesn't check its answers."""
     result = asyncio.run(run_scenario_once())["configured"]
-    figures: dict[str, Any] = result.summary()["all"]
+    metrics: dict[str, Any] = result.summary()["all"]
     assert result.truth.total() == 0
-    assert figures["requests"] > 0
-    assert figures["answered"] == figures["requests"] - figures["refused"]
-    assert figures["cut"] == 0
+    assert metrics["requests"] > 0
+    assert metrics["answered"] == metrics["requests"] - metrics["refused"]
+    assert metrics["cut"] == 0
     assert result.totals["executed"] > 0
     assert set(result.cpu) == {"control", "entry 1", "stand-ins", "load generator"}
     assert not result.errors
 
 
 def test_stopping_deployment_ends_child_processes():
-    """Guards against processes that go on after a run."""
+    """Guards against child processes that keep running after a run."""
 
     async def start_and_stop() -> list[int | None]:
         sizes = load_sizes(EXAMPLE / "servers.json", only=("inspector-01",))
--- a/tests/cli/test_bench_truth.py
+++ b/tests/cli/test_bench_truth.py
@@ -1,4 +1,4 @@
-"""The judge of the load tool finds each kind of violation."""
+"""Tests that the load test tool detects each kind of invariant violation."""
 
 from typing import Any
 
@@ -46,25 +46,27 @@
 
 
 def make_ground_truth(**fields: Any) -> GroundTruth:
-    known: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "received": {},
         "started": {},
         "orders": {},
         "shard_counts": SHARD_COUNTS,
     }
-    return GroundTruth(**(known | fields))
+    return GroundTruth(**(defaults | fields))
 
 
 def violations_of(sample: Sample, **fields: Any) -> set[str]:
     return {
         name
-        for name, n in count_violations([sample], make_ground_truth(**fields)).items()
-        if n
+        for name, count in count_violations(
+            [sample], make_ground_truth(**fields)
+        ).items()
+        if count
     }
 
 
 def test_correct_whole_and_partial_answers_have_no_violation():
-    """Guards against a judge that finds faults in right answers."""
+    """Guards against reporting violations for correct answers."""
     partial = make_query_sample(
         value=[make_shard_entry(0), make_shard_entry(2)],
         coverage=0.5,
@@ -77,7 +79,7 @@
 
 
 def test_value_of_another_snapshot_is_reported_as_mixed():
-    """Guards against an answer that was drawn from two snapshots."""
+    """Guards against missing an answer that mixes two snapshots."""
     value = [
         make_shard_entry(0),
         make_shard_entry(1, snapshot=2),
@@ -88,7 +90,7 @@
 
 
 def test_value_of_another_request_is_reported_as_crossed():
-    """Guards against an answer with a part of another caller's answer."""
+    """Guards against missing an answer that holds part of another caller's answer."""
     value = [
         make_shard_entry(0),
         make_shard_entry(1, body={"check": 2}),
@@ -99,12 +101,12 @@
 
 
 def test_swapped_shard_values_are_reported_as_crossed():
-    """Guards against a reply that was accepted for another shard."""
-    one, two = make_shard_entry(1), make_shard_entry(2)
+    """Guards against missing a reply that was assigned to the wrong shard."""
+    first, second = make_shard_entry(1), make_shard_entry(2)
     value = [
         make_shard_entry(0),
-        two | {"shard": 1},
-        one | {"shard": 2},
+        second | {"shard": 1},
+        first | {"shard": 2},
         make_shard_entry(3),
     ]
     assert "crossed_answers" in violations_of(make_query_sample(value=value))
@@ -143,23 +145,23 @@
     ],
     ids=[
         "value missing",
-        "coverage too small",
-        "whole but called partial",
-        "present but called missing",
+        "coverage too low",
+        "complete but stated as partial",
+        "present but stated as missing",
         "wrong shard count",
         "shard twice",
-        "own denominator",
-        "coverage too great",
+        "shard count reduced to the shards present",
+        "coverage too high",
         "shard twice in place of a missing one",
     ],
 )
 def test_wrong_coverage_is_reported(fields: dict[str, Any]):
-    """Guards against a coverage statement that differs from the delivered shards."""
+    """Guards against missing a stated coverage that differs from the shards present."""
     assert "untrue_coverage" in violations_of(make_query_sample(**fields))
 
 
 def test_concatenated_values_are_checked_against_present_shards():
-    """Guards against answers with merge `concat` that go unjudged."""
+    """Guards against not checking answers with merge `concat`."""
     values = [make_shard_entry(shard)["value"] for shard in range(SHARD_COUNT)]
     assert violations_of(make_query_sample(value=values)) == set()
     assert "untrue_coverage" in violations_of(make_query_sample(value=values[:3]))
@@ -169,13 +171,13 @@
 
 
 def test_order_executed_twice_is_reported():
-    """Guards against an order that ran twice."""
+    """Guards against missing an order that was executed twice."""
     assert violations_of(make_query_sample(), orders={"1-o1": 2}) == {"doubled_orders"}
     assert violations_of(make_query_sample(), orders={"1-o1": 1}) == set()
 
 
 def test_not_run_refusal_of_executed_request_is_reported():
-    """Guards against a refusal that invites the caller to send the work again."""
+    """Guards against missing a refusal that makes the caller repeat executed work."""
     assert violations_of(make_refused_order_sample(), started={"request-1": 1}) == {
         "false_not_run"
     }
@@ -189,7 +191,7 @@
 
 
 def test_not_run_refusal_of_resend_covers_first_attempt():
-    """Guards against a resend that denies the run of the first sending."""
+    """Guards against missing a resend refused as not run after its order ran."""
     assert violations_of(
         make_refused_order_sample(resend=True), orders={"1-o1": 1}
     ) == {"false_not_run"}
@@ -200,9 +202,9 @@
 
 
 def test_answer_under_superseded_configuration_is_stale():
-    """Guards against a text that is still used 4 s after the next was accepted."""
+    """Guards against missing a revision used 4 s after the next was accepted."""
     # The arrival is at 10 s after the start, which is 110 on the loop's clock.
-    late = make_ground_truth(revisions=[(100.0, 3), (105.0, 4)], start=100.0)
-    in_time = make_ground_truth(revisions=[(100.0, 3), (107.0, 4)], start=100.0)
-    assert count_violations([make_query_sample()], late)["stale_revisions"] == 1
-    assert count_violations([make_query_sample()], in_time)["stale_revisions"] == 0
+    overdue = make_ground_truth(revisions=[(100.0, 3), (105.0, 4)], start=100.0)
+    recent = make_ground_truth(revisions=[(100.0, 3), (107.0, 4)], start=100.0)
+    assert count_violations([make_query_sample()], overdue)["stale_revisions"] == 1
+    assert count_violations([make_query_sample()], recent)["stale_revisions"] == 0
