--- a/packages/cli/src/kingcuplug_cli/_bench/_commands.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_commands.py
@@ -1,4 +1,4 @@
-"""Commands of the load tool."""
+"""Commands of the load test tool."""
 
 import asyncio
 import json
@@ -10,28 +10,38 @@
 from kingcuplug_common import KingcuplugError
 from tqdm import tqdm
 
-from kingcuplug_cli._bench._cpu import compare, cpu_table, write_cpu
-from kingcuplug_cli._bench._report import scenario_fields, table, truth_holds, write
-from kingcuplug_cli._bench._runner import Runner
-from kingcuplug_cli._bench._scenario import Scenario, load_policy, load_scenario, names
-from kingcuplug_cli._bench._targets import Verdict, verdicts
+from kingcuplug_cli._bench._cpu import format_cpu_table, measure_cpu, write_cpu_report
+from kingcuplug_cli._bench._report import (
+    format_targets_table,
+    invariants_hold,
+    scenario_fields,
+    write_report,
+)
+from kingcuplug_cli._bench._runner import ScenarioRunner
+from kingcuplug_cli._bench._scenario import (
+    Scenario,
+    load_policy,
+    load_scenario,
+    packaged_names,
+)
+from kingcuplug_cli._bench._targets import TargetResult, evaluate_targets
 from kingcuplug_cli._local import load_sizes
 
 __all__ = ["Bench"]
 
-_EXIT_UNTRUE = 1
-_EXIT_FILES = 2
+_EXIT_INVARIANT_VIOLATED = 1
+_EXIT_INVALID_INPUT = 2
 
 # Services under load: enough for a fan-out over two services, few enough for the
 # CPU of one machine.
-_SERVICES = {
+_SERVICES_BY_DEPLOYMENT = {
     "kavango": ("counter-01", "ledger-01"),
     "agency": ("inspector-01", "owner-portal"),
 }
 
 
 class Bench:
-    """Load and experiment tool."""
+    """Load test and experiment tool."""
 
     def run(
         self,
@@ -50,30 +60,33 @@
         deployment : str
             Folder below `examples`: ``kavango`` or ``agency``.
         scenarios, policies : str
-            Names or paths, separated by commas; ``all`` takes every scenario.
+            Names or paths, separated by commas; ``all`` selects every scenario.
         rounds : int
-            Rounds of each scenario and policy.
+            Number of rounds of each scenario and policy.
         output : str
             Folder of the report.
         """
-        chosen = _listed(scenarios)
-        if chosen == ["all"]:
-            chosen = names("scenarios")
+        scenario_names = _split_names(scenarios)
+        if scenario_names == ["all"]:
+            scenario_names = packaged_names("scenarios")
         try:
-            run = _Run(Path(examples) / deployment, _listed(policies), rounds, seed)
-            fields, found, true = asyncio.run(
-                run.all([load_scenario(name) for name in chosen])
+            run = _DeploymentRun(
+                Path(examples) / deployment, _split_names(policies), rounds, seed
+            )
+            fields, target_results, valid = asyncio.run(
+                run.run_scenarios([load_scenario(name) for name in scenario_names])
             )
         except KingcuplugError as error:
             print(f"kingcuplug bench: {error}", file=sys.stderr)
-            sys.exit(_EXIT_FILES)
-        write(Path(output) / deployment, fields, found)
+            sys.exit(_EXIT_INVALID_INPUT)
+        write_report(Path(output) / deployment, fields, target_results)
         print(
-            f"\n{deployment}\n{table(found)}\nReport: {output}/{deployment}/report.md"
+            f"\n{deployment}\n{format_targets_table(target_results)}\n"
+            f"Report: {output}/{deployment}/report.md"
         )
-        if not true:
-            print("Ground truth was violated; see the report.", file=sys.stderr)
-            sys.exit(_EXIT_UNTRUE)
+        if not valid:
+            print("Invariants were violated; see the report.", file=sys.stderr)
+            sys.exit(_EXIT_INVARIANT_VIOLATED)
 
     def cpu(
         self,
@@ -95,86 +108,101 @@
         service : str
             The one service that is queried.
         load : float
-            Share of its slots.
+            Offered load as a share of the service's slots.
         profile : bool
             Also print profiles of the entry host and of the bare fan-out.
         """
         example = Path(examples) / deployment
-        text = json.loads((example / "configuration.json").read_text())
+        configuration = json.loads((example / "configuration.json").read_text())
         sizes = load_sizes(example / "servers.json", only=(service,))
-        figures, found = asyncio.run(
-            compare(
-                *(sizes, text, load_policy(policy), seed),
+        results, profiles = asyncio.run(
+            measure_cpu(
+                *(sizes, configuration, load_policy(policy), seed),
                 *(rounds, duration_s, load, profile),
             )
         )
-        print(found + cpu_table(figures))
-        write_cpu(Path(output) / deployment, figures)
+        print(profiles + format_cpu_table(results))
+        write_cpu_report(Path(output) / deployment, results)
 
     def all(
         self, rounds: int = 1, seed: int = 1, output: str = "bench-results"
     ) -> None:
-        """Run every scenario on every deployment, the deployments side by side."""
+        """Run every scenario on every deployment, the deployments in parallel."""
         options = [f"--rounds={rounds}", f"--seed={seed}", f"--output={output}"]
-        codes = asyncio.run(_side_by_side(options))
-        if any(codes):
-            sys.exit(max(codes))
+        exit_codes = asyncio.run(_run_all_deployments(options))
+        if any(exit_codes):
+            sys.exit(max(exit_codes))
 
     def list(self) -> None:
         """Print the packaged scenarios and policies."""
-        for name in names("scenarios"):
+        for name in packaged_names("scenarios"):
             print(f"scenario {name}: {load_scenario(name).description}")
-        for name in names("policies"):
+        for name in packaged_names("policies"):
             print(f"policy {name}")
 
 
-class _Run:
-    """One deployment, its policies and scenarios."""
+class _DeploymentRun:
+    """Run of several scenarios and policies on one deployment."""
 
     def __init__(
         self, example: Path, policies: Sequence[str], rounds: int, seed: int
     ) -> None:
-        self._name = example.name
+        self._deployment = example.name
         self._rounds = rounds
         self._seed = seed
         self._policies = [load_policy(name) for name in policies]
-        text = json.loads((example / "configuration.json").read_text())
-        sizes = load_sizes(example / "servers.json", only=_SERVICES[self._name])
-        self._runner = Runner(sizes, text, self._policies, seed)
+        configuration = json.loads((example / "configuration.json").read_text())
+        sizes = load_sizes(
+            example / "servers.json", only=_SERVICES_BY_DEPLOYMENT[self._deployment]
+        )
+        self._runner = ScenarioRunner(sizes, configuration, self._policies, seed)
 
-    async def all(
+    async def run_scenarios(
         self, scenarios: Sequence[Scenario]
-    ) -> tuple[dict[str, Any], list[Verdict], bool]:
-        """Run the scenarios; return the JSON value, the verdicts and if all is true."""
+    ) -> tuple[dict[str, Any], list[TargetResult], bool]:
+        """Run the scenarios.
+
+        Returns
+        -------
+        tuple
+            The JSON value of the report, the results of all targets, and whether no
+            invariant was violated.
+        """
         fields: dict[str, Any] = {}
-        found: list[Verdict] = []
-        true = True
-        steps = len(scenarios) * self._rounds * len(self._policies)
-        with tqdm(total=steps, desc=self._name, unit="round") as progress:
-            async with self._runner.running() as runner:
+        target_results: list[TargetResult] = []
+        valid = True
+        round_count = len(scenarios) * self._rounds * len(self._policies)
+        with tqdm(total=round_count, desc=self._deployment, unit="round") as progress:
+            async with self._runner.running_deployments() as runner:
                 for scenario in scenarios:
                     results = await runner.run(scenario, self._rounds, progress)
                     summaries = {name: r.summary() for name, r in results.items()}
-                    judged = verdicts(scenario, self._name, summaries)
-                    found += judged
-                    fields[scenario.name] = scenario_fields(results, judged)
-                    true = true and truth_holds(results)
-        head = {"deployment": self._name, "seed": self._seed, "rounds": self._rounds}
-        return head | {"scenarios": fields}, found, true
-
-
-async def _side_by_side(options: Sequence[str]) -> list[int]:
+                    scenario_targets = evaluate_targets(
+                        scenario, self._deployment, summaries
+                    )
+                    target_results += scenario_targets
+                    fields[scenario.name] = scenario_fields(results, scenario_targets)
+                    valid = valid and invariants_hold(results)
+        header = {
+            "deployment": self._deployment,
+            "seed": self._seed,
+            "rounds": self._rounds,
+        }
+        return header | {"scenarios": fields}, target_results, valid
+
+
+async def _run_all_deployments(options: Sequence[str]) -> list[int]:
     processes = [
         await asyncio.create_subprocess_exec(
             sys.executable,
             *("-m", "kingcuplug_cli", "bench", "run", f"--deployment={name}"),
             *options,
         )
-        for name in _SERVICES
+        for name in _SERVICES_BY_DEPLOYMENT
     ]
     return [await process.wait() for process in processes]
 
 
-def _listed(names: str | Sequence[str]) -> list[str]:
-    """Return the names of an option, which fire may have split already."""
-    return names.split(",") if isinstance(names, str) else [str(n) for n in names]
+def _split_names(option: str | Sequence[str]) -> list[str]:
+    """Return the names in an option, which fire may already have split."""
+    return option.split(",") if isinstance(option, str) else [str(n) for n in option]
--- a/packages/cli/src/kingcuplug_cli/_bench/_load.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_load_generator.py
@@ -1,4 +1,4 @@
-"""Sends the planned arrivals and notes how each one ended."""
+"""Load generator: sends the planned arrivals and records each outcome."""
 
 import asyncio
 import dataclasses
@@ -9,26 +9,26 @@
 import aiohttp
 from kingcuplug_common import identifier
 
-from kingcuplug_cli._bench._balancer import Balancer
+from kingcuplug_cli._bench._load_balancer import LoadBalancer
 from kingcuplug_cli._bench._schedule import Arrival
 
-__all__ = ["Sample", "send_all"]
+__all__ = ["Sample", "send_arrivals"]
 
-_MILLISECONDS = 1_000
-_TIMEOUT_S = 5.0
-_CONNECT_TRIES = 3
+_MS_PER_S = 1_000
+_REQUEST_TIMEOUT_S = 5.0
+_MAX_CONNECT_ATTEMPTS = 3
 
 
 @dataclasses.dataclass(slots=True)
 class Sample:
-    """How one arrival ended.
+    """Outcome of one arrival.
 
     Attributes
     ----------
     lag_ms : float
-        How late the load generator began it.
+        Delay of the load generator, from the planned time to the start of the send.
     latency_ms : float
-        From the planned arrival until the caller has the whole answer.
+        Time from the planned arrival until the caller has the whole answer.
     status : int
         HTTP status; 0 if the connection broke or no answer came in time.
     """
@@ -44,37 +44,40 @@
 
     @property
     def answered(self) -> bool:
-        """Whether there is an answer, whole or partial."""
+        """Whether there is an answer, complete or partial."""
         return self.status == 200
 
 
-class _Round:
-    """What the senders of one round share."""
+class _RequestSender:
+    """Sends the requests of one round."""
 
     def __init__(
-        self, http: aiohttp.ClientSession, balancer: Balancer, caller_latency_ms: float
+        self,
+        http: aiohttp.ClientSession,
+        balancer: LoadBalancer,
+        caller_latency_ms: float,
     ) -> None:
         self.http = http
         self.balancer = balancer
-        self.latency_s = caller_latency_ms / _MILLISECONDS
-        self.issued_ms = time.time_ns() // 1_000_000
+        self.latency_s = caller_latency_ms / _MS_PER_S
+        self.started_unix_ms = time.time_ns() // 1_000_000
 
-    async def send(self, arrival: Arrival, planned: float) -> Sample:
-        """Send one arrival, whose planned time is `planned`."""
+    async def send(self, arrival: Arrival, planned_at: float) -> Sample:
+        """Send one arrival, planned for `planned_at` on the event loop's clock."""
         loop = asyncio.get_running_loop()
         sample = Sample(arrival, identifier())
-        sample.lag_ms = (loop.time() - planned) * _MILLISECONDS
-        await asyncio.sleep(planned + self.latency_s - loop.time())
+        sample.lag_ms = (loop.time() - planned_at) * _MS_PER_S
+        await asyncio.sleep(planned_at + self.latency_s - loop.time())
         try:
-            async with asyncio.timeout(_TIMEOUT_S):
-                await self._post(sample, self._fields(sample))
+            async with asyncio.timeout(_REQUEST_TIMEOUT_S):
+                await self._post(sample, self._request_fields(sample))
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             sample.error = repr(error)
-        ended = loop.time() + self.latency_s
-        sample.latency_ms = (ended - planned) * _MILLISECONDS
+        completed_at = loop.time() + self.latency_s
+        sample.latency_ms = (completed_at - planned_at) * _MS_PER_S
         return sample
 
-    def _fields(self, sample: Sample) -> dict[str, Any]:
+    def _request_fields(self, sample: Sample) -> dict[str, Any]:
         arrival = sample.arrival
         fields: dict[str, Any] = {
             "request_id": sample.request_id,
@@ -82,18 +85,18 @@
             "priority": arrival.priority,
         }
         if arrival.order is not None:
-            sample.order_key = f"{self.issued_ms}-{arrival.order}"
+            sample.order_key = f"{self.started_unix_ms}-{arrival.order}"
             fields["idempotency_key"] = sample.order_key
             fields["partition_key"] = arrival.order
             fields["resend"] = arrival.resend
         return fields
 
     async def _post(self, sample: Sample, fields: dict[str, Any]) -> None:
-        """Send through the balancer, which tries another host on a refused connect."""
+        """Post to a host; after a failed connect, try another one."""
         path = f"/v1/services/{sample.arrival.service}/{sample.arrival.kind}"
-        refused: list[str] = []
+        unreachable: list[str] = []
         while True:
-            name, address = self.balancer.pick(refused)
+            name, address = self.balancer.next_host(unreachable)
             try:
                 async with self.http.post(
                     f"http://{address}{path}", json=fields
@@ -102,34 +105,34 @@
                     sample.status = response.status
                     return
             except aiohttp.ClientConnectorError:
-                refused.append(name)
-                if len(refused) == _CONNECT_TRIES:
+                unreachable.append(name)
+                if len(unreachable) == _MAX_CONNECT_ATTEMPTS:
                     raise
 
 
-async def send_all(
+async def send_arrivals(
     arrivals: Sequence[Arrival],
     http: aiohttp.ClientSession,
-    balancer: Balancer,
+    balancer: LoadBalancer,
     caller_latency_ms: float,
-    ended: Callable[[Sample], None] = lambda _: None,
+    on_completed: Callable[[Sample], None] = lambda _: None,
 ) -> tuple[float, list[Sample]]:
-    """Send all arrivals at their times and wait for the last answer.
+    """Send all arrivals at their planned times and wait for the last answer.
 
     Returns
     -------
     tuple
-        The loop's time at the start of the round, and the samples.
+        Start of the round, on the event loop's clock, and the samples.
     """
     loop = asyncio.get_running_loop()
-    current = _Round(http, balancer, caller_latency_ms)
+    sender = _RequestSender(http, balancer, caller_latency_ms)
     start = loop.time()
     tasks = []
     for arrival in arrivals:
-        planned = start + arrival.at_s
-        if planned > loop.time():
-            await asyncio.sleep(planned - loop.time())
-        task = loop.create_task(current.send(arrival, planned))
-        task.add_done_callback(lambda done: ended(done.result()))
+        planned_at = start + arrival.at_s
+        if planned_at > loop.time():
+            await asyncio.sleep(planned_at - loop.time())
+        task = loop.create_task(sender.send(arrival, planned_at))
+        task.add_done_callback(lambda completed: on_completed(completed.result()))
         tasks.append(task)
     return start, list(await asyncio.gather(*tasks))
--- a/packages/cli/src/kingcuplug_cli/_bench/_figures.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_phase_metrics.py
@@ -1,4 +1,4 @@
-"""Figures of one policy in one phase, added up over rounds."""
+"""Metrics of one policy in one phase, summed over rounds."""
 
 import dataclasses
 from collections import Counter
@@ -7,40 +7,42 @@
 
 from hdrh.histogram import HdrHistogram
 
-from kingcuplug_cli._bench._load import Sample
-from kingcuplug_cli._bench._truth import Truth, shard_values
+from kingcuplug_cli._bench._ground_truth import GroundTruth, shard_values
+from kingcuplug_cli._bench._load_generator import Sample
 
-__all__ = ["PhaseFigures"]
+__all__ = ["PhaseMetrics"]
 
-_LOWEST_US = 1
-_HIGHEST_US = 60_000_000
-_DIGITS = 3
-_MICROSECONDS = 1_000
+_MIN_LATENCY_US = 1
+_MAX_LATENCY_US = 60_000_000
+_SIGNIFICANT_DIGITS = 3
+_US_PER_MS = 1_000
 _PERCENTILES = {"p50_ms": 50.0, "p99_ms": 99.0, "p999_ms": 99.9}
 
 
-def _histogram() -> Any:
-    return HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
+def _make_histogram() -> Any:
+    return HdrHistogram(_MIN_LATENCY_US, _MAX_LATENCY_US, _SIGNIFICANT_DIGITS)
 
 
 @dataclasses.dataclass(slots=True)
-class PhaseFigures:
+class PhaseMetrics:
     """Sums and histograms of one phase.
 
     Attributes
     ----------
     latencies, urgent : HdrHistogram
-        Latency of answers in microseconds, from the planned arrival.
+        Latency of all answers, and of the answers to urgent requests, in microseconds
+        from the planned arrival.
     needed, received, started, delivered : int
-        Sub-requests: needed by the answered requests, received and begun by the
-        stand-ins for them, and results that reached a caller.
+        Numbers of sub-requests: needed by the answered queries, received by the
+        backend servers for these, started for any request, and those whose results
+        reached a caller.
     worst_recovery_s : float
-        Longest time from the first event to an arrival that was not served whole.
+        Longest time from the first event to an arrival without a complete answer.
     """
 
     duration_s: float = 0.0
-    latencies: Any = dataclasses.field(default_factory=_histogram)
-    urgent: Any = dataclasses.field(default_factory=_histogram)
+    latencies: Any = dataclasses.field(default_factory=_make_histogram)
+    urgent: Any = dataclasses.field(default_factory=_make_histogram)
     counts: Counter[str] = dataclasses.field(default_factory=Counter)
     refusals: Counter[str] = dataclasses.field(default_factory=Counter)
     coverage_sum: float = 0.0
@@ -50,35 +52,35 @@
     delivered: int = 0
     worst_recovery_s: float = 0.0
 
-    def add(
+    def add_samples(
         self,
         samples: Iterable[Sample],
-        truth: Truth,
+        truth: GroundTruth,
         duration_s: float,
         event_s: float | None,
     ) -> None:
-        """Add one round's samples of this phase."""
+        """Add the samples that one round has of this phase."""
         self.duration_s += duration_s
         for sample in samples:
             if sample.arrival.extra:
-                self._add_extra(sample)
+                self._count_extra_request(sample)
                 continue
             self.counts["requests"] += 1
-            self._add_work(sample, truth)
+            self._count_sub_requests(sample, truth)
             if sample.answered:
-                self._add_answer(sample)
+                self._record_answer(sample)
             else:
-                self._add_failure(sample, truth)
-            self._add_recovery(sample, event_s)
+                self._record_failure(sample, truth)
+            self._update_recovery_time(sample, event_s)
 
-    def _add_extra(self, sample: Sample) -> None:
+    def _count_extra_request(self, sample: Sample) -> None:
         self.counts["extra_requests"] += 1
         if sample.answered:
             self.counts["extra_answered"] += 1
 
-    def _add_answer(self, sample: Sample) -> None:
+    def _record_answer(self, sample: Sample) -> None:
         self.counts["answered"] += 1
-        latency_us = min(max(int(sample.latency_ms * _MICROSECONDS), 1), _HIGHEST_US)
+        latency_us = min(max(int(sample.latency_ms * _US_PER_MS), 1), _MAX_LATENCY_US)
         self.latencies.record_value(latency_us)
         if sample.arrival.priority == "urgent":
             self.urgent.record_value(latency_us)
@@ -89,17 +91,18 @@
         self.coverage_sum += sample.answer["coverage"]
         self.counts["whole"] += not sample.answer["partial"]
 
-    def _add_failure(self, sample: Sample, truth: Truth) -> None:
+    def _record_failure(self, sample: Sample, truth: GroundTruth) -> None:
         refusal = sample.answer.get("refusal")
         if refusal is None:
+            # The connection broke, or no answer came in time.
             self.counts["cut"] += 1
             return
         self.refusals[f"{refusal['kind']}: {refusal['reason']}"] += 1
-        early = not truth.received.get(sample.request_id, 0)
-        if not early or refusal["kind"] != "not_run":
+        undispatched = not truth.received.get(sample.request_id, 0)
+        if not undispatched or refusal["kind"] != "not_run":
             self.counts["late_refusals"] += 1
 
-    def _add_work(self, sample: Sample, truth: Truth) -> None:
+    def _count_sub_requests(self, sample: Sample, truth: GroundTruth) -> None:
         received = truth.received.get(sample.request_id, 0)
         self.started += truth.started.get(sample.request_id, 0)
         if not sample.answered:
@@ -109,22 +112,22 @@
             self.needed += sample.answer["shard_count"]
             self.delivered += len(shard_values(sample.answer))
         else:
-            # A resend is answered from the ledger and may need nothing.
+            # A resent order is answered from the ledger and may need no sub-request.
             self.delivered += truth.started.get(sample.request_id, 0)
 
-    def _add_recovery(self, sample: Sample, event_s: float | None) -> None:
+    def _update_recovery_time(self, sample: Sample, event_s: float | None) -> None:
         if event_s is None or sample.arrival.at_s < event_s:
             return
-        whole = sample.answered and not sample.answer.get("partial")
-        if not whole:
-            after_s = sample.arrival.at_s - event_s
-            self.worst_recovery_s = max(self.worst_recovery_s, after_s)
+        complete = sample.answered and not sample.answer.get("partial")
+        if not complete:
+            since_event_s = sample.arrival.at_s - event_s
+            self.worst_recovery_s = max(self.worst_recovery_s, since_event_s)
 
     def summary(self) -> dict[str, Any]:
-        """Return all figures by name."""
+        """Return all metrics by name."""
         queries = self.counts["queries"]
         needed = max(self.needed, 1)
-        figures: dict[str, Any] = {
+        metrics: dict[str, Any] = {
             "requests": self.counts["requests"],
             "answered": self.counts["answered"],
             "whole": self.counts["whole"],
@@ -141,11 +144,11 @@
             "extra_requests": self.counts["extra_requests"],
             "extra_answered": self.counts["extra_answered"],
         }
-        for name, share in _PERCENTILES.items():
-            figures[name] = _percentile_ms(self.latencies, share)
-            figures[f"urgent_{name}"] = _percentile_ms(self.urgent, share)
-        return figures
+        for name, percentile in _PERCENTILES.items():
+            metrics[name] = _percentile_ms(self.latencies, percentile)
+            metrics[f"urgent_{name}"] = _percentile_ms(self.urgent, percentile)
+        return metrics
 
 
-def _percentile_ms(histogram: Any, share: float) -> float:
-    return float(histogram.get_value_at_percentile(share)) / _MICROSECONDS
+def _percentile_ms(histogram: Any, percentile: float) -> float:
+    return float(histogram.get_value_at_percentile(percentile)) / _US_PER_MS
--- a/packages/cli/src/kingcuplug_cli/_bench/_scenario.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios, policies and targets, read from validated JSON files."""
+"""Models of scenario and policy files, and their loaders."""
 
 from importlib import resources
 from pathlib import Path
@@ -9,19 +9,19 @@
 
 __all__ = [
     "BenchFileInvalid",
-    "Event",
-    "Mix",
     "Phase",
     "Policy",
+    "RequestMix",
     "Scenario",
+    "ScenarioEvent",
+    "ServiceTimes",
     "Target",
-    "Times",
     "load_policy",
     "load_scenario",
-    "names",
+    "packaged_names",
 ]
 
-Action = Literal[
+EventAction = Literal[
     "bulk_burst",
     "cold_restart",
     "crash_request",
@@ -36,22 +36,23 @@
 
 
 class BenchFileInvalid(KingcuplugError):
-    """A scenario or policy file that cannot be used."""
+    """Raised when a scenario or policy file can't be read or is invalid."""
 
 
-class _Model(BaseModel):
+class _StrictModel(BaseModel):
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class Times(_Model):
-    """Service times of the stand-ins, without any event.
+class ServiceTimes(_StrictModel):
+    """Service times of the simulated servers outside of events.
 
     Attributes
     ----------
     median_ms, spread : float
         Median and sigma of the lognormal distribution.
     straggle_share, straggle_factor : float
-        Share of sub-requests that take so many times as long.
+        Share of sub-requests that are stragglers, and the factor by which these take
+        longer.
     """
 
     median_ms: float = Field(default=15.0, gt=0)
@@ -60,8 +61,8 @@
     straggle_factor: float = Field(default=6.0, ge=1)
 
 
-class Mix(_Model):
-    """Shares of the arrivals; the rest of the queries is normal."""
+class RequestMix(_StrictModel):
+    """Shares of the arrivals by kind; the other queries have normal priority."""
 
     urgent: float = Field(default=0.3, ge=0, le=1)
     bulk: float = Field(default=0.1, ge=0, le=1)
@@ -69,37 +70,37 @@
     resent_orders: float = Field(default=0.3, ge=0, le=1)
 
 
-class Phase(_Model):
-    """A stretch of one round; `load` is the share of the slots that it needs."""
+class Phase(_StrictModel):
+    """A part of a round with constant load, given as a share of the servers' slots."""
 
     name: str
     duration_s: float = Field(gt=0)
     load: float = Field(gt=0, le=3)
 
 
-class Event(_Model):
-    """Something that happens during a round, at seconds from its start."""
+class ScenarioEvent(_StrictModel):
+    """A fault or change during a round, at seconds from its start."""
 
     at_s: float = Field(ge=0)
-    do: Action
+    do: EventAction
     fields: dict[str, Any] = Field(default_factory=dict)
 
 
-class Target(_Model):
-    """A bound on one figure of one policy.
+class Target(_StrictModel):
+    """A bound on one metric of the configured policy.
 
     Attributes
     ----------
     figure : str
-        Name of a figure of `kingcuplug_cli._bench._figures`.
+        Name of a metric in `PhaseMetrics.summary`.
     phase : str
-        Phase that is measured.
+        Phase that the metric is taken from.
     against : str or None
-        Phase of the same policy that the figure is divided by.
+        Phase of the same policy whose value is the divisor.
     against_policy : str or None
-        Policy whose figure in the same phase it is divided by.
+        Policy whose value in the same phase is the divisor.
     deployments : tuple of str
-        Deployments that it holds for; empty for all.
+        Deployments that the target applies to; empty for all.
     """
 
     figure: str
@@ -111,31 +112,31 @@
     deployments: tuple[str, ...] = ()
 
     @model_validator(mode="after")
-    def _check_bound(self) -> "Target":
+    def _require_one_bound(self) -> "Target":
         if (self.at_most is None) == (self.at_least is None):
             raise ValueError("give exactly one of at_most and at_least")
         return self
 
 
-class Scenario(_Model):
-    """What happens in one round, and what is expected of it."""
+class Scenario(_StrictModel):
+    """Load and events of one round, and the targets for its metrics."""
 
     name: str
     description: str
     phases: tuple[Phase, ...] = Field(min_length=1)
-    events: tuple[Event, ...] = ()
+    events: tuple[ScenarioEvent, ...] = ()
     targets: tuple[Target, ...] = ()
-    mix: Mix = Mix()
-    times: Times = Times()
+    mix: RequestMix = RequestMix()
+    times: ServiceTimes = ServiceTimes()
     configuration_period_s: float | None = Field(default=1.0, gt=0)
 
     @model_validator(mode="after")
-    def _check_names(self) -> "Scenario":
-        known = {phase.name for phase in self.phases}
+    def _check_references(self) -> "Scenario":
+        phase_names = {phase.name for phase in self.phases}
         for target in self.targets:
             for name in (target.phase, target.against):
-                if name is not None and name not in known:
-                    raise ValueError(f"target names the unknown phase {name!r}")
+                if name is not None and name not in phase_names:
+                    raise ValueError(f"target refers to the unknown phase {name!r}")
         for event in self.events:
             if event.at_s >= self.duration_s:
                 raise ValueError(f"event {event.do!r} is after the last phase")
@@ -143,22 +144,22 @@
 
     @property
     def duration_s(self) -> float:
-        """Length of one round."""
+        """Duration of one round."""
         return sum(phase.duration_s for phase in self.phases)
 
 
-class Policy(_Model):
-    """One side of a comparison.
+class Policy(_StrictModel):
+    """A routing policy that takes part in a comparison.
 
     Attributes
     ----------
     base : str
         ``configured`` follows the services' configuration; ``baseline`` is the
-        plainest policy of the routing package.
+        simplest policy of the routing package.
     routing : dict
-        Fields of `RoutingPolicy` that differ from the base.
+        Fields of `RoutingPolicy` that replace those of the base.
     service : dict
-        Fields of every configured service's policy that differ from the text.
+        Fields that replace those of each service's policy in the configuration.
     """
 
     name: str
@@ -167,10 +168,10 @@
     service: dict[str, Any] = Field(default_factory=dict)
 
 
-_Read = TypeVar("_Read", Scenario, Policy)
+_ModelT = TypeVar("_ModelT", Scenario, Policy)
 
 
-def names(folder: str) -> list[str]:
+def packaged_names(folder: str) -> list[str]:
     """Return the names of the packaged files of ``scenarios`` or ``policies``."""
     files = resources.files("kingcuplug_cli").joinpath(folder).iterdir()
     return sorted(
@@ -180,15 +181,15 @@
 
 def load_scenario(name: str) -> Scenario:
     """Read a packaged scenario by name, or a file by path."""
-    return _read("scenarios", name, Scenario)
+    return _load_model("scenarios", name, Scenario)
 
 
 def load_policy(name: str) -> Policy:
     """Read a packaged policy by name, or a file by path."""
-    return _read("policies", name, Policy)
+    return _load_model("policies", name, Policy)
 
 
-def _read(folder: str, name: str, model: type[_Read]) -> _Read:
+def _load_model(folder: str, name: str, model: type[_ModelT]) -> _ModelT:
     try:
         if name.endswith(".json"):
             text = Path(name).read_text()
@@ -199,10 +200,11 @@
     except OSError as error:
         raise BenchFileInvalid(
             f"{name!r} cannot be read: {error.strerror}",
-            f"name a path ending in .json or one of {', '.join(names(folder))}",
+            "name a path ending in .json or one of "
+            f"{', '.join(packaged_names(folder))}",
         ) from error
     except ValidationError as error:
         raise BenchFileInvalid(
-            f"{name!r} has {error.error_count()} faults: {error}",
-            "correct the named fields",
+            f"{name!r} has {error.error_count()} errors: {error}",
+            "correct the listed fields",
         ) from error
--- a/packages/cli/src/kingcuplug_cli/_bench/_targets.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_targets.py
@@ -1,4 +1,4 @@
-"""Verdicts on a scenario's targets."""
+"""Evaluation of a scenario's targets."""
 
 import dataclasses
 import math
@@ -7,22 +7,22 @@
 
 from kingcuplug_cli._bench._scenario import Scenario, Target
 
-__all__ = ["JUDGED_POLICY", "Verdict", "verdicts"]
+__all__ = ["EVALUATED_POLICY", "TargetResult", "evaluate_targets"]
 
-JUDGED_POLICY = "configured"
+EVALUATED_POLICY = "configured"
 
-# policy -> phase -> figure
-Summaries = Mapping[str, Mapping[str, Mapping[str, Any]]]
+# Policy -> phase -> metric -> value
+PolicySummaries = Mapping[str, Mapping[str, Mapping[str, Any]]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Verdict:
-    """One line of the table of targets.
+class TargetResult:
+    """Result of one target.
 
     Attributes
     ----------
     baseline : float or None
-        The same figure of the baseline, where it was run.
+        The same value of the baseline policy, if that was run.
     """
 
     scenario: str
@@ -33,35 +33,41 @@
     passed: bool
 
 
-def verdicts(
-    scenario: Scenario, deployment: str, summaries: Summaries
-) -> list[Verdict]:
-    """Return a verdict for each target that holds for `deployment`."""
+def evaluate_targets(
+    scenario: Scenario, deployment: str, summaries: PolicySummaries
+) -> list[TargetResult]:
+    """Return the result of each target that applies to `deployment`."""
     return [
-        _verdict(scenario, target, summaries)
+        _evaluate_target(scenario, target, summaries)
         for target in scenario.targets
         if not target.deployments or deployment in target.deployments
     ]
 
 
-def _verdict(scenario: Scenario, target: Target, summaries: Summaries) -> Verdict:
-    measured = _measure(target, JUDGED_POLICY, summaries)
-    others = [name for name in summaries if name != JUDGED_POLICY]
+def _evaluate_target(
+    scenario: Scenario, target: Target, summaries: PolicySummaries
+) -> TargetResult:
+    measured = _measured_value(target, EVALUATED_POLICY, summaries)
+    other_policies = [name for name in summaries if name != EVALUATED_POLICY]
     baseline = None
-    if others and target.against_policy is None:
-        baseline = _measure(target, others[0], summaries)
-    return Verdict(
+    if other_policies and target.against_policy is None:
+        baseline = _measured_value(target, other_policies[0], summaries)
+    return TargetResult(
         scenario.name,
-        _title(target),
-        _bound(target),
+        _target_title(target),
+        _bound_text(target),
         measured,
         baseline,
-        _within(target, measured),
+        _meets_bound(target, measured),
     )
 
 
-def _measure(target: Target, policy: str, summaries: Summaries) -> float:
-    """Return the figure, divided as the target says; NaN if there is none."""
+def _measured_value(target: Target, policy: str, summaries: PolicySummaries) -> float:
+    """Return the value to compare with the bound; NaN if it is undefined.
+
+    It is the metric, divided by that of the target's other phase or policy if the
+    target names one.
+    """
     if policy not in summaries:
         return math.nan
     value = float(summaries[policy][target.phase][target.figure])
@@ -69,14 +75,16 @@
     if target.against is not None:
         divisor = float(summaries[policy][target.against][target.figure])
     elif target.against_policy is not None:
-        other = summaries.get(target.against_policy)
+        divisor_summary = summaries.get(target.against_policy)
         divisor = (
-            math.nan if other is None else float(other[target.phase][target.figure])
+            math.nan
+            if divisor_summary is None
+            else float(divisor_summary[target.phase][target.figure])
         )
     return value / divisor if divisor else math.nan
 
 
-def _within(target: Target, measured: float) -> bool:
+def _meets_bound(target: Target, measured: float) -> bool:
     if math.isnan(measured):
         return False
     if target.at_most is not None:
@@ -84,7 +92,7 @@
     return target.at_least is not None and measured >= target.at_least
 
 
-def _title(target: Target) -> str:
+def _target_title(target: Target) -> str:
     title = f"{target.figure} in {target.phase!r}"
     if target.against is not None:
         title += f" / in {target.against!r}"
@@ -93,7 +101,7 @@
     return title
 
 
-def _bound(target: Target) -> str:
+def _bound_text(target: Target) -> str:
     if target.at_most is not None:
         return f"<= {target.at_most:g}"
     return f">= {target.at_least:g}"
