--- a/packages/cli/src/kingcuplug_cli/_groups.py
+++ b/packages/cli/src/kingcuplug_cli/_command_groups.py
@@ -1,8 +1,8 @@
 """The groups of commands, as the command line names them."""
 
 from kingcuplug_cli import _config, _control_commands
-from kingcuplug_cli._invocation import Invocation, Program, plain_texts
-from kingcuplug_cli._records import (
+from kingcuplug_cli._invocation import Invocation, InvocationFactory, parse_as_strings
+from kingcuplug_cli._order_receipt_commands import (
     list_keys,
     rotate_key,
     show_order,
@@ -20,25 +20,25 @@
 ]
 
 
-class _Group:
-    def __init__(self, program: Program) -> None:
-        self._program = program
+class _CommandGroup:
+    def __init__(self, invocations: InvocationFactory) -> None:
+        self._invocations = invocations
 
 
-class ConfigCommands(_Group):
+class ConfigCommands(_CommandGroup):
     """The configuration text: check, diff, apply, show, history, status."""
 
-    @plain_texts("file")
+    @parse_as_strings("file")
     def check(self, file: str) -> Invocation:
         """Validate a text without a host; list every fault."""
-        return self._program.local(_config.check, file)
+        return self._invocations.local_invocation(_config.check, file)
 
-    @plain_texts("file")
+    @parse_as_strings("file")
     def diff(self, file: str) -> Invocation:
         """Show what a text would change."""
-        return self._program.remote(_config.diff, file)
+        return self._invocations.remote_invocation(_config.diff, file)
 
-    @plain_texts("file", "author")
+    @parse_as_strings("file", "author")
     def apply(
         self,
         file: str,
@@ -66,79 +66,79 @@
         resend_s : float
             For how long to send the change again after lost answers, in seconds.
         """
-        return self._program.remote(
+        return self._invocations.remote_invocation(
             _config.apply, file, base_revision, author, wait, wait_s, resend_s
         )
 
     def show(self, *, raw: bool = False) -> Invocation:
         """Show the configuration in force; with --raw its text only."""
-        return self._program.remote(_config.show, raw)
+        return self._invocations.remote_invocation(_config.show, raw)
 
     def history(self) -> Invocation:
         """List the accepted revisions, the newest first."""
-        return self._program.remote(_config.history)
+        return self._invocations.remote_invocation(_config.history)
 
     def status(self) -> Invocation:
         """Show whether the present revision is in force everywhere."""
-        return self._program.remote(_config.status)
+        return self._invocations.remote_invocation(_config.status)
 
 
-class ControlCommands(_Group):
+class ControlCommands(_CommandGroup):
     """The control hosts: bootstrap, add, remove, status."""
 
     def bootstrap(self) -> Invocation:
         """Begin a cluster on the asked host."""
-        return self._program.remote(_control_commands.bootstrap)
+        return self._invocations.remote_invocation(_control_commands.bootstrap)
 
-    @plain_texts("address", "role")
+    @parse_as_strings("address", "role")
     def add(self, address: str, *, role: str = "voter") -> Invocation:
         """Add the control host at a peer address, as voter or observer."""
-        return self._program.remote(_control_commands.add, address, role)
+        return self._invocations.remote_invocation(_control_commands.add, address, role)
 
-    @plain_texts("member")
+    @parse_as_strings("member")
     def remove(self, member: str) -> Invocation:
         """Remove a member by the id that `control status` prints."""
-        return self._program.remote(_control_commands.remove, member)
+        return self._invocations.remote_invocation(_control_commands.remove, member)
 
     def status(self) -> Invocation:
         """Show leader and members, and whether one voter may be lost."""
-        return self._program.remote(_control_commands.status)
+        return self._invocations.remote_invocation(_control_commands.status)
 
 
-class KeyCommands(_Group):
+class KeyCommands(_CommandGroup):
     """The keys that sign receipts: list, rotate."""
 
     def list(self) -> Invocation:
         """List all public keys, retired ones included."""
-        return self._program.remote(list_keys)
+        return self._invocations.remote_invocation(list_keys)
 
     def rotate(self) -> Invocation:
         """Let the asked host sign with a new key."""
-        return self._program.remote(rotate_key)
+        return self._invocations.remote_invocation(rotate_key)
 
 
-class OrderCommands(_Group):
+class OrderCommands(_CommandGroup):
     """The order ledger: show."""
 
-    @plain_texts("key")
+    @parse_as_strings("key")
     def show(self, key: str) -> Invocation:
         """Show what the ledger knows of an order."""
-        return self._program.remote(show_order, key)
+        return self._invocations.remote_invocation(show_order, key)
 
 
-class ReceiptCommands(_Group):
+class ReceiptCommands(_CommandGroup):
     """Receipts of answers and refusals: verify."""
 
-    @plain_texts("file")
+    @parse_as_strings("file")
     def verify(self, file: str) -> Invocation:
         """Check a receipt, and the answer around it; - reads standard input."""
-        return self._program.remote(verify_receipt, file)
+        return self._invocations.remote_invocation(verify_receipt, file)
 
 
-class TraceCommands(_Group):
+class TraceCommands(_CommandGroup):
     """Traces of requests: show."""
 
-    @plain_texts("file", "request_id")
+    @parse_as_strings("file", "request_id")
     def show(self, file: str, request_id: str) -> Invocation:
         """Print the waterfall of one request from an entry host's trace file."""
-        return self._program.local(show_trace, file, request_id)
+        return self._invocations.local_invocation(show_trace, file, request_id)
--- a/packages/cli/src/kingcuplug_cli/_config.py
+++ b/packages/cli/src/kingcuplug_cli/_config.py
@@ -15,16 +15,16 @@
 )
 
 from kingcuplug_cli._config_results import (
-    Applied,
     ApplyConflict,
-    Checked,
-    Difference,
-    Fault,
-    History,
-    HistoryRow,
+    ApplyResult,
+    CheckResult,
+    CurrentConfiguration,
+    DiffResult,
     HostRow,
-    InForce,
-    Shown,
+    InForceStatus,
+    RevisionHistory,
+    RevisionRow,
+    TextFault,
 )
 from kingcuplug_cli._connection import OperatorClient
 from kingcuplug_cli._results import (
@@ -36,29 +36,29 @@
 
 __all__ = ["apply", "check", "diff", "history", "show", "status"]
 
-_MILLISECONDS = 1_000
-_RESEND_PAUSE_S = 0.5
-_WAIT_SLICE_S = 5.0
-_WAIT_MARGIN_S = 10.0
+_MS_PER_S = 1_000
+_RESEND_INTERVAL_S = 0.5
+_LONG_POLL_S = 5.0
+_LONG_POLL_MARGIN_S = 10.0
 
 
-async def check(file: str) -> Checked:
+async def check(file: str) -> CheckResult:
     """Validate a text without a host; every fault is reported at once."""
-    return _checked(_read(file))
+    return _check_text(_read_text_file(file))
 
 
-async def diff(client: OperatorClient, file: str) -> Difference:
+async def diff(client: OperatorClient, file: str) -> DiffResult:
     """Compare a text with the one in force."""
-    new = _parsed(_read(file))
+    new = _parse_valid_text(_read_text_file(file))
     current = await show(client)
     changes = describe(parse(current.text), new).splitlines()
-    return Difference(current.number, bool(changes), tuple(changes))
+    return DiffResult(current.number, bool(changes), tuple(changes))
 
 
-async def show(client: OperatorClient, raw: bool = False) -> Shown:
+async def show(client: OperatorClient, raw: bool = False) -> CurrentConfiguration:
     """Return the configuration in force."""
     fields = await client.call("configuration/show")
-    return Shown(
+    return CurrentConfiguration(
         fields["number"],
         fields["digest"],
         fields["author"],
@@ -68,16 +68,16 @@
     )
 
 
-async def history(client: OperatorClient) -> History:
+async def history(client: OperatorClient) -> RevisionHistory:
     """Return the accepted revisions."""
     fields = await client.call("history/show")
-    return History(tuple(HistoryRow(**row) for row in fields["revisions"]))
+    return RevisionHistory(tuple(RevisionRow(**row) for row in fields["revisions"]))
 
 
-async def status(client: OperatorClient) -> InForce:
+async def status(client: OperatorClient) -> InForceStatus:
     """Return whether the present revision is in force everywhere."""
     current = await show(client)
-    return await _in_force(client, current.number, 0.0)
+    return await _request_in_force_status(client, current.number, 0.0)
 
 
 async def apply(
@@ -88,7 +88,7 @@
     wait: bool = False,
     wait_s: float = 60.0,
     resend_s: float = 20.0,
-) -> Applied | ApplyConflict | Checked:
+) -> ApplyResult | ApplyConflict | CheckResult:
     """Replace the configuration if it is still at the base revision.
 
     Parameters
@@ -102,17 +102,19 @@
     wait_s, resend_s : float
         Bounds of that wait, and of resending after lost answers, in seconds.
     """
-    _require_numbers(base_revision, wait_s, resend_s)
-    text = _read(file)
-    checked = _checked(text)
+    _require_numeric_options(base_revision, wait_s, resend_s)
+    text = _read_text_file(file)
+    checked = _check_text(text)
     if checked.faults:
         return checked
     if base_revision is None:
         current = await show(client)
         base_revision = current.number
         if current.text == render(parse(text)):
-            applied = Applied(base_revision, "", 0, unchanged=True)
-            return await _waited(client, applied, wait_s) if wait else applied
+            applied = ApplyResult(base_revision, "", 0, unchanged=True)
+            return (
+                await _wait_until_in_force(client, applied, wait_s) if wait else applied
+            )
     author = author or getpass.getuser()
     command = {
         # Equal for a resend, and for nothing else: a text that comes back later
@@ -122,26 +124,26 @@
         "text": text,
         "author": author,
     }
-    answer, resends = await _send(client, command, resend_s)
+    answer, resends = await _send_change(client, command, resend_s)
     if answer["type"] == "conflict":
-        return await _conflict(client, base_revision, text, answer)
+        return await _describe_conflict(client, base_revision, text, answer)
     if answer["type"] != "accepted":
-        return Checked(0, _faults(answer["faults"]))
-    applied = Applied(answer["revision"], str(command["change_id"]), resends)
-    return await _waited(client, applied, wait_s) if wait else applied
+        return CheckResult(0, _fault_rows(answer["faults"]))
+    applied = ApplyResult(answer["revision"], str(command["change_id"]), resends)
+    return await _wait_until_in_force(client, applied, wait_s) if wait else applied
 
 
-async def _send(
-    client: OperatorClient, command: dict[str, Any], resend_s: float
+async def _send_change(
+    client: OperatorClient, command: dict[str, Any], resend_limit_s: float
 ) -> tuple[dict[str, Any], int]:
     """Send a change until its fate is known or `resend_s` have passed."""
     loop = asyncio.get_running_loop()
-    give_up = loop.time() + resend_s
+    give_up = loop.time() + resend_limit_s
     unknown: OutcomeUnknown | None = None
     resends = 0
     while True:
         try:
-            answer = await client.call("configuration", command, changes=True)
+            answer = await client.call("configuration", command, mutating=True)
             return answer, resends
         except OutcomeUnknown as error:
             unknown = error
@@ -160,26 +162,28 @@
                 f"--base-revision {command['base_revision']}; it is applied at most "
                 "once",
             )
-        await asyncio.sleep(_RESEND_PAUSE_S)
+        await asyncio.sleep(_RESEND_INTERVAL_S)
         resends += 1
 
 
-async def _waited(client: OperatorClient, applied: Applied, wait_s: float) -> Applied:
+async def _wait_until_in_force(
+    client: OperatorClient, applied: ApplyResult, wait_s: float
+) -> ApplyResult:
     """Return the result once the revision is in force, or the time is over."""
     loop = asyncio.get_running_loop()
     give_up = loop.time() + wait_s
     while True:
         left = give_up - loop.time()
         try:
-            found = await _in_force(
-                client, applied.revision, max(min(left, _WAIT_SLICE_S), 0.0)
+            found = await _request_in_force_status(
+                client, applied.revision, max(min(left, _LONG_POLL_S), 0.0)
             )
         except Unreachable:
             # An election interrupts the wait; the change itself is accepted.
-            found = InForce(applied.revision, False, (), ())
-            await asyncio.sleep(min(_RESEND_PAUSE_S, max(left, 0.0)))
+            found = InForceStatus(applied.revision, False, (), ())
+            await asyncio.sleep(min(_RESEND_INTERVAL_S, max(left, 0.0)))
         if found.in_force or left <= 0:
-            return Applied(
+            return ApplyResult(
                 applied.revision,
                 applied.change_id,
                 applied.resends,
@@ -188,13 +192,15 @@
             )
 
 
-async def _in_force(client: OperatorClient, revision: int, wait_s: float) -> InForce:
+async def _request_in_force_status(
+    client: OperatorClient, revision: int, wait_s: float
+) -> InForceStatus:
     fields = await client.call(
         "in-force",
-        {"revision": revision, "wait_ms": int(wait_s * _MILLISECONDS)},
-        timeout_s=wait_s + _WAIT_MARGIN_S,
+        {"revision": revision, "wait_ms": int(wait_s * _MS_PER_S)},
+        timeout_s=wait_s + _LONG_POLL_MARGIN_S,
     )
-    return InForce(
+    return InForceStatus(
         revision,
         fields["in_force"],
         tuple(fields["waiting_for"]),
@@ -202,7 +208,7 @@
     )
 
 
-async def _conflict(
+async def _describe_conflict(
     client: OperatorClient, base_revision: int, text: str, answer: dict[str, Any]
 ) -> ApplyConflict:
     current = await show(client)
@@ -212,12 +218,12 @@
         answer["current_revision"],
         answer["winner_author"],
         answer["winner_time_ms"],
-        _changed(answer["difference"]),
+        _changed_since_base(answer["difference"]),
         tuple(difference),
     )
 
 
-def _require_numbers(base_revision: Any, *times_s: Any) -> None:
+def _require_numeric_options(base_revision: Any, *times_s: Any) -> None:
     if base_revision is not None and type(base_revision) is not int:
         raise WrongUsage(
             f"base revision {base_revision!r} is not a number",
@@ -228,7 +234,7 @@
             raise WrongUsage(f"time {time_s!r} is not a number", "pass seconds")
 
 
-def _changed(difference: dict[str, Any] | None) -> tuple[str, ...] | None:
+def _changed_since_base(difference: dict[str, Any] | None) -> tuple[str, ...] | None:
     if difference is None:
         return None
     changes = [f"~ service {name}" for name in sorted(difference["changed"])]
@@ -238,15 +244,15 @@
     return tuple(changes)
 
 
-def _checked(text: str) -> Checked:
+def _check_text(text: str) -> CheckResult:
     try:
-        return Checked(len(parse(text).services))
+        return CheckResult(len(parse(text).services))
     except ExceptionGroup as group:
         faults = [f for f in group.exceptions if isinstance(f, ConfigurationFault)]
-        return Checked(0, _faults([fault.to_json() for fault in faults]))
+        return CheckResult(0, _fault_rows([fault.to_json() for fault in faults]))
 
 
-def _parsed(text: str) -> ConfigurationText:
+def _parse_valid_text(text: str) -> ConfigurationText:
     try:
         return parse(text)
     except ExceptionGroup as group:
@@ -256,11 +262,11 @@
         ) from group
 
 
-def _faults(faults: list[dict[str, str]]) -> tuple[Fault, ...]:
-    return tuple(Fault(**fault) for fault in faults)
+def _fault_rows(faults: list[dict[str, str]]) -> tuple[TextFault, ...]:
+    return tuple(TextFault(**fault) for fault in faults)
 
 
-def _read(file: str) -> str:
+def _read_text_file(file: str) -> str:
     try:
         return Path(file).read_text()
     except (OSError, UnicodeDecodeError) as error:
--- a/packages/cli/src/kingcuplug_cli/_config_results.py
+++ b/packages/cli/src/kingcuplug_cli/_config_results.py
@@ -7,31 +7,31 @@
 from kingcuplug_cli._results import ExitCode
 
 __all__ = [
-    "Applied",
     "ApplyConflict",
-    "Checked",
-    "Difference",
-    "Fault",
-    "History",
-    "HistoryRow",
+    "ApplyResult",
+    "CheckResult",
+    "CurrentConfiguration",
+    "DiffResult",
     "HostRow",
-    "InForce",
-    "Shown",
-    "time_text",
+    "InForceStatus",
+    "RevisionHistory",
+    "RevisionRow",
+    "TextFault",
+    "format_time",
 ]
 
-_MILLISECONDS = 1_000
-_SHORT_DIGEST = 12
+_MS_PER_S = 1_000
+_SHORT_DIGEST_CHARACTERS = 12
 
 
-def time_text(time_ms: int) -> str:
+def format_time(time_ms: int) -> str:
     """Return a wall clock time for a person."""
-    moment = datetime.fromtimestamp(time_ms / _MILLISECONDS, UTC)
+    moment = datetime.fromtimestamp(time_ms / _MS_PER_S, UTC)
     return moment.strftime("%Y-%m-%d %H:%M:%S UTC")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Fault:
+class TextFault:
     """One fault of a configuration text."""
 
     path: str
@@ -40,11 +40,11 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Checked:
+class CheckResult:
     """Whether a text is valid."""
 
     services: int
-    faults: tuple[Fault, ...] = ()
+    faults: tuple[TextFault, ...] = ()
 
     @property
     def exit_code(self) -> ExitCode:
@@ -62,7 +62,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Difference:
+class DiffResult:
     """What a text would change."""
 
     revision: int
@@ -80,7 +80,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Shown:
+class CurrentConfiguration:
     """The configuration in force.
 
     Attributes
@@ -102,13 +102,14 @@
         if not self.raw:
             yield (
                 f"revision {self.number} by {self.author or 'nobody'}, "
-                f"{time_text(self.time_ms)}, digest {self.digest[:_SHORT_DIGEST]}"
+                f"{format_time(self.time_ms)}, "
+                f"digest {self.digest[:_SHORT_DIGEST_CHARACTERS]}"
             )
         yield self.text
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HistoryRow:
+class RevisionRow:
     """One accepted revision."""
 
     revision: int
@@ -118,17 +119,17 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class History:
+class RevisionHistory:
     """Accepted revisions, the newest first."""
 
-    revisions: tuple[HistoryRow, ...]
+    revisions: tuple[RevisionRow, ...]
     exit_code: ExitCode = ExitCode.DONE
 
     def lines(self) -> Iterator[str]:
         """Yield one line per revision."""
         for row in self.revisions:
             yield (
-                f"revision {row.revision}  {time_text(row.time_ms)}  "
+                f"revision {row.revision}  {format_time(row.time_ms)}  "
                 f"{row.short_digest}  {row.author}"
             )
         if not self.revisions:
@@ -154,7 +155,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class InForce:
+class InForceStatus:
     """Whether a revision is in force everywhere."""
 
     revision: int
@@ -175,14 +176,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Applied:
+class ApplyResult:
     """An accepted change.
 
     Attributes
     ----------
     unchanged : bool
         Whether the text was in force already, so that nothing was sent.
-    in_force : InForce or None
+    in_force : InForceStatus or None
         The wait's end, if one was asked for.
     """
 
@@ -190,7 +191,7 @@
     change_id: str
     resends: int
     unchanged: bool = False
-    in_force: InForce | None = None
+    in_force: InForceStatus | None = None
 
     @property
     def exit_code(self) -> ExitCode:
@@ -234,7 +235,7 @@
         """Yield the winner, what differs, and the remedy."""
         yield (
             f"conflict: revision {self.current_revision} by "
-            f"{self.winner_author or 'nobody'}, {time_text(self.winner_time_ms)}, "
+            f"{self.winner_author or 'nobody'}, {format_time(self.winner_time_ms)}, "
             f"is in force, not base revision {self.base_revision}"
         )
         if self.changed_since_base is None:
--- a/packages/cli/src/kingcuplug_cli/_connection.py
+++ b/packages/cli/src/kingcuplug_cli/_connection.py
@@ -17,13 +17,13 @@
     WrongUsage,
 )
 
-__all__ = ["SETTINGS_VARIABLE", "Connection", "OperatorClient", "connection_of"]
+__all__ = ["SETTINGS_VARIABLE", "Connection", "OperatorClient", "load_connection"]
 
 SETTINGS_VARIABLE = "KINGCUPLUG_CLIENT"
 _DEFAULT_TIMEOUT_S = 15.0
 _CONNECT_TIMEOUT_S = 3.0
 # A host that starts or has no leader behind it has changed nothing.
-_NOTHING_DONE = frozenset(("Starting", "NoLeader", "NotLeader"))
+_NOT_EXECUTED_ERRORS = frozenset(("Starting", "NoLeader", "NotLeader"))
 
 
 class Connection(BaseModel):
@@ -46,7 +46,7 @@
     ca_file: Path | None = None
 
 
-def connection_of(
+def load_connection(
     options: Mapping[str, str | None], environment: Mapping[str, str] = os.environ
 ) -> Connection:
     """Return the options, completed from the settings file of the environment.
@@ -92,15 +92,18 @@
                 f"pass --host ip:port, or name a file in {SETTINGS_VARIABLE}",
             )
         self.host = connection.host
-        self._headers = {"Content-Type": "application/json", **_token(connection)}
-        self._context = _context(connection.ca_file)
+        self._headers = {
+            "Content-Type": "application/json",
+            **_authorization_header(connection),
+        }
+        self._ssl_context = _make_ssl_context(connection.ca_file)
 
     async def call(
         self,
         path: str,
         fields: dict[str, Any] | None = None,
         *,
-        changes: bool = False,
+        mutating: bool = False,
         timeout_s: float = _DEFAULT_TIMEOUT_S,
     ) -> dict[str, Any]:
         """Post to an operators' endpoint and return its answer.
@@ -128,19 +131,21 @@
                 "check that the host runs, --host, and --ca-file if it serves TLS",
             ) from error
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
-            raise self._lost(f"{type(error).__name__} {error}", changes) from error
-        return self._read(status, body, changes)
+            raise self._lost_answer_error(
+                f"{type(error).__name__} {error}", mutating
+            ) from error
+        return self._parse_answer(status, body, mutating)
 
     async def _post(
         self, path: str, fields: dict[str, Any], timeout_s: float
     ) -> tuple[int, bytes]:
-        scheme = "http" if self._context is None else "https"
+        scheme = "http" if self._ssl_context is None else "https"
         url = f"{scheme}://{self.host}/v1/operator/{path}"
         timeout = aiohttp.ClientTimeout(
             total=timeout_s, sock_connect=_CONNECT_TIMEOUT_S
         )
         connector = aiohttp.TCPConnector(
-            ssl=True if self._context is None else self._context
+            ssl=True if self._ssl_context is None else self._ssl_context
         )
         async with (
             aiohttp.ClientSession(connector=connector, timeout=timeout) as session,
@@ -150,7 +155,7 @@
         ):
             return response.status, await response.read()
 
-    def _read(self, status: int, body: bytes, changes: bool) -> dict[str, Any]:
+    def _parse_answer(self, status: int, body: bytes, mutating: bool) -> dict[str, Any]:
         try:
             answer = orjson.loads(body)
         except orjson.JSONDecodeError:
@@ -161,20 +166,24 @@
                 "pass its caller_address, not its peer_address",
             )
         if not isinstance(answer, dict):
-            raise self._lost(f"HTTP status {status} without a JSON object", changes)
+            raise self._lost_answer_error(
+                f"HTTP status {status} without a JSON object", mutating
+            )
         if status == 200:
             return answer
         kind = str(answer.get("error", status))
         message = str(answer.get("message", f"HTTP status {status}"))
         remedy = str(answer.get("remedy", "try again shortly"))
         if kind == "OutcomeUnknown":
-            raise self._lost(message, changes)
-        if kind in _NOTHING_DONE:
+            raise self._lost_answer_error(message, mutating)
+        if kind in _NOT_EXECUTED_ERRORS:
             raise Unreachable(message, remedy)
         raise CommandRefused(message, remedy, kind, answer)
 
-    def _lost(self, cause: str, changes: bool) -> OutcomeUnknown | Unreachable:
-        if changes:
+    def _lost_answer_error(
+        self, cause: str, mutating: bool
+    ) -> OutcomeUnknown | Unreachable:
+        if mutating:
             return OutcomeUnknown(
                 f"host {self.host} did not answer, so the change may have been made:"
                 f" {cause}",
@@ -185,7 +194,7 @@
         )
 
 
-def _token(connection: Connection) -> dict[str, str]:
+def _authorization_header(connection: Connection) -> dict[str, str]:
     if connection.token_file is None:
         return {}
     try:
@@ -202,7 +211,7 @@
     return {"Authorization": f"Bearer {token}"}
 
 
-def _context(ca_file: Path | None) -> ssl.SSLContext | None:
+def _make_ssl_context(ca_file: Path | None) -> ssl.SSLContext | None:
     if ca_file is None:
         return None
     try:
--- a/packages/cli/src/kingcuplug_cli/_control_commands.py
+++ b/packages/cli/src/kingcuplug_cli/_control_commands.py
@@ -10,12 +10,12 @@
 
 __all__ = ["add", "bootstrap", "remove", "status"]
 
-_ELECTION_S = 5.0
-_POLL_S = 0.1
+_ELECTION_TIMEOUT_S = 5.0
+_POLL_INTERVAL_S = 0.1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Bootstrapped:
+class BootstrapResult:
     """A cluster with one member."""
 
     cluster: str
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Added:
+class AddResult:
     """A control host that takes part from now on."""
 
     member: str
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Removed:
+class RemoveResult:
     """A member that no longer takes part."""
 
     member: str
@@ -82,45 +82,48 @@
         yield f"safe to lose one voter: {safe}"
         if fields["storage_failed"]:
             yield f"the storage of {fields['member']} has failed; replace its disk"
-        matches = {peer["member"]: peer for peer in fields["peers"]}
+        progress = {peer["member"]: peer for peer in fields["peers"]}
         for member in fields["members"]:
-            peer = matches.get(member["id"])
-            yield f"  {member['id']}  {member['role']}  {member['address']}{_at(peer)}"
+            peer = progress.get(member["id"])
+            yield (
+                f"  {member['id']}  {member['role']}  {member['address']}"
+                f"{_replication_text(peer)}"
+            )
 
 
-def _at(peer: dict[str, Any] | None) -> str:
+def _replication_text(peer: dict[str, Any] | None) -> str:
     if peer is None:
         return ""
     caught_up = "caught up" if peer["caught_up"] else "behind"
     return f"  {caught_up} at {peer['match_index']}"
 
 
-async def bootstrap(client: OperatorClient) -> Bootstrapped:
+async def bootstrap(client: OperatorClient) -> BootstrapResult:
     """Begin a cluster on the host that is asked and wait until it leads.
 
     The next command of a first start, `control add`, needs the leader.
     """
-    begun = Bootstrapped(**await client.call("control/bootstrap", changes=True))
+    begun = BootstrapResult(**await client.call("control/bootstrap", mutating=True))
     loop = asyncio.get_running_loop()
-    give_up = loop.time() + _ELECTION_S
+    give_up = loop.time() + _ELECTION_TIMEOUT_S
     # The leader is asked over HTTP, so there is no event to wait for.
     while not (await status(client)).leads and loop.time() < give_up:  # noqa: ASYNC110
-        await asyncio.sleep(_POLL_S)
+        await asyncio.sleep(_POLL_INTERVAL_S)
     return begun
 
 
-async def add(client: OperatorClient, address: str, role: str = "voter") -> Added:
+async def add(client: OperatorClient, address: str, role: str = "voter") -> AddResult:
     """Add the control host at a peer address."""
     fields = await client.call(
-        "control/add", {"address": address, "role": role}, changes=True
+        "control/add", {"address": address, "role": role}, mutating=True
     )
-    return Added(fields["added"], fields["role"])
+    return AddResult(fields["added"], fields["role"])
 
 
-async def remove(client: OperatorClient, member: str) -> Removed:
+async def remove(client: OperatorClient, member: str) -> RemoveResult:
     """Remove a member by its id, as `control status` prints it."""
-    fields = await client.call("control/remove", {"member": member}, changes=True)
-    return Removed(fields["removed"])
+    fields = await client.call("control/remove", {"member": member}, mutating=True)
+    return RemoveResult(fields["removed"])
 
 
 async def status(client: OperatorClient) -> ControlStatus:
--- a/packages/cli/src/kingcuplug_cli/_demo.py
+++ b/packages/cli/src/kingcuplug_cli/_demo.py
@@ -11,14 +11,14 @@
 
 __all__ = ["run_demo"]
 
-_SERVICES = ("counter-01", "cutting", "parlour-link")
+_DEMO_SERVICES = ("counter-01", "cutting", "parlour-link")
 
 
 async def run_demo(example: Path) -> None:
     """Run the demo on an example folder of one deployment."""
     whole = json.loads((example / "configuration.json").read_text())
     text = json.dumps(whole)
-    sizes = load_sizes(example / "servers.json", only=_SERVICES)
+    sizes = load_sizes(example / "servers.json", only=_DEMO_SERVICES)
     deployment = LocalDeployment(sizes, entry_hosts=3, control_hosts=3)
     print("Starting 3 hosts (control and entry) and stand-in backend servers ...")
     try:
@@ -27,16 +27,16 @@
             f"Configuration of {len(whole['services'])} services is revision "
             f"{revision}; {len(deployment.servers)} backend servers announced."
         )
-        await _queries(deployment)
-        await _orders(deployment)
-        await _partial(deployment)
-        await _refusal(deployment)
+        await _run_queries(deployment)
+        await _run_repeated_order(deployment)
+        await _run_partial_query(deployment)
+        await _run_refused_queries(deployment)
     finally:
         await deployment.stop()
     print("Stopped gracefully.")
 
 
-async def _queries(deployment: LocalDeployment) -> None:
+async def _run_queries(deployment: LocalDeployment) -> None:
     print("\nQueries")
     for service, body in (
         ("counter-01", {"order": "4711"}),
@@ -48,10 +48,10 @@
             service, "query", {"body": body, "priority": "urgent"}
         )
         elapsed_ms = (time.perf_counter() - started) * 1_000
-        _show(f"{service}: {status} in {elapsed_ms:.1f} ms", answer)
+        _print_answer(f"{service}: {status} in {elapsed_ms:.1f} ms", answer)
 
 
-async def _orders(deployment: LocalDeployment) -> None:
+async def _run_repeated_order(deployment: LocalDeployment) -> None:
     print("\nAn order, and the same order sent again to another entry host")
     key = f"{time.time_ns() // 1_000_000}-{identifier()}"
     order = {
@@ -61,14 +61,16 @@
     }
     for fields in (order, order | {"resend": True}):
         status, answer = await deployment.call("counter-01", "order", fields)
-        _show(f"order {key}: {status}", answer)
+        _print_answer(f"order {key}: {status}", answer)
     print(f"  the backend servers ran it {deployment.journal.orders[key]} time(s)")
-    shown = await deployment.operate(deployment.hosts[0], "orders/show", {"key": key})
+    shown = await deployment.call_operator(
+        deployment.hosts[0], "orders/show", {"key": key}
+    )
     for line in shown["explanation"].splitlines():
         print(f"  ledger: {line}")
 
 
-async def _partial(deployment: LocalDeployment) -> None:
+async def _run_partial_query(deployment: LocalDeployment) -> None:
     print("\nA query after 10 of the 15 cutting servers were lost")
     cutting = [s for s in deployment.servers if s.service.name == "cutting"]
     for server in cutting[:10]:
@@ -78,20 +80,20 @@
         "query",
         {"body": {"pattern": "armband"}, "minimum_coverage": 0.1},
     )
-    _show(f"cutting: {status}", answer)
+    _print_answer(f"cutting: {status}", answer)
 
 
-async def _refusal(deployment: LocalDeployment) -> None:
+async def _run_refused_queries(deployment: LocalDeployment) -> None:
     print("\nRefusals")
     status, answer = await deployment.call(
         "cutting", "query", {"body": {"pattern": "armband"}, "minimum_coverage": 1.0}
     )
-    _show(f"whole answer wanted: {status}", answer)
+    _print_answer(f"whole answer wanted: {status}", answer)
     status, answer = await deployment.call("cuting", "query", {"body": {}})
-    _show(f"misspelt service: {status}", answer)
+    _print_answer(f"misspelt service: {status}", answer)
 
 
-def _show(title: str, answer: dict[str, Any]) -> None:
+def _print_answer(title: str, answer: dict[str, Any]) -> None:
     print(f"  {title}")
     refusal = answer.get("refusal")
     if refusal is not None:
--- a/packages/cli/src/kingcuplug_cli/_explain.py
+++ b/packages/cli/src/kingcuplug_cli/_explain.py
@@ -19,10 +19,10 @@
 
 _US_PER_S = 1_000_000
 # Beliefs older than this are shown only if nothing newer replaced them.
-_RECENT_US = 30 * _US_PER_S
+_SERVER_EVENT_MAX_AGE_US = 30 * _US_PER_S
 _REQUEST_EVENTS = frozenset(("request", "request_failed", "gathered"))
 # The newest line of each of these before a request is what its host believed.
-_BELIEFS = (
+_HOST_STATE_EVENTS = (
     "started",
     "stopping",
     "routes_in_force",
@@ -35,53 +35,53 @@
     "gatherer_left",
 )
 _SERVER_EVENT = "server_learnt"
-_META = frozenset(
+_UNPRINTED_FIELDS = frozenset(
     ("event", "host", "time_us", "monotonic_us", "id", "calls", "gathered")
 )
 
-Line = dict[str, Any]
+LogLine = dict[str, Any]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Belief:
+class HostState:
     """A line that says what a host believed, and its age at the request."""
 
     age_ms: float
-    line: Line
+    line: LogLine
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Step:
+class TimelineEntry:
     """One line of the request and the beliefs behind it."""
 
-    line: Line
-    beliefs: tuple[Belief, ...]
+    line: LogLine
+    beliefs: tuple[HostState, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Story:
+class RequestTimeline:
     """All lines of one request, in order."""
 
     request_id: str
-    steps: tuple[Step, ...]
+    steps: tuple[TimelineEntry, ...]
     exit_code: ExitCode = ExitCode.DONE
 
     def lines(self) -> Iterator[str]:
         """Yield the story for people."""
         for step in self.steps:
             line = step.line
-            yield f"{line['host']}: {line['event']} {_fields(line)}"
+            yield f"{line['host']}: {line['event']} {_format_fields(line)}"
             for call in line.get("calls", ()):
-                yield f"  attempt {_fields(call)}"
+                yield f"  attempt {_format_fields(call)}"
             for gathering in line.get("gathered", ()):
-                yield f"  gathering {_fields(gathering)}"
+                yield f"  gathering {_format_fields(gathering)}"
             for belief in step.beliefs:
                 known = f"{belief.line['host']} {belief.line['event']}"
                 age = f"known for {belief.age_ms:.0f} ms"
-                yield f"  {age}: {known} {_fields(belief.line)}"
+                yield f"  {age}: {known} {_format_fields(belief.line)}"
 
 
-async def explain(request_id: str, files: tuple[str, ...]) -> Story:
+async def explain(request_id: str, files: tuple[str, ...]) -> RequestTimeline:
     """Return the story of one request.
 
     Parameters
@@ -89,15 +89,15 @@
     files : tuple of str
         Files of log lines, from any number of hosts.
     """
-    by_host: dict[str, list[Line]] = {}
+    by_host: dict[str, list[LogLine]] = {}
     for file in files:
-        for line in _read(file):
+        for line in _read_log_lines(file):
             by_host.setdefault(line["host"], []).append(line)
     for lines in by_host.values():
         lines.sort(key=lambda line: line["monotonic_us"])
     steps = [
-        Step(line, tuple(_beliefs(line, by_host)))
-        for line in _merged(by_host.values())
+        TimelineEntry(line, tuple(_host_states_before(line, by_host)))
+        for line in _merge_by_time(by_host.values())
         if line["event"] in _REQUEST_EVENTS and line.get("id") == request_id
     ]
     if not steps:
@@ -107,58 +107,66 @@
             "a rate, and the field suppressed counts what was left out",
             "NoSuchRequest",
         )
-    return Story(request_id, tuple(steps))
+    return RequestTimeline(request_id, tuple(steps))
 
 
-def _merged(groups: Iterable[list[Line]]) -> Iterator[Line]:
+def _merge_by_time(lines_by_host: Iterable[list[LogLine]]) -> Iterator[LogLine]:
     """Merge the hosts' lines by wall clock, keeping each host's own order.
 
     Wall clocks of hosts differ and may jump, but no line of a host is ever put
     before an earlier one of the same host.
     """
-    return heapq.merge(*map(_with_rising_time, groups), key=lambda line: line["at_us"])
+    return heapq.merge(
+        *map(_with_monotonic_time, lines_by_host), key=lambda line: line["at_us"]
+    )
 
 
-def _with_rising_time(lines: list[Line]) -> Iterator[Line]:
+def _with_monotonic_time(lines: list[LogLine]) -> Iterator[LogLine]:
     latest = 0
     for line in lines:
         latest = max(latest, line["time_us"])
         yield {**line, "at_us": latest}
 
 
-def _beliefs(request: Line, by_host: dict[str, list[Line]]) -> Iterator[Belief]:
+def _host_states_before(
+    request: LogLine, by_host: dict[str, list[LogLine]]
+) -> Iterator[HostState]:
     now_us = request["monotonic_us"]
-    newest: dict[str, Line] = {}
+    newest: dict[str, LogLine] = {}
     for line in by_host[request["host"]]:
         if line["monotonic_us"] > now_us:
             break
         if line["event"] == "started":
             newest.clear()  # A new process knows nothing of what the last one knew.
-        if line["event"] in _BELIEFS:
+        if line["event"] in _HOST_STATE_EVENTS:
             newest[line["event"]] = line
     for line in sorted(newest.values(), key=lambda line: line["monotonic_us"]):
-        yield Belief((now_us - line["monotonic_us"]) / 1_000, line)
-    yield from _servers(request, by_host)
+        yield HostState((now_us - line["monotonic_us"]) / 1_000, line)
+    yield from _recent_server_events(request, by_host)
 
 
-def _servers(request: Line, by_host: dict[str, list[Line]]) -> Iterator[Belief]:
+def _recent_server_events(
+    request: LogLine, by_host: dict[str, list[LogLine]]
+) -> Iterator[HostState]:
     """Yield what any host learnt lately of the servers that were asked."""
     asked = {call.get("server") for call in request.get("calls", ())}
     for lines in by_host.values():
         for line in lines:
             age_us = request["time_us"] - line["time_us"]
-            recent = -_US_PER_S < age_us < _RECENT_US
+            recent = -_US_PER_S < age_us < _SERVER_EVENT_MAX_AGE_US
             if line["event"] == _SERVER_EVENT and line["server"] in asked and recent:
-                yield Belief(age_us / 1_000, line)
+                yield HostState(age_us / 1_000, line)
 
 
-def _fields(line: Line) -> str:
+def _format_fields(line: LogLine) -> str:
     return " ".join(
-        f"{name}={value}" for name, value in line.items() if name not in _META
+        f"{name}={value}"
+        for name, value in line.items()
+        if name not in _UNPRINTED_FIELDS
     )
 
 
-def _read(file: str) -> Iterator[Line]:
+def _read_log_lines(file: str) -> Iterator[LogLine]:
     try:
         lines = Path(file).read_bytes().splitlines()
     except OSError as error:
--- a/packages/cli/src/kingcuplug_cli/_hosts.py
+++ b/packages/cli/src/kingcuplug_cli/_host_commands.py
@@ -8,11 +8,11 @@
 from kingcuplug_cli._connection import OperatorClient
 from kingcuplug_cli._results import ExitCode
 
-__all__ = ["drain", "hosts", "servers", "status"]
+__all__ = ["drain_host", "host_status", "list_hosts", "list_servers"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Hosts:
+class HostList:
     """Entry hosts with a running lease."""
 
     hosts: tuple[HostRow, ...]
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Servers:
+class ServerList:
     """Backend servers that the control host knows."""
 
     servers: tuple[ServerRow, ...]
@@ -59,7 +59,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Drained:
+class DrainResult:
     """The graceful shutdown of a host began."""
 
     host: str
@@ -90,25 +90,27 @@
             yield f"  {name}: {value}"
 
 
-async def hosts(client: OperatorClient) -> Hosts:
+async def list_hosts(client: OperatorClient) -> HostList:
     """Return the entry hosts with a running lease."""
     fields = await client.call("hosts/show")
-    return Hosts(tuple(HostRow(**row) for row in fields["hosts"]))
+    return HostList(tuple(HostRow(**row) for row in fields["hosts"]))
 
 
-async def servers(client: OperatorClient, service: str | None = None) -> Servers:
+async def list_servers(
+    client: OperatorClient, service: str | None = None
+) -> ServerList:
     """Return the backend servers, of one service or all."""
     fields = await client.call("servers/show")
     rows = (ServerRow(**row) for row in fields["servers"])
-    return Servers(tuple(r for r in rows if service is None or r.service == service))
+    return ServerList(tuple(r for r in rows if service is None or r.service == service))
 
 
-async def drain(client: OperatorClient) -> Drained:
+async def drain_host(client: OperatorClient) -> DrainResult:
     """Begin the graceful shutdown of the host that is asked."""
-    fields = await client.call("drain", changes=True)
-    return Drained(client.host, fields["in_flight"])
+    fields = await client.call("drain", mutating=True)
+    return DrainResult(client.host, fields["in_flight"])
 
 
-async def status(client: OperatorClient) -> HostStatus:
+async def host_status(client: OperatorClient) -> HostStatus:
     """Return state and counters of the host that is asked."""
     return HostStatus(await client.call("status"))
--- a/packages/cli/src/kingcuplug_cli/_invocation.py
+++ b/packages/cli/src/kingcuplug_cli/_invocation.py
@@ -10,10 +10,10 @@
 import fire
 from kingcuplug_common import KingcuplugError
 
-from kingcuplug_cli._connection import OperatorClient, connection_of
+from kingcuplug_cli._connection import OperatorClient, load_connection
 from kingcuplug_cli._results import ExitCode, Result
 
-__all__ = ["Invocation", "Program", "plain_texts", "spell_switches"]
+__all__ = ["Invocation", "InvocationFactory", "add_switch_values", "parse_as_strings"]
 
 _SWITCHES = frozenset(("--json", "--wait", "--raw"))
 
@@ -32,14 +32,14 @@
         Whether the result is printed as JSON.
     """
 
-    def __init__(self, work: Callable[[], Awaitable[Result]], as_json: bool) -> None:
-        self._work = work
+    def __init__(self, command: Callable[[], Awaitable[Result]], as_json: bool) -> None:
+        self._command = command
         self._as_json = as_json
 
     def _run(self) -> int:
         """Run the command, print its result and return the exit code."""
         try:
-            result = asyncio.run(self._result())
+            result = asyncio.run(self._await_command())
         except KingcuplugError as error:
             code = getattr(error, "exit_code", ExitCode.REFUSED)
             print(self._error_text(error, code), file=sys.stderr)
@@ -55,8 +55,8 @@
                 print(line)
         return int(result.exit_code)
 
-    async def _result(self) -> Result:
-        return await self._work()
+    async def _await_command(self) -> Result:
+        return await self._command()
 
     def _error_text(self, error: KingcuplugError, code: ExitCode) -> str:
         if not self._as_json:
@@ -71,7 +71,7 @@
         return json.dumps(fields, indent=2)
 
 
-class Program:
+class InvocationFactory:
     """The connection options and the form of the output.
 
     Parameters
@@ -86,7 +86,7 @@
         self._options = options
         self._as_json = as_json
 
-    def local(
+    def local_invocation(
         self,
         function: Callable[_Parameters, Awaitable[Result]],
         *args: _Parameters.args,
@@ -95,7 +95,7 @@
         """Return the invocation of a command that needs no host."""
         return Invocation(lambda: function(*args, **kwargs), self._as_json)
 
-    def remote(
+    def remote_invocation(
         self,
         function: Callable[Concatenate[OperatorClient, _Parameters], Awaitable[Result]],
         *args: _Parameters.args,
@@ -104,13 +104,13 @@
         """Return the invocation of a command that asks a host."""
 
         async def work() -> Result:
-            client = OperatorClient(connection_of(self._options))
+            client = OperatorClient(load_connection(self._options))
             return await function(client, *args, **kwargs)
 
         return Invocation(work, self._as_json)
 
 
-def plain_texts(*names: str) -> Callable[[_Function], _Function]:
+def parse_as_strings(*names: str) -> Callable[[_Function], _Function]:
     """Take arguments as texts, where fire would read numbers or lists."""
 
     def decorate(function: _Function) -> _Function:
@@ -120,7 +120,7 @@
     return decorate
 
 
-def spell_switches(arguments: Sequence[str]) -> list[str]:
+def add_switch_values(arguments: Sequence[str]) -> list[str]:
     """Return the arguments with a value for each switch.
 
     Otherwise fire would take a word that follows a switch as its value.
--- a/packages/cli/src/kingcuplug_cli/_local.py
+++ b/packages/cli/src/kingcuplug_cli/_local.py
@@ -23,7 +23,7 @@
 __all__ = ["LocalDeployment", "Sizes", "load_sizes"]
 
 _READY_TIMEOUT_S = 30.0
-_POLL_S = 0.05
+_POLL_INTERVAL_S = 0.05
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -101,7 +101,7 @@
 
     def __init__(
         self,
-        sizes: Sizes,
+        spec: Sizes,
         entry_hosts: int = 3,
         control_hosts: int = 3,
         seed: int = 1,
@@ -113,23 +113,25 @@
         host_fields: dict[str, Any] | None = None,
         tls: TlsSettings | None = None,
     ) -> None:
-        self.sizes = sizes
+        self.spec = spec
         self.hosts: list[Host] = []
         self.servers: list[StandIn] = []
         self.journal = Journal()
-        self._temporary = None if folder else tempfile.TemporaryDirectory()
-        self._folder = folder or Path(str(self._temporary and self._temporary.name))
+        self._temporary_folder = None if folder else tempfile.TemporaryDirectory()
+        self._folder = folder or Path(
+            str(self._temporary_folder and self._temporary_folder.name)
+        )
         self._entry_hosts = entry_hosts
         self._control_hosts = control_hosts
         self._seed = seed
         self._routing_policy = routing_policy
-        self._token = operator_token
+        self._operator_token = operator_token
         self._tls = tls
         self._scheme = "http" if tls is None else "https"
         self._log_settings = log_settings
         self._membership_settings = membership_settings
         self._host_fields = host_fields or {}
-        self._turn = 0
+        self._next_entry_index = 0
         self._seeds: tuple[str, ...] = ()
         self._http: aiohttp.ClientSession | None = None
 
@@ -137,14 +139,14 @@
 
     async def start(self, text: str) -> int:
         """Start everything, apply the text and return its revision."""
-        await self.start_control()
+        await self.start_control_hosts()
         revision = await self.apply(text, 0)
-        await self.start_entries()
+        await self.start_entry_hosts()
         await self.start_servers()
         await self.wait_ready()
         return revision
 
-    async def start_control(self) -> None:
+    async def start_control_hosts(self) -> None:
         """Start the control hosts and bootstrap the log."""
         self.hosts += [self.make_host(n) for n in range(self._control_hosts)]
         self._seeds = tuple(host.peer_address for host in self.hosts)
@@ -154,12 +156,14 @@
             )
             await host.start()
         first = self.hosts[0]
-        await self.operate(first, "control/bootstrap", {})
-        await self._until(self._has_leader)
+        await self.call_operator(first, "control/bootstrap", {})
+        await self._poll_until(self._has_leader)
         for host in self.hosts[1:]:
-            await self.operate(first, "control/add", {"address": host.peer_address})
+            await self.call_operator(
+                first, "control/add", {"address": host.peer_address}
+            )
 
-    async def start_entries(self) -> None:
+    async def start_entry_hosts(self) -> None:
         """Start the hosts that have the entry role only."""
         for number in range(self._control_hosts, self._entry_hosts):
             host = self.make_host(number)
@@ -168,7 +172,7 @@
 
     async def start_servers(self, snapshot: int = 1) -> None:
         """Start all stand-ins, holding one snapshot."""
-        for group in self.sizes.groups:
+        for group in self.spec.groups:
             for name in group.services:
                 self.servers += self._make_servers(group, name, snapshot)
         await asyncio.gather(*(server.start() for server in self.servers))
@@ -179,8 +183,8 @@
         await asyncio.gather(*(host.stop(grace_ms=0) for host in self.hosts))
         if self._http is not None:
             await self._http.close()
-        if self._temporary is not None:
-            self._temporary.cleanup()
+        if self._temporary_folder is not None:
+            self._temporary_folder.cleanup()
 
     def make_host(self, number: int) -> Host:
         """Return a host that is not started; the same number, the same disk."""
@@ -189,7 +193,7 @@
             roles.append("control")
         if number < self._entry_hosts:
             roles.append("entry")
-        zones = self.sizes.availability_zones
+        zones = self.spec.availability_zones
         name = f"host-{number + 1:02}"
         known = self.hosts[number] if number < len(self.hosts) else None
         fields = {
@@ -200,7 +204,7 @@
             "peer_address": known.peer_address if known else "127.0.0.1:0",
             "data_folder": self._folder / name if "control" in roles else None,
             "control_seeds": self._seeds,
-            "operator_token_file": self._token_file(),
+            "operator_token_file": self._write_token_file(),
             "caller_tls": self._tls,
             "peer_tls": self._tls,
             "backend_tls": self._tls,
@@ -212,18 +216,18 @@
             self._membership_settings,
         )
 
-    def _token_file(self) -> Path | None:
-        if self._token is None:
+    def _write_token_file(self) -> Path | None:
+        if self._operator_token is None:
             return None
         path = self._folder / "operator-token"
-        path.write_text(self._token)
+        path.write_text(self._operator_token)
         return path
 
     def _make_servers(self, group: Group, name: str, snapshot: int) -> list[StandIn]:
         service = StandInService(
             name, group.slots, group.connections, group.connection_cost_ms
         )
-        zones = self.sizes.availability_zones
+        zones = self.spec.availability_zones
         return [
             StandIn(
                 f"{name}-s{number}",
@@ -231,7 +235,7 @@
                 zones[number % len(zones)],
                 {snapshot: (group.shard_count, shards_of(group, number))},
                 self.journal,
-                self.balancer,
+                self.next_entry_url,
                 seed=self._seed * 1_000_003 + len(self.servers) + number,
                 tls=self._tls,
             )
@@ -240,13 +244,16 @@
 
     # Callers and operators
 
-    def balancer(self) -> str:
+    def next_entry_url(self) -> str:
         """Return the base URL of the next ready entry host."""
         entries = [
             host for host in self.hosts if host.entry and not host.lifecycle.draining
         ]
-        self._turn += 1
-        return f"{self._scheme}://{entries[self._turn % len(entries)].caller_address}"
+        self._next_entry_index += 1
+        return (
+            f"{self._scheme}://"
+            f"{entries[self._next_entry_index % len(entries)].caller_address}"
+        )
 
     @property
     def http(self) -> aiohttp.ClientSession:
@@ -264,15 +271,19 @@
         self, service: str, kind: str, fields: dict[str, Any], base: str | None = None
     ) -> tuple[int, dict[str, Any]]:
         """Send a request as a caller; return HTTP status and answer."""
-        url = f"{base or self.balancer()}/v1/services/{service}/{kind}"
+        url = f"{base or self.next_entry_url()}/v1/services/{service}/{kind}"
         async with self.http.post(url, json=fields) as response:
             return response.status, await response.json()
 
-    async def operate(
+    async def call_operator(
         self, host: Host, path: str, fields: dict[str, Any]
     ) -> dict[str, Any]:
         """Call an operator's endpoint and return its answer."""
-        headers = {"Authorization": f"Bearer {self._token}"} if self._token else {}
+        headers = (
+            {"Authorization": f"Bearer {self._operator_token}"}
+            if self._operator_token
+            else {}
+        )
         url = f"{self._scheme}://{host.caller_address}/v1/operator/{path}"
         async with self.http.post(url, json=fields, headers=headers) as response:
             answer = await response.json()
@@ -282,7 +293,7 @@
 
     async def apply(self, text: str, base_revision: int) -> int:
         """Apply a configuration text and return its revision."""
-        answer = await self.operate(
+        answer = await self.call_operator(
             self.hosts[0],
             "configuration",
             {
@@ -298,13 +309,13 @@
 
     async def wait_ready(self) -> None:
         """Wait until every entry host is ready and knows all stand-ins."""
-        await self._until(self._all_ready)
+        await self._poll_until(self._is_ready)
 
     async def _has_leader(self) -> bool:
         control = self.hosts[0].control
         return control is not None and control.replica.status().lease_valid
 
-    async def _all_ready(self) -> bool:
+    async def _is_ready(self) -> bool:
         for host in self.hosts:
             if host.entry is None:
                 continue
@@ -312,11 +323,11 @@
             async with self.http.get(url) as response:
                 if response.status != 200:
                     return False
-            if not self._knows_all(host):
+            if not self._has_all_servers(host):
                 return False
         return True
 
-    def _knows_all(self, host: Host) -> bool:
+    def _has_all_servers(self, host: Host) -> bool:
         assert host.entry is not None
         directory = host.entry.session.directory
         known = {
@@ -328,11 +339,11 @@
         return all(server.name in known for server in self.servers if server.running)
 
     @staticmethod
-    async def _until(condition: Callable[[], Any]) -> None:
+    async def _poll_until(condition: Callable[[], Any]) -> None:
         async with asyncio.timeout(_READY_TIMEOUT_S):
             # Readiness is asked over HTTP, so there is no event to wait for.
             while not await condition():  # noqa: ASYNC110
-                await asyncio.sleep(_POLL_S)
+                await asyncio.sleep(_POLL_INTERVAL_S)
 
 
 def shards_of(group: Group, number: int) -> tuple[int, ...]:
--- a/packages/cli/src/kingcuplug_cli/_main.py
+++ b/packages/cli/src/kingcuplug_cli/_main.py
@@ -8,9 +8,7 @@
 import fire
 
 from kingcuplug_cli._bench import Bench
-from kingcuplug_cli._demo import run_demo
-from kingcuplug_cli._explain import explain
-from kingcuplug_cli._groups import (
+from kingcuplug_cli._command_groups import (
     ConfigCommands,
     ControlCommands,
     KeyCommands,
@@ -18,8 +16,20 @@
     ReceiptCommands,
     TraceCommands,
 )
-from kingcuplug_cli._hosts import drain, hosts, servers, status
-from kingcuplug_cli._invocation import Invocation, Program, plain_texts, spell_switches
+from kingcuplug_cli._demo import run_demo
+from kingcuplug_cli._explain import explain
+from kingcuplug_cli._host_commands import (
+    drain_host,
+    host_status,
+    list_hosts,
+    list_servers,
+)
+from kingcuplug_cli._invocation import (
+    Invocation,
+    InvocationFactory,
+    add_switch_values,
+    parse_as_strings,
+)
 from kingcuplug_cli._soak import Soak
 
 __all__ = ["main"]
@@ -51,13 +61,13 @@
         json: bool = False,
     ) -> None:
         options = {"host": host, "token_file": token_file, "ca_file": ca_file}
-        self._program = Program(options, json)
-        self.config = ConfigCommands(self._program)
-        self.control = ControlCommands(self._program)
-        self.keys = KeyCommands(self._program)
-        self.orders = OrderCommands(self._program)
-        self.receipt = ReceiptCommands(self._program)
-        self.trace = TraceCommands(self._program)
+        self._invocations = InvocationFactory(options, json)
+        self.config = ConfigCommands(self._invocations)
+        self.control = ControlCommands(self._invocations)
+        self.keys = KeyCommands(self._invocations)
+        self.orders = OrderCommands(self._invocations)
+        self.receipt = ReceiptCommands(self._invocations)
+        self.trace = TraceCommands(self._invocations)
 
     bench = Bench
     soak = Soak
@@ -68,28 +78,28 @@
 
     def drain(self) -> Invocation:
         """Shut the asked host down gracefully."""
-        return self._program.remote(drain)
+        return self._invocations.remote_invocation(drain_host)
 
-    @plain_texts("request_id")
+    @parse_as_strings("request_id")
     def explain(self, request_id: str, *files: str) -> Invocation:
         """Tell the story of one request from the hosts' log files."""
-        return self._program.local(explain, request_id, files)
+        return self._invocations.local_invocation(explain, request_id, files)
 
     def hosts(self) -> Invocation:
         """List the entry hosts with a running lease."""
-        return self._program.remote(hosts)
+        return self._invocations.remote_invocation(list_hosts)
 
-    @plain_texts("service")
+    @parse_as_strings("service")
     def servers(self, service: str | None = None) -> Invocation:
         """List the backend servers, of one service or all."""
-        return self._program.remote(servers, service)
+        return self._invocations.remote_invocation(list_servers, service)
 
     def status(self) -> Invocation:
         """Show state and counters of the asked host."""
-        return self._program.remote(status)
+        return self._invocations.remote_invocation(host_status)
 
 
-plain_texts("host", "token_file", "ca_file")(Commands.__init__)
+parse_as_strings("host", "token_file", "ca_file")(Commands.__init__)
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
@@ -101,7 +111,7 @@
     # misspelt option does not follow a change that was already made.
     result = fire.Fire(
         Commands,
-        command=spell_switches(given),
+        command=add_switch_values(given),
         name="kingcuplug",
         serialize=lambda value: None if isinstance(value, Invocation) else value,
     )
--- a/packages/cli/src/kingcuplug_cli/_records.py
+++ b/packages/cli/src/kingcuplug_cli/_order_receipt_commands.py
@@ -9,7 +9,7 @@
 import orjson
 from kingcuplug_common import Receipt, ReceiptInvalid, Verifier, digest
 
-from kingcuplug_cli._config_results import time_text
+from kingcuplug_cli._config_results import format_time
 from kingcuplug_cli._connection import OperatorClient
 from kingcuplug_cli._results import CommandRefused, ExitCode, WrongUsage
 
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Order:
+class OrderRecord:
     """What the ledger knows of an order."""
 
     key: str
@@ -48,7 +48,7 @@
     def lines(self) -> Iterator[str]:
         """Yield what the receipt proves."""
         receipt = self.receipt
-        yield f"valid: signed by {self.key_host}, {time_text(receipt.time_ms)}"
+        yield f"valid: signed by {self.key_host}, {format_time(receipt.time_ms)}"
         yield f"  request {receipt.request_id} to {receipt.service}: {receipt.outcome}"
         if receipt.snapshot is not None:
             yield f"  snapshot {receipt.snapshot}, coverage {receipt.coverage}"
@@ -70,7 +70,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Keys:
+class KeyList:
     """All public keys, retired ones included, the oldest first."""
 
     keys: tuple[KeyRow, ...]
@@ -79,11 +79,11 @@
     def lines(self) -> Iterator[str]:
         """Yield one line per key."""
         for key in self.keys:
-            yield f"{key.key_id}  {key.host}  since {time_text(key.time_ms)}"
+            yield f"{key.key_id}  {key.host}  since {format_time(key.time_ms)}"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Rotated:
+class RotateResult:
     """The key with which a host signs from now on."""
 
     key_id: str
@@ -94,22 +94,22 @@
         yield f"receipts are signed with key {self.key_id} from now on"
 
 
-async def show_order(client: OperatorClient, key: str) -> Order:
+async def show_order(client: OperatorClient, key: str) -> OrderRecord:
     """Return what the ledger knows of an order."""
     fields = await client.call("orders/show", {"key": key})
-    return Order(fields["key"], fields["state"], fields["explanation"])
+    return OrderRecord(fields["key"], fields["state"], fields["explanation"])
 
 
-async def list_keys(client: OperatorClient) -> Keys:
+async def list_keys(client: OperatorClient) -> KeyList:
     """Return all public keys."""
     fields = await client.call("keys/show")
-    return Keys(tuple(KeyRow(**row) for row in fields["keys"]))
+    return KeyList(tuple(KeyRow(**row) for row in fields["keys"]))
 
 
-async def rotate_key(client: OperatorClient) -> Rotated:
+async def rotate_key(client: OperatorClient) -> RotateResult:
     """Let the asked host sign with a new key."""
-    fields = await client.call("keys/rotate", changes=True)
-    return Rotated(fields["key_id"])
+    fields = await client.call("keys/rotate", mutating=True)
+    return RotateResult(fields["key_id"])
 
 
 async def verify_receipt(client: OperatorClient, file: str) -> VerifiedReceipt:
@@ -120,7 +120,7 @@
     file : str
         A receipt or a whole answer as JSON; ``-`` reads standard input.
     """
-    content = _read_json(file)
+    content = _read_json_object(file)
     answer = content if isinstance(content.get("receipt"), dict) else None
     signed = content if answer is None else answer["receipt"]
     keys = (await list_keys(client)).keys
@@ -130,12 +130,12 @@
     except ReceiptInvalid as error:
         raise CommandRefused(error.message, error.remedy, "ReceiptInvalid") from error
     if answer is not None:
-        _compare(answer, receipt)
+        _require_matching_answer(answer, receipt)
     hosts = {key.key_id: key.host for key in keys}
     return VerifiedReceipt(receipt, hosts[signed["key_id"]], answer is not None)
 
 
-def _compare(answer: dict[str, Any], receipt: Receipt) -> None:
+def _require_matching_answer(answer: dict[str, Any], receipt: Receipt) -> None:
     refusal = answer.get("refusal")
     if isinstance(refusal, dict):
         told = digest(refusal.get("reason"))
@@ -156,7 +156,7 @@
         )
 
 
-def _read_json(file: str) -> dict[str, Any]:
+def _read_json_object(file: str) -> dict[str, Any]:
     try:
         raw = sys.stdin.buffer.read() if file == "-" else Path(file).read_bytes()
         content = orjson.loads(raw)
--- a/packages/cli/src/kingcuplug_cli/_soak.py
+++ b/packages/cli/src/kingcuplug_cli/_soak.py
@@ -9,8 +9,10 @@
 
 __all__ = ["Soak"]
 
-_RESULTS = Path("soak-results.jsonl")
-_JOBS = 3  # A soak starts a handful of processes; more at once slow each other down.
+_RESULTS_FILE = Path("soak-results.jsonl")
+_PARALLEL_RUNS = (
+    3  # A soak starts a handful of processes; more at once slow each other down.
+)
 
 
 class Soak:
@@ -26,11 +28,11 @@
         duration_s: float = 12.0,
         hosts: int = 5,
         disks: int = 3,
-        results: str = str(_RESULTS),
+        results: str = str(_RESULTS_FILE),
     ) -> None:
         """Run consecutive seeds, three at a time."""
         failed = asyncio.run(
-            _run_all(
+            _run_seeds(
                 range(first, first + seeds), duration_s, hosts, disks, Path(results)
             )
         )
@@ -45,11 +47,11 @@
         Path(folder).mkdir(parents=True, exist_ok=True)
         settings = SoakSettings(seed, duration_s, hosts, folder=Path(folder))
         outcome = asyncio.run(soak(settings))
-        _print(dataclasses.asdict(outcome))
+        _print_run(dataclasses.asdict(outcome))
         print("\n".join(outcome.troubles))
         sys.exit(1 if outcome.violations else 0)
 
-    def report(self, results: str = str(_RESULTS)) -> None:
+    def report(self, results: str = str(_RESULTS_FILE)) -> None:
         """Sum up the results so far."""
         lines = [orjson.loads(line) for line in Path(results).read_bytes().splitlines()]
         failed = [line for line in lines if line["violations"]]
@@ -58,15 +60,15 @@
         print(f"{len(lines)} runs, {len(failed)} with violations")
         print(f"{served} of {asked} requests served")
         for line in failed:
-            _print(line)
+            _print_run(line)
 
 
-async def _run_all(
+async def _run_seeds(
     seeds: range, duration_s: float, hosts: int, disks: int, results: Path
 ) -> int:
     from kingcuplug_soak import SoakSettings, soak
 
-    gate = asyncio.Semaphore(_JOBS)
+    gate = asyncio.Semaphore(_PARALLEL_RUNS)
     failed = 0
 
     async def one(seed: int) -> None:
@@ -77,13 +79,13 @@
         failed += bool(outcome.violations)
         with results.open("ab") as file:
             file.write(orjson.dumps(line, option=orjson.OPT_APPEND_NEWLINE))
-        _print(line)
+        _print_run(line)
 
     await asyncio.gather(*map(one, seeds))
     return failed
 
 
-def _print(line: dict[str, object]) -> None:
+def _print_run(line: dict[str, object]) -> None:
     violations = line["violations"]
     assert isinstance(violations, list)
     print(
--- a/packages/cli/src/kingcuplug_cli/_standin.py
+++ b/packages/cli/src/kingcuplug_cli/_standin.py
@@ -18,9 +18,9 @@
 
 __all__ = ["Behaviour", "Journal", "StandIn", "StandInService", "expected_value"]
 
-_MILLISECONDS = 1_000
+_MS_PER_S = 1_000
 _RENEW_INTERVAL_S = 0.5
-_ANNOUNCE_RETRY_S = 0.2
+_ANNOUNCE_RETRY_INTERVAL_S = 0.2
 _REQUEST_TIMEOUT_S = 1.0
 CRASH_MARKER = "crash-the-server"
 
@@ -126,8 +126,8 @@
         service: StandInService,
         availability_zone: str,
         holdings: dict[int, tuple[int, tuple[int, ...]]],
-        journal: Journal,
-        balancer: Callable[[], str],
+        execution_counts: Journal,
+        entry_url: Callable[[], str],
         seed: int,
         announce_token: str | None = None,
         tls: TlsSettings | None = None,
@@ -140,8 +140,8 @@
         self.behaviour = Behaviour()
         self.latency_of = latency_of
         self.last_new_work = 0.0
-        self._journal = journal
-        self._balancer = balancer
+        self._execution_counts = execution_counts
+        self._entry_url = entry_url
         self._random = random.Random(seed)
         self._token = announce_token
         self._tls = tls
@@ -149,14 +149,14 @@
         self._sequence = 0
         self._state = "serving"
         self._slots = asyncio.Semaphore(service.slots)
-        self._in_service = 0
-        self._waiting = 0
+        self._executing = 0
+        self._queued = 0
         self._known_connections: set[tuple[str, int]] = set()
         self._attempts: dict[str, asyncio.Task[Any]] = {}
         self._listener: Listener | None = None
-        self._announcer: asyncio.Task[None] | None = None
-        self._started = 0.0
-        self._announce_now = asyncio.Event()
+        self._announce_task: asyncio.Task[None] | None = None
+        self._started_at = 0.0
+        self._announcement_changed = asyncio.Event()
         self._address = "127.0.0.1:0"
 
     @property
@@ -175,18 +175,18 @@
         self._sequence = 0
         self._state = "serving"
         self._slots = asyncio.Semaphore(self.service.slots)
-        self._in_service = self._waiting = 0
+        self._executing = self._queued = 0
         self._known_connections.clear()
-        self._started = asyncio.get_running_loop().time()
-        self._listener = Listener(self._application, self._address, self._tls)
+        self._started_at = asyncio.get_running_loop().time()
+        self._listener = Listener(self._asgi_application, self._address, self._tls)
         self._address = self._listener.address
         await self._listener.start()
-        self._announcer = asyncio.create_task(self._announce())
+        self._announce_task = asyncio.create_task(self._keep_announced())
 
     async def stop(self) -> None:
         """Withdraw, finish the work in flight and stop."""
         await self.withdraw()
-        await self._end_announcer()
+        await self._stop_announcing()
         if self._listener is not None:
             listener, self._listener = self._listener, None
             await listener.stop()
@@ -199,32 +199,32 @@
         listener.abort()
         for task in list(self._attempts.values()):
             task.cancel()
-        await self._end_announcer()
+        await self._stop_announcing()
 
     def drain(self) -> None:
         """Ask for no new work; what is in flight goes on."""
         self._state = "draining"
-        self._announce_now.set()
+        self._announcement_changed.set()
 
     async def withdraw(self) -> None:
         """Say goodbye."""
         self._state = "withdrawn"
-        self._announce_now.set()
+        self._announcement_changed.set()
         await asyncio.sleep(0)
 
     def hold(self, holdings: dict[int, tuple[int, tuple[int, ...]]]) -> None:
         """Change the held snapshots."""
         self.holdings = holdings
-        self._announce_now.set()
+        self._announcement_changed.set()
 
-    async def _end_announcer(self) -> None:
-        if self._announcer is None:
+    async def _stop_announcing(self) -> None:
+        if self._announce_task is None:
             return
         if self._state == "withdrawn":
-            await asyncio.wait({self._announcer}, timeout=_REQUEST_TIMEOUT_S)
-        self._announcer.cancel()
-        await asyncio.gather(self._announcer, return_exceptions=True)
-        self._announcer = None
+            await asyncio.wait({self._announce_task}, timeout=_REQUEST_TIMEOUT_S)
+        self._announce_task.cancel()
+        await asyncio.gather(self._announce_task, return_exceptions=True)
+        self._announce_task = None
 
     def _announcement(self) -> dict[str, Any]:
         self._sequence += 1
@@ -244,7 +244,7 @@
             ],
         }
 
-    async def _announce(self) -> None:
+    async def _keep_announced(self) -> None:
         headers = {"Authorization": f"Bearer {self._token}"} if self._token else {}
         timeout = aiohttp.ClientTimeout(total=_REQUEST_TIMEOUT_S)
         async with aiohttp.ClientSession(
@@ -253,18 +253,18 @@
             connector=aiohttp.TCPConnector(ssl=client_context(self._tls) or True),
         ) as session:
             while True:
-                self._announce_now.clear()
+                self._announcement_changed.clear()
                 state = self._state
-                renew_at = await self._try_announce(session)
-                if renew_at is None:
-                    await asyncio.sleep(_ANNOUNCE_RETRY_S)
+                renew_address = await self._try_announce(session)
+                if renew_address is None:
+                    await asyncio.sleep(_ANNOUNCE_RETRY_INTERVAL_S)
                     continue
                 if state == "withdrawn":
                     return
-                await self._renew(session, renew_at)
+                await self._renew_lease(session, renew_address)
 
     async def _try_announce(self, session: aiohttp.ClientSession) -> str | None:
-        url = f"{self._balancer()}/v1/servers/announce"
+        url = f"{self._entry_url()}/v1/servers/announce"
         try:
             async with session.post(url, json=self._announcement()) as response:
                 if response.status != 200:
@@ -274,10 +274,12 @@
         except (aiohttp.ClientError, TimeoutError, KeyError):
             return None
 
-    async def _renew(self, session: aiohttp.ClientSession, renew_at: str) -> None:
+    async def _renew_lease(
+        self, session: aiohttp.ClientSession, renew_address: str
+    ) -> None:
         """Renew until the lease is lost or something changed."""
         scheme = "http" if self._tls is None else "https"
-        url = f"{scheme}://{renew_at}/v1/servers/renew"
+        url = f"{scheme}://{renew_address}/v1/servers/renew"
         fields = {
             "server": self.name,
             "incarnation": self._incarnation,
@@ -286,7 +288,7 @@
         while True:
             try:
                 async with asyncio.timeout(_RENEW_INTERVAL_S):
-                    await self._announce_now.wait()
+                    await self._announcement_changed.wait()
                 return
             except TimeoutError:
                 pass
@@ -297,45 +299,47 @@
             except (aiohttp.ClientError, TimeoutError):
                 return
 
-    async def _application(self, scope: Any, receive: Any, send: Any) -> None:
+    async def _asgi_application(self, scope: Any, receive: Any, send: Any) -> None:
         if scope["type"] != "http":
             return
         body = await _read_body(receive)
         path = scope["path"]
         if path == "/sub-request":
-            await self._pay_connection(scope["client"])
-            latency_s = self.latency_of(scope["client"][0]) / _MILLISECONDS
-            reply = await self._sub_request(orjson.loads(body), latency_s)
+            await self._delay_new_connection(scope["client"])
+            latency_s = self.latency_of(scope["client"][0]) / _MS_PER_S
+            reply = await self._handle_sub_request(orjson.loads(body), latency_s)
         elif path == "/cancel":
-            reply = self._cancel(orjson.loads(body))
+            reply = self._cancel_attempt(orjson.loads(body))
         elif path == "/load":
-            reply = {"load": self._load()}
+            reply = {"load": self._current_load()}
         else:
             reply = {"state": self._state}
         if self._listener is not None:
-            await _reply(send, reply)
+            await _send_response(send, reply)
 
-    async def _pay_connection(self, client: tuple[str, int]) -> None:
+    async def _delay_new_connection(self, client: tuple[str, int]) -> None:
         if client in self._known_connections:
             return
         self._known_connections.add(client)
-        self._journal.totals["connections"] += 1
-        await asyncio.sleep(self.service.connection_cost_ms / _MILLISECONDS)
+        self._execution_counts.totals["connections"] += 1
+        await asyncio.sleep(self.service.connection_cost_ms / _MS_PER_S)
 
-    def _load(self) -> float:
+    def _current_load(self) -> float:
         if self.behaviour.reported_load is not None:
             return self.behaviour.reported_load
-        return self._in_service / self.service.slots
+        return self._executing / self.service.slots
 
-    def _cancel(self, fields: dict[str, Any]) -> dict[str, Any]:
+    def _cancel_attempt(self, fields: dict[str, Any]) -> dict[str, Any]:
         task = self._attempts.get(fields.get("attempt_id", ""))
         if task is not None:
             task.cancel()
         return {"cancelled": task is not None}
 
-    async def _sub_request(self, fields: dict[str, Any], latency_s: float) -> Any:
-        self._journal.received[fields["request_id"]] += 1
-        self._journal.totals["received"] += 1
+    async def _handle_sub_request(
+        self, fields: dict[str, Any], latency_s: float
+    ) -> Any:
+        self._execution_counts.received[fields["request_id"]] += 1
+        self._execution_counts.totals["received"] += 1
         self.last_new_work = asyncio.get_running_loop().time()
         await asyncio.sleep(latency_s)
         echo = {
@@ -347,15 +351,15 @@
             return echo | {"status": "snapshot_gone"}
         if fields["shard"] not in held[1]:
             return echo | {"status": "snapshot_gone"}
-        if self._state == "withdrawn" or self._waiting >= self.behaviour.queue_limit:
-            self._journal.totals["shed"] += 1
+        if self._state == "withdrawn" or self._queued >= self.behaviour.queue_limit:
+            self._execution_counts.totals["shed"] += 1
             return echo | {"status": "shed"}
-        task = asyncio.ensure_future(self._execute(fields))
+        task = asyncio.ensure_future(self._execute_in_slot(fields))
         self._attempts[fields["attempt_id"]] = task
         try:
             reply = echo | await task
         except asyncio.CancelledError:
-            self._journal.totals["cancelled"] += 1
+            self._execution_counts.totals["cancelled"] += 1
             reply = echo | {"status": "failed"}
         finally:
             del self._attempts[fields["attempt_id"]]
@@ -364,35 +368,35 @@
             return self.behaviour.reply_corruption(reply)
         return reply
 
-    async def _execute(self, fields: dict[str, Any]) -> dict[str, Any]:
-        self._waiting += 1
+    async def _execute_in_slot(self, fields: dict[str, Any]) -> dict[str, Any]:
+        self._queued += 1
         try:
-            async with asyncio.timeout(fields["deadline_ms"] / _MILLISECONDS):
+            async with asyncio.timeout(fields["deadline_ms"] / _MS_PER_S):
                 await self._slots.acquire()
         except TimeoutError:
-            self._journal.totals["expired"] += 1
+            self._execution_counts.totals["expired"] += 1
             return {"status": "not_run"}
         finally:
-            self._waiting -= 1
-        self._in_service += 1
+            self._queued -= 1
+        self._executing += 1
         try:
-            return await self._serve(fields)
+            return await self._execute(fields)
         finally:
-            self._in_service -= 1
+            self._executing -= 1
             self._slots.release()
 
-    async def _serve(self, fields: dict[str, Any]) -> dict[str, Any]:
+    async def _execute(self, fields: dict[str, Any]) -> dict[str, Any]:
         body = fields["body"]
-        self._journal.started[fields["request_id"]] += 1
+        self._execution_counts.started[fields["request_id"]] += 1
         if isinstance(body, dict) and body.get(CRASH_MARKER):
-            self._journal.crashed_by[digest(body)] += 1
+            self._execution_counts.crashed_by[digest(body)] += 1
             asyncio.get_running_loop().create_task(self.crash())
             await asyncio.sleep(_REQUEST_TIMEOUT_S)
         if fields["kind"] == "order":
-            self._journal.orders[fields["idempotency_key"]] += 1
-        await asyncio.sleep(self._service_time_ms() / _MILLISECONDS)
-        self._journal.executed[fields["request_id"]] += 1
-        self._journal.totals["executed"] += 1
+            self._execution_counts.orders[fields["idempotency_key"]] += 1
+        await asyncio.sleep(self._service_time_ms() / _MS_PER_S)
+        self._execution_counts.executed[fields["request_id"]] += 1
+        self._execution_counts.totals["executed"] += 1
         value = expected_value(
             fields["service"], fields["snapshot"], fields["shard"], body
         )
@@ -405,12 +409,12 @@
         )
         if self._random.random() < behaviour.straggle_share:
             time_ms *= behaviour.straggle_factor
-        return time_ms * behaviour.slow_factor * self._cold_factor()
+        return time_ms * behaviour.slow_factor * self._cold_start_factor()
 
-    def _cold_factor(self) -> float:
+    def _cold_start_factor(self) -> float:
         if self.behaviour.cold_ms <= 0:
             return 1.0
-        age_ms = (asyncio.get_running_loop().time() - self._started) * _MILLISECONDS
+        age_ms = (asyncio.get_running_loop().time() - self._started_at) * _MS_PER_S
         left = max(1.0 - age_ms / self.behaviour.cold_ms, 0.0)
         return 1.0 + (self.behaviour.cold_factor - 1.0) * left
 
@@ -424,7 +428,7 @@
             return b"".join(parts)
 
 
-async def _reply(send: Any, value: Any) -> None:
+async def _send_response(send: Any, value: Any) -> None:
     body = value if isinstance(value, bytes) else orjson.dumps(value)
     await send(
         {
--- a/packages/cli/src/kingcuplug_cli/_trace.py
+++ b/packages/cli/src/kingcuplug_cli/_trace.py
@@ -12,7 +12,7 @@
 __all__ = ["show_trace"]
 
 _BAR_CHARACTERS = 40
-_MICROSECONDS = 1_000
+_US_PER_MS = 1_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -44,8 +44,8 @@
             name = f"{'  ' * span.depth}{span.name}".ljust(width)
             fields = " ".join(f"{key}={value}" for key, value in span.fields.items())
             yield (
-                f"{name} |{_bar(span, end)}| {span.offset_us / _MICROSECONDS:8.2f} ms "
-                f"+{span.duration_us / _MICROSECONDS:.2f} ms  {fields}"
+                f"{name} |{_bar(span, end)}| {span.offset_us / _US_PER_MS:8.2f} ms "
+                f"+{span.duration_us / _US_PER_MS:.2f} ms  {fields}"
             ).rstrip()
 
 
@@ -64,7 +64,7 @@
     file : str
         The trace file of the entry host, JSON lines.
     """
-    spans = list(_spans(file))
+    spans = list(_read_spans(file))
     traces = {
         span["trace"]
         for span in spans
@@ -80,11 +80,11 @@
     # Two requests with one id, as after a resend, are two traces; the last counts.
     trace = next(s["trace"] for s in reversed(spans) if s["trace"] in traces)
     return Waterfall(
-        request_id, trace, tuple(_rows([s for s in spans if s["trace"] == trace]))
+        request_id, trace, tuple(_span_rows([s for s in spans if s["trace"] == trace]))
     )
 
 
-def _rows(spans: list[dict[str, Any]]) -> Iterator[SpanRow]:
+def _span_rows(spans: list[dict[str, Any]]) -> Iterator[SpanRow]:
     known = {span["span"] for span in spans}
     children: dict[str | None, list[dict[str, Any]]] = {}
     for span in sorted(spans, key=lambda span: span["start_us"]):
@@ -105,7 +105,7 @@
         open_spans += [(child, depth + 1) for child in reversed(below)]
 
 
-def _spans(file: str) -> Iterable[dict[str, Any]]:
+def _read_spans(file: str) -> Iterable[dict[str, Any]]:
     try:
         lines = Path(file).read_bytes().splitlines()
     except OSError as error:
--- a/tests/cli/conftest.py
+++ b/tests/cli/conftest.py
@@ -13,10 +13,10 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Run:
+class ProgramRun:
     """What one run of the program printed and how it ended."""
 
-    code: int
+    exit_code: int
     out: str
     err: str
 
@@ -26,7 +26,7 @@
         return json.loads(self.out)
 
 
-Program = Callable[..., Run]
+RunProgram = Callable[..., ProgramRun]
 
 
 @pytest.fixture(scope="package")
@@ -39,24 +39,27 @@
 @pytest.fixture
 def program(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
-) -> Program:
+) -> RunProgram:
     """Return a function that runs `kingcuplug` with the given arguments."""
     monkeypatch.delenv("KINGCUPLUG_CLIENT", raising=False)
 
-    def run(*arguments: str) -> Run:
+    def run(*arguments: str) -> ProgramRun:
         capsys.readouterr()
         with pytest.raises(SystemExit) as ended:
             main(arguments)
         printed = capsys.readouterr()
-        return Run(int(ended.value.code or 0), printed.out, printed.err)
+        return ProgramRun(int(ended.value.code or 0), printed.out, printed.err)
 
     return run
 
 
 @pytest.fixture
 def operator(
-    program: Program, deployment: Any, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> Program:
+    program: RunProgram,
+    deployment: Any,
+    tmp_path: Path,
+    monkeypatch: pytest.MonkeyPatch,
+) -> RunProgram:
     """Return the program, connected by the settings file of the environment."""
     token = tmp_path / "token"
     token.write_text("operator-secret\n")
--- a/tests/cli/test_examples.py
+++ b/tests/cli/test_examples.py
@@ -8,7 +8,7 @@
 from kingcuplug_configuration import parse
 
 _EXAMPLES = Path(__file__).parents[2] / "examples"
-_STATED = {
+_STATED_SIZES = {
     "kavango": {
         (10, 3, 3, 30, 6),
         (15, 3, 3, 30, 6),
@@ -24,7 +24,7 @@
 }
 
 
-@pytest.mark.parametrize("name", sorted(_STATED))
+@pytest.mark.parametrize("name", sorted(_STATED_SIZES))
 def test_example_loads(name: str) -> None:
     # Guards against examples that no longer match the settings or the text.
     folder = _EXAMPLES / name
@@ -37,7 +37,7 @@
     assert sized == set(services)
 
 
-@pytest.mark.parametrize("name", sorted(_STATED))
+@pytest.mark.parametrize("name", sorted(_STATED_SIZES))
 def test_example_has_the_stated_sizes(name: str) -> None:
     # Guards against measuring a deployment other than the users' own.
     sizes = load_sizes(_EXAMPLES / name / "servers.json")
@@ -51,4 +51,4 @@
         )
         for group in sizes.groups
     }
-    assert found == _STATED[name]
+    assert found == _STATED_SIZES[name]
--- a/tests/cli/test_explain.py
+++ b/tests/cli/test_explain.py
@@ -7,7 +7,9 @@
 import pytest
 
 
-def _line(host: str, event: str, at_ms: int, skew_ms: int = 0, **fields: Any) -> str:
+def _log_line(
+    host: str, event: str, at_ms: int, skew_ms: int = 0, **fields: Any
+) -> str:
     line = {
         "event": event,
         "host": host,
@@ -21,20 +23,22 @@
 def log_files(tmp_path: Path) -> list[str]:
     call = {"service": "s", "server": "i-1", "why": "first", "outcome": "lost"}
     first = [
-        _line("a", "control_host_found", 500, address="before the restart"),
-        _line("a", "started", 800),
-        _line("a", "routes_in_force", 1_000, version=4),
-        _line("a", "routes_in_force", 9_000, version=5),
-        "  12.5 a " + _line("a", "request_failed", 10_000, id="q", calls=[call]),
-        _line("a", "routes_in_force", 11_000, version=6),
+        _log_line("a", "control_host_found", 500, address="before the restart"),
+        _log_line("a", "started", 800),
+        _log_line("a", "routes_in_force", 1_000, version=4),
+        _log_line("a", "routes_in_force", 9_000, version=5),
+        "  12.5 a " + _log_line("a", "request_failed", 10_000, id="q", calls=[call]),
+        _log_line("a", "routes_in_force", 11_000, version=6),
         '{"event":"request_fai',
     ]
     # The clock of this host jumps back between its two lines.
     second = [
-        _line("b", "server_learnt", 9_500, server="i-1", state="draining"),
-        _line("b", "request", 12_000, id="q", calls=[]),
-        _line("b", "request", 12_500, skew_ms=-9_000, id="q", calls=[], second=True),
-        _line("b", "request", 13_000, id="other", calls=[]),
+        _log_line("b", "server_learnt", 9_500, server="i-1", state="draining"),
+        _log_line("b", "request", 12_000, id="q", calls=[]),
+        _log_line(
+            "b", "request", 12_500, skew_ms=-9_000, id="q", calls=[], second=True
+        ),
+        _log_line("b", "request", 13_000, id="other", calls=[]),
     ]
     paths = [tmp_path / "a.log", tmp_path / "b.log"]
     paths[0].write_text("\n".join(first))
@@ -45,7 +49,7 @@
 def test_story_holds_what_the_host_believed_then(program: Any, log_files: list[str]):
     """Guards against blaming a request on routes that came later."""
     run = program("explain", "q", *log_files, "--json")
-    assert run.code == 0
+    assert run.exit_code == 0
     step = run.fields["steps"][0]
     versions = [b["line"].get("version") for b in step["beliefs"]]
     assert 5 in versions
@@ -69,7 +73,7 @@
 def test_unknown_request_is_refused(program: Any, log_files: list[str]):
     """Guards against an empty story that looks like a fast success."""
     run = program("explain", "nobody", *log_files)
-    assert run.code == 1
+    assert run.exit_code == 1
     assert "suppressed" in run.err
 
 
@@ -80,9 +84,9 @@
     gathering = {"gatherer": "b:1", "shards": 9, "outcome": "gathered"}
     call = {"service": "s", "server": "i-1", "why": "hedge", "outcome": "open"}
     lines = [
-        _line("b", "gathered", 900, id="q", calls=[call], ended="left"),
-        _line("a", "gatherer_left", 800, address="c:1"),
-        _line("a", "request", 1_000, id="q", calls=[], gathered=[gathering]),
+        _log_line("b", "gathered", 900, id="q", calls=[call], ended="left"),
+        _log_line("a", "gatherer_left", 800, address="c:1"),
+        _log_line("a", "request", 1_000, id="q", calls=[], gathered=[gathering]),
     ]
     path = tmp_path / "all.log"
     path.write_text("\n".join(lines))
--- a/tests/cli/test_pages.py
+++ b/tests/cli/test_pages.py
@@ -42,7 +42,7 @@
     )
 
 
-def _commands() -> list[str]:
+def _operating_page_commands() -> list[str]:
     page = (DOCS / "operating.md").read_text()
     blocks = re.findall(r"```\n(.*?)```", page, re.S)
     lines = [line for block in blocks for line in block.splitlines()]
@@ -93,19 +93,19 @@
         json.dumps({"host": blank_hosts[0].caller_address})
     )
     token = f"--token-file={tmp_path / 'token'}"
-    commands = _commands()
+    commands = _operating_page_commands()
     assert len(commands) >= 20
     for command in commands:
-        member = deployment.run(_member(blank_hosts[1]))
+        member = deployment.run(_member_id(blank_hosts[1]))
         line = command.replace(SECOND_HOST, blank_hosts[1].peer_address)
         words = shlex.split(line.replace(SECOND_MEMBER, member))[1:]
         if words[0] == "receipt":
             # The receipt comes from the deployment that has backend servers.
             words += ["--host", deployment.address(), token]
         run = operator(*words)
-        assert run.code == 0, f"{command}: {run.err or run.out}"
+        assert run.exit_code == 0, f"{command}: {run.err or run.out}"
 
 
-async def _member(host: Host) -> str:
+async def _member_id(host: Host) -> str:
     assert host.control is not None
     return host.control.identity()["member"]
--- a/tests/cli/test_trace.py
+++ b/tests/cli/test_trace.py
@@ -37,7 +37,7 @@
 def test_spans_follow_their_parents_in_order_of_time(program: Any, trace_file: Path):
     """Guards against a waterfall that hides which hop a delay belongs to."""
     run = program("trace", "show", str(trace_file), "r1", "--json")
-    assert run.code == 0
+    assert run.exit_code == 0
     rows = [(s["name"], s["depth"], s["offset_us"]) for s in run.fields["spans"]]
     assert rows == [
         ("query", 0, 0),
@@ -53,7 +53,7 @@
 def test_an_unknown_request_is_refused(program: Any, trace_file: Path):
     """Guards against an empty waterfall that looks like a fast request."""
     run = program("trace", "show", str(trace_file), "r3")
-    assert run.code == 1
+    assert run.exit_code == 1
     assert "trace_share" in run.err
 
 
@@ -61,4 +61,4 @@
     """Guards against a stack trace for a misnamed file."""
     path = tmp_path / "other.txt"
     path.write_text("not\na trace\n")
-    assert program("trace", "show", str(path), "r1").code == 2
+    assert program("trace", "show", str(path), "r1").exit_code == 2
--- a/tests/cli/test_usage.py
+++ b/tests/cli/test_usage.py
@@ -29,7 +29,7 @@
 def test_a_host_that_does_not_run_ends_with_4(program: Any, closed_address: str):
     """Guards against a script that takes "nobody answered" for a refusal."""
     run = program("hosts", "--host", closed_address)
-    assert run.code == 4
+    assert run.exit_code == 4
     assert closed_address in run.err
     assert "check that the host runs" in run.err
 
@@ -41,7 +41,7 @@
     text = tmp_path / "text.json"
     text.write_text('{"services": {}}')
     arguments = ["--base-revision", "1", "--host", closed_address]
-    assert program("config", "apply", str(text), *arguments).code == 4
+    assert program("config", "apply", str(text), *arguments).exit_code == 4
 
 
 @pytest.mark.parametrize(
@@ -63,7 +63,7 @@
 )
 def test_wrong_usage_ends_with_2(program: Any, arguments: tuple[str, ...]):
     """Guards against wrong usage that looks like an unreachable host."""
-    assert program(*arguments).code == 2
+    assert program(*arguments).exit_code == 2
 
 
 def test_a_surplus_word_runs_nothing(operator: Any, tmp_path: Path):
@@ -71,7 +71,7 @@
     text = tmp_path / "text.json"
     text.write_text('{"services": {}}')
     before = operator("config", "show", "--json").fields["number"]
-    assert operator("config", "apply", str(text), str(before)).code == 2
+    assert operator("config", "apply", str(text), str(before)).exit_code == 2
     assert operator("config", "show", "--json").fields["number"] == before
 
 
@@ -84,21 +84,21 @@
         settings.write_text(content)
         monkeypatch.setenv("KINGCUPLUG_CLIENT", str(settings))
         run = program("hosts")
-        assert run.code == 2, content
+        assert run.exit_code == 2, content
         assert run.err.startswith("kingcuplug: ")
 
 
 def test_options_go_before_the_settings_file(operator: Any, closed_address: str):
     """Guards against a command that goes to another host than the one named."""
-    assert operator("hosts").code == 0
-    assert operator("hosts", "--host", closed_address).code == 4
+    assert operator("hosts").exit_code == 0
+    assert operator("hosts", "--host", closed_address).exit_code == 4
 
 
 def test_json_errors_carry_the_exit_code(program: Any, closed_address: str):
     """Guards against errors that scripts cannot read under --json."""
     run = program("hosts", "--host", closed_address, "--json")
     fields = json.loads(run.err)
-    assert fields["exit_code"] == run.code == 4
+    assert fields["exit_code"] == run.exit_code == 4
     assert fields["error"] == "Unreachable"
     assert fields["remedy"]
 
@@ -108,7 +108,7 @@
     text = tmp_path / "text.json"
     text.write_text('{"services": {"trims": {}}}')
     run = program("config", "check", "--json", str(text))
-    assert run.code == 0
+    assert run.exit_code == 0
     assert run.fields == {"services": 1, "faults": []}
 
 
@@ -117,12 +117,12 @@
     wrong = tmp_path / "wrong"
     wrong.write_text("announce-secret")
     run = operator("hosts", "--token-file", str(wrong), "--json")
-    assert run.code == 1
+    assert run.exit_code == 1
     assert "bearer token" in json.loads(run.err)["message"]
 
 
 def test_the_peer_address_is_named_as_the_mistake(operator: Any, deployment: Any):
     """Guards against a bare 404 when the wrong listener is asked."""
     run = operator("hosts", "--host", deployment.local.hosts[0].peer_address)
-    assert run.code == 4
+    assert run.exit_code == 4
     assert "caller_address" in run.err
