--- a/packages/cli/src/kingcuplug_cli/__init__.py
+++ b/packages/cli/src/kingcuplug_cli/__init__.py
@@ -1,4 +1,4 @@
-"""The kingcuplug command: operators' commands, load tool and stand-ins."""
+"""The kingcuplug program: operator commands, load tool and stand-in servers."""
 
 from kingcuplug_cli._main import main
 from kingcuplug_cli._standin import Behaviour, Journal, StandIn, StandInService
--- a/packages/cli/src/kingcuplug_cli/__main__.py
+++ b/packages/cli/src/kingcuplug_cli/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command with ``python -m kingcuplug_cli``."""
+"""Run the program with ``python -m kingcuplug_cli``."""
 
 from kingcuplug_cli._main import main
 
--- a/packages/cli/src/kingcuplug_cli/_command_groups.py
+++ b/packages/cli/src/kingcuplug_cli/_command_groups.py
@@ -1,4 +1,4 @@
-"""The groups of commands, as the command line names them."""
+"""Command groups of the command line, one class per group."""
 
 from kingcuplug_cli import _config, _control_commands
 from kingcuplug_cli._invocation import Invocation, InvocationFactory, parse_as_strings
@@ -30,7 +30,7 @@
 
     @parse_as_strings("file")
     def check(self, file: str) -> Invocation:
-        """Validate a text without a host; list every fault."""
+        """Validate a configuration text locally and list all faults."""
         return self._invocations.local_invocation(_config.check, file)
 
     @parse_as_strings("file")
@@ -56,15 +56,15 @@
         file : str
             The new text.
         base_revision : int, optional
-            Revision that the text was made from; by default the present one.
+            Revision that the text was made from; by default the current one.
         author : str, optional
-            Who makes the change; by default the user of this process.
+            Author recorded with the change; by default the user of this process.
         wait : bool
-            Wait until the revision is in force everywhere and list the hosts.
+            Wait until the revision is in force on all hosts, and list them.
         wait_s : float
-            Longest such wait in seconds.
+            Time limit of that wait in seconds.
         resend_s : float
-            For how long to send the change again after lost answers, in seconds.
+            Time limit for resending the change after lost answers, in seconds.
         """
         return self._invocations.remote_invocation(
             _config.apply, file, base_revision, author, wait, wait_s, resend_s
@@ -79,7 +79,7 @@
         return self._invocations.remote_invocation(_config.history)
 
     def status(self) -> Invocation:
-        """Show whether the present revision is in force everywhere."""
+        """Show whether the current revision is in force on all hosts."""
         return self._invocations.remote_invocation(_config.status)
 
 
@@ -87,7 +87,7 @@
     """The control hosts: bootstrap, add, remove, status."""
 
     def bootstrap(self) -> Invocation:
-        """Begin a cluster on the asked host."""
+        """Bootstrap a cluster on the asked host."""
         return self._invocations.remote_invocation(_control_commands.bootstrap)
 
     @parse_as_strings("address", "role")
@@ -101,7 +101,7 @@
         return self._invocations.remote_invocation(_control_commands.remove, member)
 
     def status(self) -> Invocation:
-        """Show leader and members, and whether one voter may be lost."""
+        """Show the leader, the members and whether one voter can be lost safely."""
         return self._invocations.remote_invocation(_control_commands.status)
 
 
@@ -113,7 +113,7 @@
         return self._invocations.remote_invocation(list_keys)
 
     def rotate(self) -> Invocation:
-        """Let the asked host sign with a new key."""
+        """Create a new signing key on the asked host."""
         return self._invocations.remote_invocation(rotate_key)
 
 
@@ -122,7 +122,7 @@
 
     @parse_as_strings("key")
     def show(self, key: str) -> Invocation:
-        """Show what the ledger knows of an order."""
+        """Show the state of an order in the ledger."""
         return self._invocations.remote_invocation(show_order, key)
 
 
--- a/packages/cli/src/kingcuplug_cli/_config.py
+++ b/packages/cli/src/kingcuplug_cli/_config.py
@@ -43,15 +43,15 @@
 
 
 async def check(file: str) -> CheckResult:
-    """Validate a text without a host; every fault is reported at once."""
+    """Validate a configuration text locally and report all faults at once."""
     return _check_text(_read_text_file(file))
 
 
 async def diff(client: OperatorClient, file: str) -> DiffResult:
-    """Compare a text with the one in force."""
-    new = _parse_valid_text(_read_text_file(file))
+    """Compare a configuration text with the one in force."""
+    new_text = _parse_valid_text(_read_text_file(file))
     current = await show(client)
-    changes = describe(parse(current.text), new).splitlines()
+    changes = describe(parse(current.text), new_text).splitlines()
     return DiffResult(current.number, bool(changes), tuple(changes))
 
 
@@ -75,7 +75,7 @@
 
 
 async def status(client: OperatorClient) -> InForceStatus:
-    """Return whether the present revision is in force everywhere."""
+    """Return whether the current revision is in force on all hosts."""
     current = await show(client)
     return await _request_in_force_status(client, current.number, 0.0)
 
@@ -94,13 +94,13 @@
     Parameters
     ----------
     base_revision : int, optional
-        Revision that the text was made from; by default the present one.
+        Revision that the text was made from; by default the current one.
     author : str, optional
-        Who makes the change; by default the user of this process.
+        Author recorded with the change; by default the user of this process.
     wait : bool
-        Whether to wait until the revision is in force everywhere.
+        Whether to wait until the revision is in force on all hosts.
     wait_s, resend_s : float
-        Bounds of that wait, and of resending after lost answers, in seconds.
+        Time limits, in seconds, of that wait and of resending after lost answers.
     """
     _require_numeric_options(base_revision, wait_s, resend_s)
     text = _read_text_file(file)
@@ -117,8 +117,8 @@
             )
     author = author or getpass.getuser()
     command = {
-        # Equal for a resend, and for nothing else: a text that comes back later
-        # has another base revision.
+        # A resend has the same id, so the change is applied once. Applying the same
+        # text again later has another base revision and therefore another id.
         "change_id": digest([author, base_revision, text]),
         "base_revision": base_revision,
         "text": text,
@@ -136,28 +136,28 @@
 async def _send_change(
     client: OperatorClient, command: dict[str, Any], resend_limit_s: float
 ) -> tuple[dict[str, Any], int]:
-    """Send a change until its fate is known or `resend_s` have passed."""
+    """Send a change until its outcome is known or `resend_limit_s` has passed."""
     loop = asyncio.get_running_loop()
-    give_up = loop.time() + resend_limit_s
-    unknown: OutcomeUnknown | None = None
+    deadline = loop.time() + resend_limit_s
+    last_unknown: OutcomeUnknown | None = None
     resends = 0
     while True:
         try:
             answer = await client.call("configuration", command, mutating=True)
             return answer, resends
         except OutcomeUnknown as error:
-            unknown = error
+            last_unknown = error
         except Unreachable:
-            # An earlier copy may still be applied, whatever became of this one.
-            if unknown is None:
+            # This attempt was not executed, but an earlier one may still be applied.
+            if last_unknown is None:
                 raise
         except CommandRefused as error:
             if error.kind != "Rejected":
                 raise
             return {"type": "rejected", "faults": error.fields["faults"]}, resends
-        if loop.time() >= give_up:
+        if loop.time() >= deadline:
             raise OutcomeUnknown(
-                unknown.message,
+                last_unknown.message,
                 "send the same text again with the same --author and "
                 f"--base-revision {command['base_revision']}; it is applied at most "
                 "once",
@@ -169,26 +169,26 @@
 async def _wait_until_in_force(
     client: OperatorClient, applied: ApplyResult, wait_s: float
 ) -> ApplyResult:
-    """Return the result once the revision is in force, or the time is over."""
+    """Return the result when the revision is in force or `wait_s` has passed."""
     loop = asyncio.get_running_loop()
-    give_up = loop.time() + wait_s
+    deadline = loop.time() + wait_s
     while True:
-        left = give_up - loop.time()
+        remaining_s = deadline - loop.time()
         try:
-            found = await _request_in_force_status(
-                client, applied.revision, max(min(left, _LONG_POLL_S), 0.0)
+            in_force_status = await _request_in_force_status(
+                client, applied.revision, max(min(remaining_s, _LONG_POLL_S), 0.0)
             )
         except Unreachable:
-            # An election interrupts the wait; the change itself is accepted.
-            found = InForceStatus(applied.revision, False, (), ())
-            await asyncio.sleep(min(_RESEND_INTERVAL_S, max(left, 0.0)))
-        if found.in_force or left <= 0:
+            # An election can interrupt the wait; the change is already accepted.
+            in_force_status = InForceStatus(applied.revision, False, (), ())
+            await asyncio.sleep(min(_RESEND_INTERVAL_S, max(remaining_s, 0.0)))
+        if in_force_status.in_force or remaining_s <= 0:
             return ApplyResult(
                 applied.revision,
                 applied.change_id,
                 applied.resends,
                 applied.unchanged,
-                found,
+                in_force_status,
             )
 
 
--- a/packages/cli/src/kingcuplug_cli/_config_results.py
+++ b/packages/cli/src/kingcuplug_cli/_config_results.py
@@ -25,7 +25,7 @@
 
 
 def format_time(time_ms: int) -> str:
-    """Return a wall clock time for a person."""
+    """Return a wall clock time in readable form."""
     moment = datetime.fromtimestamp(time_ms / _MS_PER_S, UTC)
     return moment.strftime("%Y-%m-%d %H:%M:%S UTC")
 
@@ -41,14 +41,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CheckResult:
-    """Whether a text is valid."""
+    """Whether a configuration text is valid, and its faults."""
 
     services: int
     faults: tuple[TextFault, ...] = ()
 
     @property
     def exit_code(self) -> ExitCode:
-        """Refused if there are faults."""
+        """``REFUSED`` if there are faults."""
         return ExitCode.REFUSED if self.faults else ExitCode.DONE
 
     def lines(self) -> Iterator[str]:
@@ -63,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DiffResult:
-    """What a text would change."""
+    """Changes that a text would make to the revision in force."""
 
     revision: int
     differs: bool
@@ -147,7 +147,7 @@
     control_host: str
 
     def line(self) -> str:
-        """Return the host for a person."""
+        """Return the host as one line of readable text."""
         return (
             f"  {self.host}  {self.availability_zone}  confirmed revision "
             f"{self.confirmed_revision}  session at {self.control_host}"
@@ -156,7 +156,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InForceStatus:
-    """Whether a revision is in force everywhere."""
+    """Whether a revision is in force on all hosts."""
 
     revision: int
     in_force: bool
@@ -165,7 +165,7 @@
     exit_code: ExitCode = ExitCode.DONE
 
     def lines(self) -> Iterator[str]:
-        """Yield the verdict and the hosts."""
+        """Yield whether the revision is in force, and one line per host."""
         if self.in_force:
             yield f"revision {self.revision} is in force everywhere"
         else:
@@ -184,7 +184,7 @@
     unchanged : bool
         Whether the text was in force already, so that nothing was sent.
     in_force : InForceStatus or None
-        The wait's end, if one was asked for.
+        Status when the wait ended, or ``None`` if no wait was requested.
     """
 
     revision: int
@@ -195,7 +195,7 @@
 
     @property
     def exit_code(self) -> ExitCode:
-        """Unknown if the change was accepted but is not in force everywhere."""
+        """``OUTCOME_UNKNOWN`` if the accepted change is not in force on all hosts."""
         if self.in_force is None or self.in_force.in_force:
             return ExitCode.DONE
         return ExitCode.OUTCOME_UNKNOWN
@@ -212,7 +212,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ApplyConflict:
-    """Another change was accepted first; nothing was changed.
+    """A change that was refused because another one was accepted first.
 
     Attributes
     ----------
@@ -232,7 +232,7 @@
     exit_code: ExitCode = ExitCode.REFUSED
 
     def lines(self) -> Iterator[str]:
-        """Yield the winner, what differs, and the remedy."""
+        """Yield the accepted change, the differences and the remedy."""
         yield (
             f"conflict: revision {self.current_revision} by "
             f"{self.winner_author or 'nobody'}, {format_time(self.winner_time_ms)}, "
@@ -246,6 +246,6 @@
         yield "your text would change now:"
         yield from (f"  {change}" for change in self.difference)
         yield (
-            "take the other change into your text, then apply it with "
+            "merge the other change into your text, then apply it with "
             f"--base-revision {self.current_revision}"
         )
--- a/packages/cli/src/kingcuplug_cli/_connection.py
+++ b/packages/cli/src/kingcuplug_cli/_connection.py
@@ -1,4 +1,4 @@
-"""How the program reaches a host."""
+"""Connection options and the HTTP client of the operators' interface."""
 
 import os
 import ssl
@@ -22,7 +22,7 @@
 SETTINGS_VARIABLE = "KINGCUPLUG_CLIENT"
 _DEFAULT_TIMEOUT_S = 15.0
 _CONNECT_TIMEOUT_S = 3.0
-# A host that starts or has no leader behind it has changed nothing.
+# Errors of a host that is still starting or reaches no leader; it changed nothing.
 _NOT_EXECUTED_ERRORS = frozenset(("Starting", "NoLeader", "NotLeader"))
 
 
@@ -49,30 +49,32 @@
 def load_connection(
     options: Mapping[str, str | None], environment: Mapping[str, str] = os.environ
 ) -> Connection:
-    """Return the options, completed from the settings file of the environment.
+    """Return the options, with defaults from the file that the environment names.
 
     Raises
     ------
     WrongUsage
         If the file or an option cannot be used.
     """
-    given = {name: value for name, value in options.items() if value is not None}
+    explicit_options = {
+        name: value for name, value in options.items() if value is not None
+    }
     path = environment.get(SETTINGS_VARIABLE)
-    stored: Any = {}
+    stored_options: Any = {}
     if path:
         try:
-            stored = orjson.loads(Path(path).read_bytes())
+            stored_options = orjson.loads(Path(path).read_bytes())
         except (OSError, orjson.JSONDecodeError) as error:
             raise WrongUsage(
                 f"client settings {path} cannot be read: {error}",
                 f"correct the file or unset {SETTINGS_VARIABLE}",
             ) from error
     try:
-        return Connection.model_validate({**stored, **given})
+        return Connection.model_validate({**stored_options, **explicit_options})
     except (ValidationError, TypeError) as error:
         raise WrongUsage(
-            f"the connection options cannot be used: {error}",
-            "give host, token_file and ca_file as texts",
+            f"the connection options are invalid: {error}",
+            "pass host, token_file and ca_file as strings",
         ) from error
 
 
@@ -111,15 +113,15 @@
         Parameters
         ----------
         changes : bool
-            Whether the call changes anything; a lost answer then leaves its
-            outcome unknown.
+            Whether the call changes state; if its answer is lost, the outcome is
+            unknown.
 
         Raises
         ------
         CommandRefused
-            If the system refused.
+            If the host refused the call.
         Unreachable
-            If nothing was done because no host could be asked.
+            If no host could execute the call; nothing was changed.
         OutcomeUnknown
             If the answer to a change was lost.
         """
@@ -127,7 +129,7 @@
             status, body = await self._post(path, fields or {}, timeout_s)
         except aiohttp.ClientConnectorError as error:
             raise Unreachable(
-                f"host {self.host} accepts no connection: {error}",
+                f"cannot connect to host {self.host}: {error}",
                 "check that the host runs, --host, and --ca-file if it serves TLS",
             ) from error
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
@@ -162,7 +164,7 @@
             answer = None
         if status == 404 and answer is None:
             raise Unreachable(
-                f"host {self.host} has no operators' interface here",
+                f"host {self.host} does not serve operators at this address",
                 "pass its caller_address, not its peer_address",
             )
         if not isinstance(answer, dict):
@@ -187,10 +189,11 @@
             return OutcomeUnknown(
                 f"host {self.host} did not answer, so the change may have been made:"
                 f" {cause}",
-                "look at the present state before you repeat the command",
+                "check the current state before you repeat the command",
             )
         return Unreachable(
-            f"host {self.host} did not answer: {cause}", "ask again, or another host"
+            f"host {self.host} did not answer: {cause}",
+            "try again, or use another host",
         )
 
 
@@ -221,6 +224,7 @@
             f"CA file {ca_file} cannot be used: {error}",
             "name a PEM file with the authority's certificate",
         ) from error
-    # Hosts are addressed by IP number; the private authority vouches for them.
+    # Hosts are addressed by IP address, so only the certificate chain is verified,
+    # against the private authority.
     context.check_hostname = False
     return context
--- a/packages/cli/src/kingcuplug_cli/_control_commands.py
+++ b/packages/cli/src/kingcuplug_cli/_control_commands.py
@@ -1,4 +1,4 @@
-"""Commands about the control hosts."""
+"""Commands that bootstrap, change and show the group of control hosts."""
 
 import asyncio
 import dataclasses
@@ -16,45 +16,45 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BootstrapResult:
-    """A cluster with one member."""
+    """A new cluster with one member."""
 
     cluster: str
     member: str
     exit_code: ExitCode = ExitCode.DONE
 
     def lines(self) -> Iterator[str]:
-        """Yield what was begun."""
+        """Yield the new cluster and its member."""
         yield f"cluster {self.cluster} begins with member {self.member}"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AddResult:
-    """A control host that takes part from now on."""
+    """A control host that was added as a member."""
 
     member: str
     role: str
     exit_code: ExitCode = ExitCode.DONE
 
     def lines(self) -> Iterator[str]:
-        """Yield what was added."""
+        """Yield the added member."""
         yield f"added {self.member} as {self.role}"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RemoveResult:
-    """A member that no longer takes part."""
+    """A member that was removed."""
 
     member: str
     exit_code: ExitCode = ExitCode.DONE
 
     def lines(self) -> Iterator[str]:
-        """Yield what was removed."""
+        """Yield the removed member."""
         yield f"removed {self.member}"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ControlStatus:
-    """The group as the leader sees it, or as the asked host does.
+    """Status of the group as reported by the leader or, without one, the asked host.
 
     Attributes
     ----------
@@ -67,11 +67,11 @@
 
     @property
     def exit_code(self) -> ExitCode:
-        """Not reachable if no leader answered."""
+        """``UNREACHABLE`` if no leader answered."""
         return ExitCode.DONE if self.leads else ExitCode.UNREACHABLE
 
     def lines(self) -> Iterator[str]:
-        """Yield the leader, the members, and whether one may be lost."""
+        """Yield the leader, the members and whether the loss of one voter is safe."""
         fields = self.fields
         if self.leads:
             yield f"leader {fields['leader']}, term {fields['term']}"
@@ -99,17 +99,17 @@
 
 
 async def bootstrap(client: OperatorClient) -> BootstrapResult:
-    """Begin a cluster on the host that is asked and wait until it leads.
+    """Bootstrap a cluster on the asked host and wait until it is the leader.
 
-    The next command of a first start, `control add`, needs the leader.
+    `control add`, the next command of a first start, needs the leader.
     """
-    begun = BootstrapResult(**await client.call("control/bootstrap", mutating=True))
+    result = BootstrapResult(**await client.call("control/bootstrap", mutating=True))
     loop = asyncio.get_running_loop()
-    give_up = loop.time() + _ELECTION_TIMEOUT_S
-    # The leader is asked over HTTP, so there is no event to wait for.
-    while not (await status(client)).leads and loop.time() < give_up:  # noqa: ASYNC110
+    deadline = loop.time() + _ELECTION_TIMEOUT_S
+    # Leadership is polled over HTTP, so there is no event to wait for.
+    while not (await status(client)).leads and loop.time() < deadline:  # noqa: ASYNC110
         await asyncio.sleep(_POLL_INTERVAL_S)
-    return begun
+    return result
 
 
 async def add(client: OperatorClient, address: str, role: str = "voter") -> AddResult:
@@ -127,7 +127,7 @@
 
 
 async def status(client: OperatorClient) -> ControlStatus:
-    """Return the leader's view; without a leader, that of the host asked."""
+    """Return the status from the leader or, without one, from the asked host."""
     try:
         return ControlStatus(True, await client.call("control/leader/show"))
     except Unreachable as error:
--- a/packages/cli/src/kingcuplug_cli/_demo.py
+++ b/packages/cli/src/kingcuplug_cli/_demo.py
@@ -1,4 +1,4 @@
-"""The main job in one process, printed for a person."""
+"""Demo that runs queries and orders against a local deployment and prints them."""
 
 import json
 import time
@@ -15,16 +15,16 @@
 
 
 async def run_demo(example: Path) -> None:
-    """Run the demo on an example folder of one deployment."""
-    whole = json.loads((example / "configuration.json").read_text())
-    text = json.dumps(whole)
+    """Run the demo with the configuration and sizes of an example folder."""
+    configuration = json.loads((example / "configuration.json").read_text())
+    text = json.dumps(configuration)
     sizes = load_sizes(example / "servers.json", only=_DEMO_SERVICES)
     deployment = LocalDeployment(sizes, entry_hosts=3, control_hosts=3)
     print("Starting 3 hosts (control and entry) and stand-in backend servers ...")
     try:
         revision = await deployment.start(text)
         print(
-            f"Configuration of {len(whole['services'])} services is revision "
+            f"Configuration of {len(configuration['services'])} services is revision "
             f"{revision}; {len(deployment.servers)} backend servers announced."
         )
         await _run_queries(deployment)
@@ -88,7 +88,7 @@
     status, answer = await deployment.call(
         "cutting", "query", {"body": {"pattern": "armband"}, "minimum_coverage": 1.0}
     )
-    _print_answer(f"whole answer wanted: {status}", answer)
+    _print_answer(f"full coverage required: {status}", answer)
     status, answer = await deployment.call("cuting", "query", {"body": {}})
     _print_answer(f"misspelt service: {status}", answer)
 
--- a/packages/cli/src/kingcuplug_cli/_explain.py
+++ b/packages/cli/src/kingcuplug_cli/_explain.py
@@ -1,8 +1,8 @@
-"""The story of one request from the log lines of several hosts.
+"""Timeline of one request from the log lines of several hosts.
 
-On-call engineers have an id and files of log lines. A request's own line says which
-servers it was sent to, why, and what they answered; the lines before it on the same
-host say what the host believed then, and since when.
+The input is a request id and log files. The line of a request holds its attempts: the
+servers, the reasons and the outcomes. Earlier lines of the same host show the state
+that the host held when it served the request, and how old that state was.
 """
 
 import dataclasses
@@ -18,10 +18,10 @@
 __all__ = ["explain"]
 
 _US_PER_S = 1_000_000
-# Beliefs older than this are shown only if nothing newer replaced them.
+# Older server events are left out; the other state of a host is shown at any age.
 _SERVER_EVENT_MAX_AGE_US = 30 * _US_PER_S
 _REQUEST_EVENTS = frozenset(("request", "request_failed", "gathered"))
-# The newest line of each of these before a request is what its host believed.
+# The newest line of each event before a request gives the state that its host held.
 _HOST_STATE_EVENTS = (
     "started",
     "stopping",
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostState:
-    """A line that says what a host believed, and its age at the request."""
+    """A log line that shows state held by a host, and its age at the request."""
 
     age_ms: float
     line: LogLine
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TimelineEntry:
-    """One line of the request and the beliefs behind it."""
+    """One log line of the request and the host state at that time."""
 
     line: LogLine
     beliefs: tuple[HostState, ...]
@@ -60,29 +60,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestTimeline:
-    """All lines of one request, in order."""
+    """All log lines of one request, in order."""
 
     request_id: str
     steps: tuple[TimelineEntry, ...]
     exit_code: ExitCode = ExitCode.DONE
 
     def lines(self) -> Iterator[str]:
-        """Yield the story for people."""
-        for step in self.steps:
-            line = step.line
+        """Yield the timeline as readable text."""
+        for entry in self.steps:
+            line = entry.line
             yield f"{line['host']}: {line['event']} {_format_fields(line)}"
             for call in line.get("calls", ()):
                 yield f"  attempt {_format_fields(call)}"
             for gathering in line.get("gathered", ()):
                 yield f"  gathering {_format_fields(gathering)}"
-            for belief in step.beliefs:
-                known = f"{belief.line['host']} {belief.line['event']}"
-                age = f"known for {belief.age_ms:.0f} ms"
-                yield f"  {age}: {known} {_format_fields(belief.line)}"
+            for state in entry.beliefs:
+                event = f"{state.line['host']} {state.line['event']}"
+                age = f"known for {state.age_ms:.0f} ms"
+                yield f"  {age}: {event} {_format_fields(state.line)}"
 
 
 async def explain(request_id: str, files: tuple[str, ...]) -> RequestTimeline:
-    """Return the story of one request.
+    """Return the timeline of one request.
 
     Parameters
     ----------
@@ -111,10 +111,10 @@
 
 
 def _merge_by_time(lines_by_host: Iterable[list[LogLine]]) -> Iterator[LogLine]:
-    """Merge the hosts' lines by wall clock, keeping each host's own order.
+    """Merge the hosts' lines by wall clock time, keeping the order of each host.
 
-    Wall clocks of hosts differ and may jump, but no line of a host is ever put
-    before an earlier one of the same host.
+    The wall clocks of hosts differ and can step back, so each line is placed no
+    earlier than the previous line of its host.
     """
     return heapq.merge(
         *map(_with_monotonic_time, lines_by_host), key=lambda line: line["at_us"]
@@ -137,7 +137,7 @@
         if line["monotonic_us"] > now_us:
             break
         if line["event"] == "started":
-            newest.clear()  # A new process knows nothing of what the last one knew.
+            newest.clear()  # A new process starts without the state of the last one.
         if line["event"] in _HOST_STATE_EVENTS:
             newest[line["event"]] = line
     for line in sorted(newest.values(), key=lambda line: line["monotonic_us"]):
@@ -148,13 +148,17 @@
 def _recent_server_events(
     request: LogLine, by_host: dict[str, list[LogLine]]
 ) -> Iterator[HostState]:
-    """Yield what any host learnt lately of the servers that were asked."""
-    asked = {call.get("server") for call in request.get("calls", ())}
+    """Yield recent events of any host about the servers of the attempts."""
+    attempted_servers = {call.get("server") for call in request.get("calls", ())}
     for lines in by_host.values():
         for line in lines:
             age_us = request["time_us"] - line["time_us"]
             recent = -_US_PER_S < age_us < _SERVER_EVENT_MAX_AGE_US
-            if line["event"] == _SERVER_EVENT and line["server"] in asked and recent:
+            if (
+                line["event"] == _SERVER_EVENT
+                and line["server"] in attempted_servers
+                and recent
+            ):
                 yield HostState(age_us / 1_000, line)
 
 
@@ -175,11 +179,11 @@
             "name files that hold the standard output of hosts",
         ) from error
     for text in lines:
-        # Collectors put their own time and the host's name before each line.
+        # Log collectors prefix each line with a time and the host name.
         start = text.find(b'{"event"')
         if start < 0:
             continue
         try:
             yield orjson.loads(text[start:])
         except orjson.JSONDecodeError:
-            continue  # A line that a killed host left unfinished.
+            continue  # The last line of a killed host may be incomplete.
--- a/packages/cli/src/kingcuplug_cli/_host_commands.py
+++ b/packages/cli/src/kingcuplug_cli/_host_commands.py
@@ -1,4 +1,4 @@
-"""Commands about hosts and backend servers."""
+"""Commands that list, show and drain hosts, and list backend servers."""
 
 import dataclasses
 from collections.abc import Iterator
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServerList:
-    """Backend servers that the control host knows."""
+    """Backend servers in the directory of the control host."""
 
     servers: tuple[ServerRow, ...]
     exit_code: ExitCode = ExitCode.DONE
@@ -60,14 +60,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DrainResult:
-    """The graceful shutdown of a host began."""
+    """A host whose graceful shutdown has begun."""
 
     host: str
     in_flight: int
     exit_code: ExitCode = ExitCode.DONE
 
     def lines(self) -> Iterator[str]:
-        """Yield what happens next."""
+        """Yield the host and its number of requests in flight."""
         yield (
             f"host at {self.host} drains and then ends: {self.in_flight} requests "
             "in flight are finished first"
--- a/packages/cli/src/kingcuplug_cli/_invocation.py
+++ b/packages/cli/src/kingcuplug_cli/_invocation.py
@@ -1,4 +1,4 @@
-"""Running of one command and printing of its result."""
+"""Running one command and printing its result."""
 
 import asyncio
 import dataclasses
@@ -22,11 +22,11 @@
 
 
 class Invocation:
-    """A command whose arguments were understood and that has not run yet.
+    """A command whose arguments are parsed and that has not run yet.
 
     Parameters
     ----------
-    work : callable
+    command : callable
         Runs the command.
     as_json : bool
         Whether the result is printed as JSON.
@@ -72,7 +72,7 @@
 
 
 class InvocationFactory:
-    """The connection options and the form of the output.
+    """Creates invocations with the connection options and the output format.
 
     Parameters
     ----------
@@ -101,17 +101,17 @@
         *args: _Parameters.args,
         **kwargs: _Parameters.kwargs,
     ) -> Invocation:
-        """Return the invocation of a command that asks a host."""
+        """Return the invocation of a command that calls a host."""
 
-        async def work() -> Result:
+        async def run_command() -> Result:
             client = OperatorClient(load_connection(self._options))
             return await function(client, *args, **kwargs)
 
-        return Invocation(work, self._as_json)
+        return Invocation(run_command, self._as_json)
 
 
 def parse_as_strings(*names: str) -> Callable[[_Function], _Function]:
-    """Take arguments as texts, where fire would read numbers or lists."""
+    """Parse the named arguments as strings, where fire would make numbers or lists."""
 
     def decorate(function: _Function) -> _Function:
         fire.decorators.SetParseFns(**dict.fromkeys(names, str))(function)
@@ -121,8 +121,8 @@
 
 
 def add_switch_values(arguments: Sequence[str]) -> list[str]:
-    """Return the arguments with a value for each switch.
+    """Return the arguments with an explicit value for each switch.
 
-    Otherwise fire would take a word that follows a switch as its value.
+    Without it, fire takes the argument after a switch as the value of the switch.
     """
     return [f"{word}=True" if word in _SWITCHES else word for word in arguments]
--- a/packages/cli/src/kingcuplug_cli/_local.py
+++ b/packages/cli/src/kingcuplug_cli/_local.py
@@ -1,7 +1,7 @@
-"""A whole deployment inside one process on loopback.
+"""A complete deployment in one process on loopback.
 
-Used by the demo, the load tool and tests: real hosts and stand-in backend servers,
-real HTTP, free ports.
+The demo, the load tool and tests use it. It runs real hosts and stand-in backend
+servers that communicate over HTTP on free ports.
 """
 
 import asyncio
@@ -96,7 +96,7 @@
     servers : list of StandIn
         Running stand-ins.
     journal : Journal
-        What the stand-ins really did.
+        Counts of the work that the stand-ins really executed.
     """
 
     def __init__(
@@ -135,7 +135,7 @@
         self._seeds: tuple[str, ...] = ()
         self._http: aiohttp.ClientSession | None = None
 
-    # Life
+    # Lifecycle
 
     async def start(self, text: str) -> int:
         """Start everything, apply the text and return its revision."""
@@ -171,7 +171,7 @@
             await host.start()
 
     async def start_servers(self, snapshot: int = 1) -> None:
-        """Start all stand-ins, holding one snapshot."""
+        """Start all stand-ins with their shards of one snapshot."""
         for group in self.spec.groups:
             for name in group.services:
                 self.servers += self._make_servers(group, name, snapshot)
@@ -187,7 +187,7 @@
             self._temporary_folder.cleanup()
 
     def make_host(self, number: int) -> Host:
-        """Return a host that is not started; the same number, the same disk."""
+        """Return a host that is not started; equal numbers share a data folder."""
         roles = []
         if number < self._control_hosts:
             roles.append("control")
@@ -195,13 +195,13 @@
             roles.append("entry")
         zones = self.spec.availability_zones
         name = f"host-{number + 1:02}"
-        known = self.hosts[number] if number < len(self.hosts) else None
+        previous = self.hosts[number] if number < len(self.hosts) else None
         fields = {
             "host": name,
             "availability_zone": zones[number % len(zones)],
             "roles": roles,
-            "caller_address": known.caller_address if known else "127.0.0.1:0",
-            "peer_address": known.peer_address if known else "127.0.0.1:0",
+            "caller_address": previous.caller_address if previous else "127.0.0.1:0",
+            "peer_address": previous.peer_address if previous else "127.0.0.1:0",
             "data_folder": self._folder / name if "control" in roles else None,
             "control_seeds": self._seeds,
             "operator_token_file": self._write_token_file(),
@@ -246,13 +246,13 @@
 
     def next_entry_url(self) -> str:
         """Return the base URL of the next ready entry host."""
-        entries = [
+        entry_hosts = [
             host for host in self.hosts if host.entry and not host.lifecycle.draining
         ]
         self._next_entry_index += 1
         return (
             f"{self._scheme}://"
-            f"{entries[self._next_entry_index % len(entries)].caller_address}"
+            f"{entry_hosts[self._next_entry_index % len(entry_hosts)].caller_address}"
         )
 
     @property
@@ -308,7 +308,7 @@
         return int(answer["revision"])
 
     async def wait_ready(self) -> None:
-        """Wait until every entry host is ready and knows all stand-ins."""
+        """Wait until every entry host is ready and lists all stand-ins."""
         await self._poll_until(self._is_ready)
 
     async def _has_leader(self) -> bool:
@@ -330,24 +330,26 @@
     def _has_all_servers(self, host: Host) -> bool:
         assert host.entry is not None
         directory = host.entry.session.directory
-        known = {
+        live_servers = {
             entry.announcement.server
             for service in directory.services()
             for entry in directory.servers(service)
             if entry.live
         }
-        return all(server.name in known for server in self.servers if server.running)
+        return all(
+            server.name in live_servers for server in self.servers if server.running
+        )
 
     @staticmethod
     async def _poll_until(condition: Callable[[], Any]) -> None:
         async with asyncio.timeout(_READY_TIMEOUT_S):
-            # Readiness is asked over HTTP, so there is no event to wait for.
+            # Readiness is polled over HTTP, so there is no event to wait for.
             while not await condition():  # noqa: ASYNC110
                 await asyncio.sleep(_POLL_INTERVAL_S)
 
 
 def shards_of(group: Group, number: int) -> tuple[int, ...]:
-    """Return the shards of one server: each is on `replicas` successive servers."""
+    """Return the shards of one server: each is on `replicas` consecutive servers."""
     return tuple(
         shard
         for shard in range(group.shard_count)
--- a/packages/cli/src/kingcuplug_cli/_main.py
+++ b/packages/cli/src/kingcuplug_cli/_main.py
@@ -73,7 +73,7 @@
     soak = Soak
 
     def demo(self, example: str = "examples/kavango") -> None:
-        """Run the main job on loopback and print what happens."""
+        """Run queries and orders on a local deployment and print the answers."""
         asyncio.run(run_demo(Path(example)))
 
     def drain(self) -> Invocation:
@@ -82,7 +82,7 @@
 
     @parse_as_strings("request_id")
     def explain(self, request_id: str, *files: str) -> Invocation:
-        """Tell the story of one request from the hosts' log files."""
+        """Show the timeline of one request from the hosts' log files."""
         return self._invocations.local_invocation(explain, request_id, files)
 
     def hosts(self) -> Invocation:
@@ -104,14 +104,14 @@
 
 def main(arguments: Sequence[str] | None = None) -> None:
     """Run the program and exit with the code of its result."""
-    given = list(sys.argv[1:] if arguments is None else arguments)
-    if given in (["--help"], ["-h"]):
-        given = []  # fire then lists the commands and not only the options.
-    # An invocation runs only after all arguments were understood, so that a
-    # misspelt option does not follow a change that was already made.
+    command_line = list(sys.argv[1:] if arguments is None else arguments)
+    if command_line in (["--help"], ["-h"]):
+        command_line = []  # fire then lists the commands, not only the options.
+    # An invocation runs only after all arguments are parsed. Otherwise a change
+    # would be made before fire reports a misspelt option.
     result = fire.Fire(
         Commands,
-        command=add_switch_values(given),
+        command=add_switch_values(command_line),
         name="kingcuplug",
         serialize=lambda value: None if isinstance(value, Invocation) else value,
     )
--- a/packages/cli/src/kingcuplug_cli/_order_receipt_commands.py
+++ b/packages/cli/src/kingcuplug_cli/_order_receipt_commands.py
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderRecord:
-    """What the ledger knows of an order."""
+    """State of an order in the ledger."""
 
     key: str
     state: str | None
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VerifiedReceipt:
-    """A receipt whose signature holds.
+    """A receipt with a valid signature.
 
     Attributes
     ----------
@@ -46,7 +46,7 @@
     exit_code: ExitCode = ExitCode.DONE
 
     def lines(self) -> Iterator[str]:
-        """Yield what the receipt proves."""
+        """Yield the signer and the signed fields."""
         receipt = self.receipt
         yield f"valid: signed by {self.key_host}, {format_time(receipt.time_ms)}"
         yield f"  request {receipt.request_id} to {receipt.service}: {receipt.outcome}"
@@ -95,7 +95,7 @@
 
 
 async def show_order(client: OperatorClient, key: str) -> OrderRecord:
-    """Return what the ledger knows of an order."""
+    """Return the state of an order in the ledger."""
     fields = await client.call("orders/show", {"key": key})
     return OrderRecord(fields["key"], fields["state"], fields["explanation"])
 
@@ -107,7 +107,7 @@
 
 
 async def rotate_key(client: OperatorClient) -> RotateResult:
-    """Let the asked host sign with a new key."""
+    """Create a new signing key on the asked host."""
     fields = await client.call("keys/rotate", mutating=True)
     return RotateResult(fields["key_id"])
 
@@ -122,30 +122,32 @@
     """
     content = _read_json_object(file)
     answer = content if isinstance(content.get("receipt"), dict) else None
-    signed = content if answer is None else answer["receipt"]
+    signed_receipt = content if answer is None else answer["receipt"]
     keys = (await list_keys(client)).keys
     verifier = Verifier({key.key_id: bytes.fromhex(key.public_key) for key in keys})
     try:
-        receipt = verifier.verify(signed)
+        receipt = verifier.verify(signed_receipt)
     except ReceiptInvalid as error:
         raise CommandRefused(error.message, error.remedy, "ReceiptInvalid") from error
     if answer is not None:
         _require_matching_answer(answer, receipt)
     hosts = {key.key_id: key.host for key in keys}
-    return VerifiedReceipt(receipt, hosts[signed["key_id"]], answer is not None)
+    return VerifiedReceipt(receipt, hosts[signed_receipt["key_id"]], answer is not None)
 
 
 def _require_matching_answer(answer: dict[str, Any], receipt: Receipt) -> None:
     refusal = answer.get("refusal")
     if isinstance(refusal, dict):
-        told = digest(refusal.get("reason"))
-        stated = {"outcome": refusal.get("kind")}
+        answer_digest = digest(refusal.get("reason"))
+        answer_fields = {"outcome": refusal.get("kind")}
     else:
-        told = digest(answer.get("value"))
-        stated = {n: answer.get(n) for n in ("snapshot", "coverage", "revision")}
-    stated["request_id"] = answer.get("request_id")
-    differing = [n for n, value in stated.items() if value != getattr(receipt, n)]
-    if told != receipt.answer_digest:
+        answer_digest = digest(answer.get("value"))
+        answer_fields = {n: answer.get(n) for n in ("snapshot", "coverage", "revision")}
+    answer_fields["request_id"] = answer.get("request_id")
+    differing = [
+        n for n, value in answer_fields.items() if value != getattr(receipt, n)
+    ]
+    if answer_digest != receipt.answer_digest:
         differing.append("answer_digest")
     if differing:
         raise CommandRefused(
--- a/packages/cli/src/kingcuplug_cli/_results.py
+++ b/packages/cli/src/kingcuplug_cli/_results.py
@@ -20,7 +20,7 @@
 
 
 class ExitCode(IntEnum):
-    """What the exit code of the program says."""
+    """Exit codes of the program."""
 
     DONE = 0
     REFUSED = 1
@@ -30,14 +30,14 @@
 
 
 class Result(Protocol):
-    """What a command found or did; a dataclass, so that it can become JSON."""
+    """Result of a command; a dataclass, so that it can be printed as JSON."""
 
     @property
     def exit_code(self) -> ExitCode:
         """Exit code of the program."""
 
     def lines(self) -> Iterator[str]:
-        """Yield the result for a person."""
+        """Yield the result as lines of readable text."""
 
 
 class CommandError(KingcuplugError):
@@ -47,7 +47,7 @@
 
 
 class CommandRefused(CommandError):
-    """The system refused; nothing was changed.
+    """The host refused the command; nothing was changed.
 
     Parameters
     ----------
@@ -82,6 +82,6 @@
 
 
 class Unreachable(CommandError):
-    """No host answered that could decide; nothing was changed."""
+    """No host could execute the command; nothing was changed."""
 
     exit_code = ExitCode.UNREACHABLE
--- a/packages/cli/src/kingcuplug_cli/_soak.py
+++ b/packages/cli/src/kingcuplug_cli/_soak.py
@@ -1,4 +1,4 @@
-"""The fault soak: run seeds, run one again, report."""
+"""Commands of the soak test with random faults: run, replay and report."""
 
 import asyncio
 import dataclasses
@@ -11,12 +11,12 @@
 
 _RESULTS_FILE = Path("soak-results.jsonl")
 _PARALLEL_RUNS = (
-    3  # A soak starts a handful of processes; more at once slow each other down.
+    3  # Each run starts several processes; more runs at once slow each other.
 )
 
 
 class Soak:
-    """Randomized faults against real processes on loopback.
+    """Run random faults against real processes on loopback.
 
     Violations make the exit code 1. Each result is appended to a file of JSON lines.
     """
@@ -52,15 +52,15 @@
         sys.exit(1 if outcome.violations else 0)
 
     def report(self, results: str = str(_RESULTS_FILE)) -> None:
-        """Sum up the results so far."""
-        lines = [orjson.loads(line) for line in Path(results).read_bytes().splitlines()]
-        failed = [line for line in lines if line["violations"]]
-        served = sum(line["served"] for line in lines)
-        asked = sum(line["asked"] for line in lines)
-        print(f"{len(lines)} runs, {len(failed)} with violations")
+        """Summarize the results file."""
+        runs = [orjson.loads(line) for line in Path(results).read_bytes().splitlines()]
+        failed = [run for run in runs if run["violations"]]
+        served = sum(run["served"] for run in runs)
+        asked = sum(run["asked"] for run in runs)
+        print(f"{len(runs)} runs, {len(failed)} with violations")
         print(f"{served} of {asked} requests served")
-        for line in failed:
-            _print_run(line)
+        for run in failed:
+            _print_run(run)
 
 
 async def _run_seeds(
@@ -68,12 +68,12 @@
 ) -> int:
     from kingcuplug_soak import SoakSettings, soak
 
-    gate = asyncio.Semaphore(_PARALLEL_RUNS)
+    run_slots = asyncio.Semaphore(_PARALLEL_RUNS)
     failed = 0
 
-    async def one(seed: int) -> None:
+    async def run_seed(seed: int) -> None:
         nonlocal failed
-        async with gate:
+        async with run_slots:
             outcome = await soak(SoakSettings(seed, duration_s, hosts, disks))
         line = dataclasses.asdict(outcome)
         failed += bool(outcome.violations)
@@ -81,7 +81,7 @@
             file.write(orjson.dumps(line, option=orjson.OPT_APPEND_NEWLINE))
         _print_run(line)
 
-    await asyncio.gather(*map(one, seeds))
+    await asyncio.gather(*map(run_seed, seeds))
     return failed
 
 
--- a/packages/cli/src/kingcuplug_cli/_standin.py
+++ b/packages/cli/src/kingcuplug_cli/_standin.py
@@ -1,7 +1,7 @@
 """Stand-in backend servers for the demo, the load tool and tests.
 
-They speak the documented backend server interface and misbehave on request, with
-the limits that the users state: slots, connections and a cost per connection.
+They implement the documented backend server interface, with faults on request and
+the limits of the users' servers: slots, connections and a cost per connection.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Behaviour:
-    """How a stand-in serves; may be changed while it runs.
+    """Service times, queue limit and faults of a stand-in; may be changed at run time.
 
     Attributes
     ----------
@@ -40,7 +40,7 @@
     cold_ms : float
         After a start, service times fall from `cold_factor` to 1 in this time.
     reported_load : float or None
-        What ``/load`` says in place of the truth.
+        Load that ``/load`` reports in place of the real one.
     """
 
     service_time_ms: float = 2.0
@@ -57,12 +57,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Journal:
-    """Ground truth of what stand-ins really did.
+    """Ground truth: counts of the work that stand-ins really executed.
 
     Attributes
     ----------
     orders : Counter
-        Runs per idempotency key; more than one is a doubled order.
+        Executions per idempotency key; more than one is a duplicate execution.
     received : Counter
         Sub-requests received per request id.
     started, executed : Counter
@@ -79,7 +79,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StandInService:
-    """Sizes of a service's servers, as the users state them."""
+    """Limits of the servers of one service."""
 
     name: str
     slots: int
@@ -88,26 +88,26 @@
 
 
 def expected_value(service: str, snapshot: int, shard: int, body: Any) -> str:
-    """Return the only right value of one shard of one snapshot."""
+    """Return the only correct value of one shard of one snapshot."""
     return digest([service, snapshot, shard, body])[:16]
 
 
 class StandIn:
-    """One backend server.
+    """One stand-in backend server.
 
     Parameters
     ----------
     name : str
         Its name, unique over all services.
     service : StandInService
-        What it serves and its limits.
+        Service that it belongs to, and its limits.
     availability_zone : str
-        Where it is.
+        Its availability zone.
     holdings : dict
         Shards per snapshot: snapshot → (shard count, shards).
-    journal : Journal
-        Ground truth.
-    balancer : callable
+    execution_counts : Journal
+        Counts that it shares with other stand-ins.
+    entry_url : callable
         Returns the base URL of some entry host.
     seed : int
         Seed of its service times.
@@ -170,7 +170,7 @@
         return self._listener is not None
 
     async def start(self) -> None:
-        """Serve and announce, with a new incarnation."""
+        """Start to serve and to announce, with a new incarnation."""
         self._incarnation += 1
         self._sequence = 0
         self._state = "serving"
@@ -192,7 +192,7 @@
             await listener.stop()
 
     async def crash(self) -> None:
-        """End as a killed process does: all connections break, nothing is said."""
+        """Abort all connections without a withdrawal, as a killed process does."""
         if self._listener is None:
             return
         listener, self._listener = self._listener, None
@@ -202,18 +202,18 @@
         await self._stop_announcing()
 
     def drain(self) -> None:
-        """Ask for no new work; what is in flight goes on."""
+        """Announce the draining state; work in flight goes on."""
         self._state = "draining"
         self._announcement_changed.set()
 
     async def withdraw(self) -> None:
-        """Say goodbye."""
+        """Announce the withdrawal."""
         self._state = "withdrawn"
         self._announcement_changed.set()
         await asyncio.sleep(0)
 
     def hold(self, holdings: dict[int, tuple[int, tuple[int, ...]]]) -> None:
-        """Change the held snapshots."""
+        """Replace the held snapshots and announce them."""
         self.holdings = holdings
         self._announcement_changed.set()
 
@@ -277,7 +277,7 @@
     async def _renew_lease(
         self, session: aiohttp.ClientSession, renew_address: str
     ) -> None:
-        """Renew until the lease is lost or something changed."""
+        """Renew until the lease is lost or the announcement changed."""
         scheme = "http" if self._tls is None else "https"
         url = f"{scheme}://{renew_address}/v1/servers/renew"
         fields = {
@@ -342,25 +342,25 @@
         self._execution_counts.totals["received"] += 1
         self.last_new_work = asyncio.get_running_loop().time()
         await asyncio.sleep(latency_s)
-        echo = {
+        echoed_fields = {
             name: fields[name]
             for name in ("attempt_id", "snapshot", "shard", "shard_count")
         }
-        held = self.holdings.get(fields["snapshot"])
-        if held is None or held[0] != fields["shard_count"]:
-            return echo | {"status": "snapshot_gone"}
-        if fields["shard"] not in held[1]:
-            return echo | {"status": "snapshot_gone"}
+        holding = self.holdings.get(fields["snapshot"])
+        if holding is None or holding[0] != fields["shard_count"]:
+            return echoed_fields | {"status": "snapshot_gone"}
+        if fields["shard"] not in holding[1]:
+            return echoed_fields | {"status": "snapshot_gone"}
         if self._state == "withdrawn" or self._queued >= self.behaviour.queue_limit:
             self._execution_counts.totals["shed"] += 1
-            return echo | {"status": "shed"}
+            return echoed_fields | {"status": "shed"}
         task = asyncio.ensure_future(self._execute_in_slot(fields))
         self._attempts[fields["attempt_id"]] = task
         try:
-            reply = echo | await task
+            reply = echoed_fields | await task
         except asyncio.CancelledError:
             self._execution_counts.totals["cancelled"] += 1
-            reply = echo | {"status": "failed"}
+            reply = echoed_fields | {"status": "failed"}
         finally:
             del self._attempts[fields["attempt_id"]]
         await asyncio.sleep(latency_s)
@@ -415,17 +415,17 @@
         if self.behaviour.cold_ms <= 0:
             return 1.0
         age_ms = (asyncio.get_running_loop().time() - self._started_at) * _MS_PER_S
-        left = max(1.0 - age_ms / self.behaviour.cold_ms, 0.0)
-        return 1.0 + (self.behaviour.cold_factor - 1.0) * left
+        remaining_share = max(1.0 - age_ms / self.behaviour.cold_ms, 0.0)
+        return 1.0 + (self.behaviour.cold_factor - 1.0) * remaining_share
 
 
 async def _read_body(receive: Any) -> bytes:
-    parts = []
+    chunks = []
     while True:
         message = await receive()
-        parts.append(message.get("body", b""))
+        chunks.append(message.get("body", b""))
         if not message.get("more_body"):
-            return b"".join(parts)
+            return b"".join(chunks)
 
 
 async def _send_response(send: Any, value: Any) -> None:
--- a/packages/cli/src/kingcuplug_cli/_trace.py
+++ b/packages/cli/src/kingcuplug_cli/_trace.py
@@ -1,4 +1,4 @@
-"""The waterfall of one request, from the spans of a trace file."""
+"""Waterfall of one request from the spans of a trace file."""
 
 import dataclasses
 from collections.abc import Iterable, Iterator
@@ -38,13 +38,13 @@
     def lines(self) -> Iterator[str]:
         """Yield one line with a bar per span."""
         yield f"request {self.request_id}, trace {self.trace}"
-        end = max(span.offset_us + span.duration_us for span in self.spans)
+        end_us = max(span.offset_us + span.duration_us for span in self.spans)
         width = max(2 * span.depth + len(span.name) for span in self.spans)
         for span in self.spans:
             name = f"{'  ' * span.depth}{span.name}".ljust(width)
             fields = " ".join(f"{key}={value}" for key, value in span.fields.items())
             yield (
-                f"{name} |{_bar(span, end)}| {span.offset_us / _US_PER_MS:8.2f} ms "
+                f"{name} |{_bar(span, end_us)}| {span.offset_us / _US_PER_MS:8.2f} ms "
                 f"+{span.duration_us / _US_PER_MS:.2f} ms  {fields}"
             ).rstrip()
 
@@ -77,7 +77,7 @@
             "not have been sampled (trace_share)",
             "NoSuchTrace",
         )
-    # Two requests with one id, as after a resend, are two traces; the last counts.
+    # A resent request has the same id and another trace; the last trace is shown.
     trace = next(s["trace"] for s in reversed(spans) if s["trace"] in traces)
     return Waterfall(
         request_id, trace, tuple(_span_rows([s for s in spans if s["trace"] == trace]))
@@ -85,24 +85,24 @@
 
 
 def _span_rows(spans: list[dict[str, Any]]) -> Iterator[SpanRow]:
-    known = {span["span"] for span in spans}
+    span_ids = {span["span"] for span in spans}
     children: dict[str | None, list[dict[str, Any]]] = {}
     for span in sorted(spans, key=lambda span: span["start_us"]):
-        parent = span["parent"] if span["parent"] in known else None
+        parent = span["parent"] if span["parent"] in span_ids else None
         children.setdefault(parent, []).append(span)
-    begin = min(span["start_us"] for span in spans)
-    open_spans = [(span, 0) for span in reversed(children.get(None, []))]
-    while open_spans:
-        span, depth = open_spans.pop()
+    first_start_us = min(span["start_us"] for span in spans)
+    pending = [(span, 0) for span in reversed(children.get(None, []))]
+    while pending:
+        span, depth = pending.pop()
         yield SpanRow(
             span["name"],
             depth,
-            span["start_us"] - begin,
+            span["start_us"] - first_start_us,
             span["duration_us"],
             span["fields"],
         )
-        below = children.get(span["span"], [])
-        open_spans += [(child, depth + 1) for child in reversed(below)]
+        child_spans = children.get(span["span"], [])
+        pending += [(child, depth + 1) for child in reversed(child_spans)]
 
 
 def _read_spans(file: str) -> Iterable[dict[str, Any]]:
