--- a/tests/cli/conftest.py
+++ b/tests/cli/conftest.py
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ProgramRun:
-    """What one run of the program printed and how it ended."""
+    """Exit code and output of one run of the program."""
 
     exit_code: int
     out: str
@@ -31,13 +31,13 @@
 
 @pytest.fixture(scope="package")
 def deployment(tmp_path_factory: pytest.TempPathFactory) -> Iterator[RunningDeployment]:
-    """Return the deployment that the tests of this folder share."""
+    """Return the deployment shared by the tests of this folder."""
     with shared(tmp_path_factory.mktemp("deployment")) as running:
         yield running
 
 
 @pytest.fixture
-def program(
+def run_program(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> RunProgram:
     """Return a function that runs `kingcuplug` with the given arguments."""
@@ -45,22 +45,22 @@
 
     def run(*arguments: str) -> ProgramRun:
         capsys.readouterr()
-        with pytest.raises(SystemExit) as ended:
+        with pytest.raises(SystemExit) as exited:
             main(arguments)
-        printed = capsys.readouterr()
-        return ProgramRun(int(ended.value.code or 0), printed.out, printed.err)
+        captured = capsys.readouterr()
+        return ProgramRun(int(exited.value.code or 0), captured.out, captured.err)
 
     return run
 
 
 @pytest.fixture
-def operator(
-    program: RunProgram,
+def run_as_operator(
+    run_program: RunProgram,
     deployment: Any,
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> RunProgram:
-    """Return the program, connected by the settings file of the environment."""
+    """Return `run_program` with host and token set by a client settings file."""
     token = tmp_path / "token"
     token.write_text("operator-secret\n")
     settings = tmp_path / "client.json"
@@ -68,4 +68,4 @@
         json.dumps({"host": deployment.address(), "token_file": str(token)})
     )
     monkeypatch.setenv("KINGCUPLUG_CLIENT", str(settings))
-    return program
+    return run_program
--- a/tests/cli/test_examples.py
+++ b/tests/cli/test_examples.py
@@ -1,4 +1,4 @@
-"""The examples must load as they are, at the users' stated sizes."""
+"""Tests that the examples load and have the users' stated sizes."""
 
 from pathlib import Path
 
@@ -26,22 +26,24 @@
 
 @pytest.mark.parametrize("name", sorted(_STATED_SIZES))
 def test_example_loads(name: str) -> None:
-    # Guards against examples that no longer match the settings or the text.
+    # Guards against examples that no longer match the settings or text format.
     folder = _EXAMPLES / name
     hosts = [load_settings(path) for path in sorted(folder.glob("hosts/*.json"))]
     assert len(hosts) == 10
     assert sum("control" in host.roles for host in hosts) == 5
     services = parse((folder / "configuration.json").read_text()).services
     sizes = load_sizes(folder / "servers.json")
-    sized = {service for group in sizes.groups for service in group.services}
-    assert sized == set(services)
+    services_with_servers = {
+        service for group in sizes.groups for service in group.services
+    }
+    assert services_with_servers == set(services)
 
 
 @pytest.mark.parametrize("name", sorted(_STATED_SIZES))
 def test_example_has_the_stated_sizes(name: str) -> None:
-    # Guards against measuring a deployment other than the users' own.
+    # Guards against measuring a deployment of other sizes than the users'.
     sizes = load_sizes(_EXAMPLES / name / "servers.json")
-    found = {
+    sizes_found = {
         (
             len(group.services),
             group.servers,
@@ -51,4 +53,4 @@
         )
         for group in sizes.groups
     }
-    assert found == _STATED_SIZES[name]
+    assert sizes_found == _STATED_SIZES[name]
--- a/tests/cli/test_pages.py
+++ b/tests/cli/test_pages.py
@@ -1,4 +1,4 @@
-"""The documentation pages say what the code does."""
+"""Tests that the documentation pages match the code."""
 
 import json
 import re
@@ -20,20 +20,20 @@
 SECOND_MEMBER = "entry-02/0123456789abcdef"
 
 
-def test_the_table_of_refusals_is_the_codes():
+def test_documented_refusals_match_code():
     """Guards against callers that rely on a reason or status that is not sent."""
     page = (DOCS / "interfaces.md").read_text()
     rows = re.findall(r"^\| `(\w+)` \| (\d{3}) \| (?:`\w+`|both) \|", page, re.M)
-    told = {reason: int(status) for reason, status in rows}
-    coded = {
+    documented = {reason: int(status) for reason, status in rows}
+    implemented = {
         reason.value: status_of(Refusal(RefusalKind.NOT_RUN, reason, "", ""))
         for reason in RefusalReason
     }
-    assert told == coded
-    assert len(rows) == len(coded)
+    assert documented == implemented
+    assert len(rows) == len(implemented)
 
 
-def test_the_table_of_exit_codes_is_the_codes():
+def test_documented_exit_codes_match_code():
     """Guards against scripts that misread an exit code."""
     page = (DOCS / "operating.md").read_text()
     section = page[page.index("## 9. Exit codes") :]
@@ -50,7 +50,7 @@
 
 
 @pytest.fixture
-def blank_hosts(deployment: Any, tmp_path: Path) -> Iterator[list[Host]]:
+def unbootstrapped_hosts(deployment: Any, tmp_path: Path) -> Iterator[list[Host]]:
     """Return two hosts of a system that is not bootstrapped."""
 
     async def start() -> list[Host]:
@@ -74,14 +74,14 @@
         deployment.run(host.stop(grace_ms=0))
 
 
-def test_every_command_of_the_operating_page_works(
-    operator: Any,
+def test_every_command_of_operating_page_succeeds(
+    run_as_operator: Any,
     deployment: Any,
-    blank_hosts: list[Host],
+    unbootstrapped_hosts: list[Host],
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ):
-    """Guards against a page whose commands fail when they are needed."""
+    """Guards against documented commands that fail."""
     monkeypatch.chdir(tmp_path)
     _, answer = deployment.call("stock", "query", {"body": 1})
     (tmp_path / "answer.json").write_text(json.dumps(answer))
@@ -90,19 +90,19 @@
     span |= {"duration_us": 1, "fields": {"request_id": "request-1"}}
     (tmp_path / "trace.jsonl").write_text(json.dumps(span))
     (tmp_path / "client.json").write_text(
-        json.dumps({"host": blank_hosts[0].caller_address})
+        json.dumps({"host": unbootstrapped_hosts[0].caller_address})
     )
     token = f"--token-file={tmp_path / 'token'}"
     commands = _operating_page_commands()
     assert len(commands) >= 20
     for command in commands:
-        member = deployment.run(_member_id(blank_hosts[1]))
-        line = command.replace(SECOND_HOST, blank_hosts[1].peer_address)
+        member = deployment.run(_member_id(unbootstrapped_hosts[1]))
+        line = command.replace(SECOND_HOST, unbootstrapped_hosts[1].peer_address)
         words = shlex.split(line.replace(SECOND_MEMBER, member))[1:]
         if words[0] == "receipt":
             # The receipt comes from the deployment that has backend servers.
             words += ["--host", deployment.address(), token]
-        run = operator(*words)
+        run = run_as_operator(*words)
         assert run.exit_code == 0, f"{command}: {run.err or run.out}"
 
 
--- a/tests/cli/test_trace.py
+++ b/tests/cli/test_trace.py
@@ -1,4 +1,4 @@
-"""The waterfall of a request."""
+"""Tests of the waterfall of a request."""
 
 import json
 from pathlib import Path
@@ -34,9 +34,9 @@
     return path
 
 
-def test_spans_follow_their_parents_in_order_of_time(program: Any, trace_file: Path):
-    """Guards against a waterfall that hides which hop a delay belongs to."""
-    run = program("trace", "show", str(trace_file), "r1", "--json")
+def test_spans_follow_parents_in_time_order(run_program: Any, trace_file: Path):
+    """Guards against a waterfall that attributes a delay to the wrong span."""
+    run = run_program("trace", "show", str(trace_file), "r1", "--json")
     assert run.exit_code == 0
     rows = [(s["name"], s["depth"], s["offset_us"]) for s in run.fields["spans"]]
     assert rows == [
@@ -45,20 +45,20 @@
         ("sub-request", 2, 1_000),
         ("sub-request", 2, 1_500),
     ]
-    lines = program("trace", "show", str(trace_file), "r1").out.splitlines()
+    lines = run_program("trace", "show", str(trace_file), "r1").out.splitlines()
     assert lines[3].startswith("    sub-request |")
     assert lines[3].endswith("shard=0")
 
 
-def test_an_unknown_request_is_refused(program: Any, trace_file: Path):
+def test_unknown_request_is_refused(run_program: Any, trace_file: Path):
     """Guards against an empty waterfall that looks like a fast request."""
-    run = program("trace", "show", str(trace_file), "r3")
+    run = run_program("trace", "show", str(trace_file), "r3")
     assert run.exit_code == 1
     assert "trace_share" in run.err
 
 
-def test_a_file_of_something_else_is_wrong_usage(program: Any, tmp_path: Path):
+def test_file_without_spans_is_wrong_usage(run_program: Any, tmp_path: Path):
     """Guards against a stack trace for a misnamed file."""
     path = tmp_path / "other.txt"
     path.write_text("not\na trace\n")
-    assert program("trace", "show", str(path), "r1").exit_code == 2
+    assert run_program("trace", "show", str(path), "r1").exit_code == 2
--- a/tests/cli/test_usage.py
+++ b/tests/cli/test_usage.py
@@ -1,4 +1,4 @@
-"""Wrong usage and hosts that cannot be reached."""
+"""Tests of wrong usage and of hosts that cannot be reached."""
 
 import json
 import socket
@@ -11,37 +11,37 @@
 
 @pytest.fixture
 def closed_address() -> str:
-    """Return an address at which nobody listens."""
-    with socket.socket() as held:
-        held.bind(("127.0.0.1", 0))
-        return f"127.0.0.1:{held.getsockname()[1]}"
+    """Return an address on which nothing listens."""
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        return f"127.0.0.1:{listener.getsockname()[1]}"
 
 
 @pytest.mark.parametrize("arguments", [(), ("--help",)])
 def test_help_lists_the_commands(
     capsys: pytest.CaptureFixture[str], arguments: tuple[str, ...]
 ):
-    """Guards against a help that names options and no command."""
+    """Guards against help that lists options but no commands."""
     main(arguments)
     assert "config" in capsys.readouterr().out
 
 
-def test_a_host_that_does_not_run_ends_with_4(program: Any, closed_address: str):
-    """Guards against a script that takes "nobody answered" for a refusal."""
-    run = program("hosts", "--host", closed_address)
+def test_unreachable_host_exits_with_4(run_program: Any, closed_address: str):
+    """Guards against scripts that mistake an unreachable host for a refusal."""
+    run = run_program("hosts", "--host", closed_address)
     assert run.exit_code == 4
     assert closed_address in run.err
     assert "check that the host runs" in run.err
 
 
-def test_no_change_is_sent_when_no_host_answers(
-    program: Any, closed_address: str, tmp_path: Path
+def test_apply_to_unreachable_host_exits_with_4(
+    run_program: Any, closed_address: str, tmp_path: Path
 ):
-    """Guards against calling an apply's outcome unknown though nothing was sent."""
+    """Guards against an unknown outcome for a change that was never sent."""
     text = tmp_path / "text.json"
     text.write_text('{"services": {}}')
     arguments = ["--base-revision", "1", "--host", closed_address]
-    assert program("config", "apply", str(text), *arguments).exit_code == 4
+    assert run_program("config", "apply", str(text), *arguments).exit_code == 4
 
 
 @pytest.mark.parametrize(
@@ -61,68 +61,70 @@
         ("trace", "show", "/nonexistent/trace", "request"),
     ],
 )
-def test_wrong_usage_ends_with_2(program: Any, arguments: tuple[str, ...]):
+def test_wrong_usage_exits_with_2(run_program: Any, arguments: tuple[str, ...]):
     """Guards against wrong usage that looks like an unreachable host."""
-    assert program(*arguments).exit_code == 2
+    assert run_program(*arguments).exit_code == 2
 
 
-def test_a_surplus_word_runs_nothing(operator: Any, tmp_path: Path):
-    """Guards against an apply that is done before its arguments are understood."""
+def test_surplus_argument_runs_nothing(run_as_operator: Any, tmp_path: Path):
+    """Guards against an apply that runs before all arguments are parsed."""
     text = tmp_path / "text.json"
     text.write_text('{"services": {}}')
-    before = operator("config", "show", "--json").fields["number"]
-    assert operator("config", "apply", str(text), str(before)).exit_code == 2
-    assert operator("config", "show", "--json").fields["number"] == before
+    before = run_as_operator("config", "show", "--json").fields["number"]
+    assert run_as_operator("config", "apply", str(text), str(before)).exit_code == 2
+    assert run_as_operator("config", "show", "--json").fields["number"] == before
 
 
 def test_malformed_client_settings_name_the_variable(
-    program: Any, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    run_program: Any, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ):
     """Guards against a stack trace for a misspelt settings file."""
     settings = tmp_path / "client.json"
     for content in ("{", "[]", '{"hosts": "127.0.0.1:1"}', '{"host": 7}'):
         settings.write_text(content)
         monkeypatch.setenv("KINGCUPLUG_CLIENT", str(settings))
-        run = program("hosts")
+        run = run_program("hosts")
         assert run.exit_code == 2, content
         assert run.err.startswith("kingcuplug: ")
 
 
-def test_options_go_before_the_settings_file(operator: Any, closed_address: str):
-    """Guards against a command that goes to another host than the one named."""
-    assert operator("hosts").exit_code == 0
-    assert operator("hosts", "--host", closed_address).exit_code == 4
+def test_options_override_settings_file(run_as_operator: Any, closed_address: str):
+    """Guards against a command that ignores --host."""
+    assert run_as_operator("hosts").exit_code == 0
+    assert run_as_operator("hosts", "--host", closed_address).exit_code == 4
 
 
-def test_json_errors_carry_the_exit_code(program: Any, closed_address: str):
+def test_json_errors_include_exit_code(run_program: Any, closed_address: str):
     """Guards against errors that scripts cannot read under --json."""
-    run = program("hosts", "--host", closed_address, "--json")
+    run = run_program("hosts", "--host", closed_address, "--json")
     fields = json.loads(run.err)
     assert fields["exit_code"] == run.exit_code == 4
     assert fields["error"] == "Unreachable"
     assert fields["remedy"]
 
 
-def test_a_switch_does_not_take_the_next_word(program: Any, tmp_path: Path):
+def test_switch_does_not_consume_next_argument(run_program: Any, tmp_path: Path):
     """Guards against `--json FILE` reading FILE as the switch's value."""
     text = tmp_path / "text.json"
     text.write_text('{"services": {"trims": {}}}')
-    run = program("config", "check", "--json", str(text))
+    run = run_program("config", "check", "--json", str(text))
     assert run.exit_code == 0
     assert run.fields == {"services": 1, "faults": []}
 
 
-def test_a_wrong_token_is_refused(operator: Any, tmp_path: Path):
+def test_wrong_token_is_refused(run_as_operator: Any, tmp_path: Path):
     """Guards against operators' commands without the operators' token."""
     wrong = tmp_path / "wrong"
     wrong.write_text("announce-secret")
-    run = operator("hosts", "--token-file", str(wrong), "--json")
+    run = run_as_operator("hosts", "--token-file", str(wrong), "--json")
     assert run.exit_code == 1
     assert "bearer token" in json.loads(run.err)["message"]
 
 
-def test_the_peer_address_is_named_as_the_mistake(operator: Any, deployment: Any):
-    """Guards against a bare 404 when the wrong listener is asked."""
-    run = operator("hosts", "--host", deployment.local.hosts[0].peer_address)
+def test_error_at_peer_address_names_caller_address(
+    run_as_operator: Any, deployment: Any
+):
+    """Guards against an unexplained 404 from the wrong listener."""
+    run = run_as_operator("hosts", "--host", deployment.local.hosts[0].peer_address)
     assert run.exit_code == 4
     assert "caller_address" in run.err
