--- a/packages/cli/src/kingcuplug_cli/_command_groups.py
+++ b/packages/cli/src/kingcuplug_cli/_command_groups.py
@@ -87,7 +87,7 @@
     """The control hosts: bootstrap, add, remove, status."""
 
     def bootstrap(self) -> Invocation:
-        """Bootstrap a cluster on the asked host."""
+        """Bootstrap a cluster on the target host."""
         return self._invocations.remote_invocation(_control_commands.bootstrap)
 
     @parse_as_strings("address", "role")
@@ -113,7 +113,7 @@
         return self._invocations.remote_invocation(list_keys)
 
     def rotate(self) -> Invocation:
-        """Create a new signing key on the asked host."""
+        """Create a new signing key on the target host."""
         return self._invocations.remote_invocation(rotate_key)
 
 
--- a/packages/cli/src/kingcuplug_cli/_config_results.py
+++ b/packages/cli/src/kingcuplug_cli/_config_results.py
@@ -218,7 +218,7 @@
     ----------
     changed_since_base : tuple of str or None
         Services that changed between the base and the revision in force;
-        ``None`` if that is no longer known.
+        ``None`` if that is no longer available.
     difference : tuple of str
         What the refused text would change against the revision in force.
     """
--- a/packages/cli/src/kingcuplug_cli/_control_commands.py
+++ b/packages/cli/src/kingcuplug_cli/_control_commands.py
@@ -54,7 +54,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ControlStatus:
-    """Status of the group as reported by the leader or, without one, the asked host.
+    """Status of the group as reported by the leader or, without one, the target host.
 
     Attributes
     ----------
@@ -99,7 +99,7 @@
 
 
 async def bootstrap(client: OperatorClient) -> BootstrapResult:
-    """Bootstrap a cluster on the asked host and wait until it is the leader.
+    """Bootstrap a cluster on the target host and wait until it is the leader.
 
     `control add`, the next command of a first start, needs the leader.
     """
@@ -127,7 +127,7 @@
 
 
 async def status(client: OperatorClient) -> ControlStatus:
-    """Return the status from the leader or, without one, from the asked host."""
+    """Return the status from the leader or, without one, from the target host."""
     try:
         return ControlStatus(True, await client.call("control/leader/show"))
     except Unreachable as error:
--- a/packages/cli/src/kingcuplug_cli/_demo.py
+++ b/packages/cli/src/kingcuplug_cli/_demo.py
@@ -62,7 +62,7 @@
     for fields in (order, order | {"resend": True}):
         status, answer = await deployment.call("counter-01", "order", fields)
         _print_answer(f"order {key}: {status}", answer)
-    print(f"  the backend servers ran it {deployment.journal.orders[key]} time(s)")
+    print(f"  the servers ran it {deployment.journal.orders[key]} time(s)")
     shown = await deployment.call_operator(
         deployment.hosts[0], "orders/show", {"key": key}
     )
--- a/packages/cli/src/kingcuplug_cli/_host_commands.py
+++ b/packages/cli/src/kingcuplug_cli/_host_commands.py
@@ -76,7 +76,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostStatus:
-    """State and counters of the host that was asked."""
+    """State and counters of the target host."""
 
     fields: dict[str, Any]
     exit_code: ExitCode = ExitCode.DONE
@@ -106,11 +106,11 @@
 
 
 async def drain_host(client: OperatorClient) -> DrainResult:
-    """Begin the graceful shutdown of the host that is asked."""
+    """Begin the graceful shutdown of the target host."""
     fields = await client.call("drain", mutating=True)
     return DrainResult(client.host, fields["in_flight"])
 
 
 async def host_status(client: OperatorClient) -> HostStatus:
-    """Return state and counters of the host that is asked."""
+    """Return state and counters of the target host."""
     return HostStatus(await client.call("status"))
--- a/packages/cli/src/kingcuplug_cli/_invocation.py
+++ b/packages/cli/src/kingcuplug_cli/_invocation.py
@@ -77,7 +77,7 @@
     Parameters
     ----------
     options : Mapping
-        Connection options as they were given.
+        Connection options from the command line.
     as_json : bool
         Whether results are printed as JSON.
     """
--- a/packages/cli/src/kingcuplug_cli/_local.py
+++ b/packages/cli/src/kingcuplug_cli/_local.py
@@ -96,7 +96,7 @@
     servers : list of StandIn
         Running stand-ins.
     journal : Journal
-        Counts of the work that the stand-ins really executed.
+        Counts of the work that the stand-ins executed.
     """
 
     def __init__(
--- a/packages/cli/src/kingcuplug_cli/_main.py
+++ b/packages/cli/src/kingcuplug_cli/_main.py
@@ -77,7 +77,7 @@
         asyncio.run(run_demo(Path(example)))
 
     def drain(self) -> Invocation:
-        """Shut the asked host down gracefully."""
+        """Shut the target host down gracefully."""
         return self._invocations.remote_invocation(drain_host)
 
     @parse_as_strings("request_id")
@@ -95,7 +95,7 @@
         return self._invocations.remote_invocation(list_servers, service)
 
     def status(self) -> Invocation:
-        """Show state and counters of the asked host."""
+        """Show state and counters of the target host."""
         return self._invocations.remote_invocation(host_status)
 
 
--- a/packages/cli/src/kingcuplug_cli/_order_receipt_commands.py
+++ b/packages/cli/src/kingcuplug_cli/_order_receipt_commands.py
@@ -37,7 +37,7 @@
     Attributes
     ----------
     answer_checked : bool
-        Whether the file held the whole answer, which matches the receipt.
+        Whether the file held the complete answer, which then matches the receipt.
     """
 
     receipt: Receipt
@@ -107,7 +107,7 @@
 
 
 async def rotate_key(client: OperatorClient) -> RotateResult:
-    """Create a new signing key on the asked host."""
+    """Create a new signing key on the target host."""
     fields = await client.call("keys/rotate", mutating=True)
     return RotateResult(fields["key_id"])
 
@@ -118,7 +118,7 @@
     Parameters
     ----------
     file : str
-        A receipt or a whole answer as JSON; ``-`` reads standard input.
+        A receipt or a complete answer as JSON; ``-`` reads standard input.
     """
     content = _read_json_object(file)
     answer = content if isinstance(content.get("receipt"), dict) else None
--- a/packages/cli/src/kingcuplug_cli/_results.py
+++ b/packages/cli/src/kingcuplug_cli/_results.py
@@ -54,7 +54,7 @@
     kind : str
         Name of the error at the host.
     fields : dict, optional
-        The whole answer.
+        All fields of the host's answer.
     """
 
     def __init__(
--- a/packages/cli/src/kingcuplug_cli/_standin.py
+++ b/packages/cli/src/kingcuplug_cli/_standin.py
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Journal:
-    """Ground truth: counts of the work that stand-ins really executed.
+    """Ground truth: counts of the work that stand-ins executed.
 
     Attributes
     ----------
@@ -66,7 +66,7 @@
     received : Counter
         Sub-requests received per request id.
     started, executed : Counter
-        Sub-requests begun, and executed to the end, per request id.
+        Sub-requests started and completed, per request id.
     """
 
     orders: Counter[str] = dataclasses.field(default_factory=Counter)
