--- a/packages/cli/src/kingcuplug_cli/_invocation.py
+++ b/packages/cli/src/kingcuplug_cli/_invocation.py
@@ -1,4 +1,4 @@
-"""Running one command and printing its result."""
+"""Run one command and print its result."""
 
 import asyncio
 import dataclasses
--- a/packages/cli/src/kingcuplug_cli/_local.py
+++ b/packages/cli/src/kingcuplug_cli/_local.py
@@ -121,8 +121,8 @@
         self._folder = folder or Path(
             str(self._temporary_folder and self._temporary_folder.name)
         )
-        self._entry_hosts = entry_hosts
-        self._control_hosts = control_hosts
+        self._entry_host_count = entry_hosts
+        self._control_host_count = control_hosts
         self._seed = seed
         self._routing_policy = routing_policy
         self._operator_token = operator_token
@@ -132,7 +132,7 @@
         self._membership_settings = membership_settings
         self._host_fields = host_fields or {}
         self._next_entry_index = 0
-        self._seeds: tuple[str, ...] = ()
+        self._control_seeds: tuple[str, ...] = ()
         self._http: aiohttp.ClientSession | None = None
 
     # Lifecycle
@@ -148,11 +148,11 @@
 
     async def start_control_hosts(self) -> None:
         """Start the control hosts and bootstrap the log."""
-        self.hosts += [self.make_host(n) for n in range(self._control_hosts)]
-        self._seeds = tuple(host.peer_address for host in self.hosts)
+        self.hosts += [self.make_host(n) for n in range(self._control_host_count)]
+        self._control_seeds = tuple(host.peer_address for host in self.hosts)
         for host in self.hosts:
             host.settings = host.settings.model_copy(
-                update={"control_seeds": self._seeds}
+                update={"control_seeds": self._control_seeds}
             )
             await host.start()
         first = self.hosts[0]
@@ -165,7 +165,7 @@
 
     async def start_entry_hosts(self) -> None:
         """Start the hosts that have the entry role only."""
-        for number in range(self._control_hosts, self._entry_hosts):
+        for number in range(self._control_host_count, self._entry_host_count):
             host = self.make_host(number)
             self.hosts.append(host)
             await host.start()
@@ -189,9 +189,9 @@
     def make_host(self, number: int) -> Host:
         """Return a host that is not started; equal numbers share a data folder."""
         roles = []
-        if number < self._control_hosts:
+        if number < self._control_host_count:
             roles.append("control")
-        if number < self._entry_hosts:
+        if number < self._entry_host_count:
             roles.append("entry")
         zones = self.spec.availability_zones
         name = f"host-{number + 1:02}"
@@ -203,7 +203,7 @@
             "caller_address": previous.caller_address if previous else "127.0.0.1:0",
             "peer_address": previous.peer_address if previous else "127.0.0.1:0",
             "data_folder": self._folder / name if "control" in roles else None,
-            "control_seeds": self._seeds,
+            "control_seeds": self._control_seeds,
             "operator_token_file": self._write_token_file(),
             "caller_tls": self._tls,
             "peer_tls": self._tls,
