--- a/packages/cli/src/kingcuplug_cli/_config_results.py
+++ b/packages/cli/src/kingcuplug_cli/_config_results.py
@@ -7,31 +7,31 @@
 from kingcuplug_cli._results import ExitCode
 
 __all__ = [
-    "Applied",
     "ApplyConflict",
-    "Checked",
-    "Difference",
-    "Fault",
-    "History",
-    "HistoryRow",
+    "ApplyResult",
+    "CheckResult",
+    "CurrentConfiguration",
+    "DiffResult",
     "HostRow",
-    "InForce",
-    "Shown",
-    "time_text",
+    "InForceStatus",
+    "RevisionHistory",
+    "RevisionRow",
+    "TextFault",
+    "format_time",
 ]
 
-_MILLISECONDS = 1_000
-_SHORT_DIGEST = 12
+_MS_PER_S = 1_000
+_SHORT_DIGEST_CHARACTERS = 12
 
 
-def time_text(time_ms: int) -> str:
-    """Return a wall clock time for a person."""
-    moment = datetime.fromtimestamp(time_ms / _MILLISECONDS, UTC)
+def format_time(time_ms: int) -> str:
+    """Return a wall clock time in readable form."""
+    moment = datetime.fromtimestamp(time_ms / _MS_PER_S, UTC)
     return moment.strftime("%Y-%m-%d %H:%M:%S UTC")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Fault:
+class TextFault:
     """One fault of a configuration text."""
 
     path: str
@@ -40,15 +40,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Checked:
-    """Whether a text is valid."""
+class CheckResult:
+    """Whether a configuration text is valid, and its faults."""
 
     services: int
-    faults: tuple[Fault, ...] = ()
+    faults: tuple[TextFault, ...] = ()
 
     @property
     def exit_code(self) -> ExitCode:
-        """Refused if there are faults."""
+        """``REFUSED`` if there are faults."""
         return ExitCode.REFUSED if self.faults else ExitCode.DONE
 
     def lines(self) -> Iterator[str]:
@@ -62,8 +62,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Difference:
-    """What a text would change."""
+class DiffResult:
+    """Changes that a text would make to the revision in force."""
 
     revision: int
     differs: bool
@@ -80,7 +80,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Shown:
+class CurrentConfiguration:
     """The configuration in force.
 
     Attributes
@@ -102,13 +102,14 @@
         if not self.raw:
             yield (
                 f"revision {self.number} by {self.author or 'nobody'}, "
-                f"{time_text(self.time_ms)}, digest {self.digest[:_SHORT_DIGEST]}"
+                f"{format_time(self.time_ms)}, "
+                f"digest {self.digest[:_SHORT_DIGEST_CHARACTERS]}"
             )
         yield self.text
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HistoryRow:
+class RevisionRow:
     """One accepted revision."""
 
     revision: int
@@ -118,17 +119,17 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class History:
+class RevisionHistory:
     """Accepted revisions, the newest first."""
 
-    revisions: tuple[HistoryRow, ...]
+    revisions: tuple[RevisionRow, ...]
     exit_code: ExitCode = ExitCode.DONE
 
     def lines(self) -> Iterator[str]:
         """Yield one line per revision."""
         for row in self.revisions:
             yield (
-                f"revision {row.revision}  {time_text(row.time_ms)}  "
+                f"revision {row.revision}  {format_time(row.time_ms)}  "
                 f"{row.short_digest}  {row.author}"
             )
         if not self.revisions:
@@ -146,7 +147,7 @@
     control_host: str
 
     def line(self) -> str:
-        """Return the host for a person."""
+        """Return the host as one line of readable text."""
         return (
             f"  {self.host}  {self.availability_zone}  confirmed revision "
             f"{self.confirmed_revision}  session at {self.control_host}"
@@ -154,8 +155,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class InForce:
-    """Whether a revision is in force everywhere."""
+class InForceStatus:
+    """Whether a revision is in force on all hosts."""
 
     revision: int
     in_force: bool
@@ -164,7 +165,7 @@
     exit_code: ExitCode = ExitCode.DONE
 
     def lines(self) -> Iterator[str]:
-        """Yield the verdict and the hosts."""
+        """Yield whether the revision is in force, and one line per host."""
         if self.in_force:
             yield f"revision {self.revision} is in force everywhere"
         else:
@@ -175,26 +176,26 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Applied:
+class ApplyResult:
     """An accepted change.
 
     Attributes
     ----------
     unchanged : bool
         Whether the text was in force already, so that nothing was sent.
-    in_force : InForce or None
-        The wait's end, if one was asked for.
+    in_force : InForceStatus or None
+        Status when the wait ended, or ``None`` if no wait was requested.
     """
 
     revision: int
     change_id: str
     resends: int
     unchanged: bool = False
-    in_force: InForce | None = None
+    in_force: InForceStatus | None = None
 
     @property
     def exit_code(self) -> ExitCode:
-        """Unknown if the change was accepted but is not in force everywhere."""
+        """``OUTCOME_UNKNOWN`` if the accepted change is not in force on all hosts."""
         if self.in_force is None or self.in_force.in_force:
             return ExitCode.DONE
         return ExitCode.OUTCOME_UNKNOWN
@@ -211,13 +212,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ApplyConflict:
-    """Another change was accepted first; nothing was changed.
+    """A change that was refused because another one was accepted first.
 
     Attributes
     ----------
     changed_since_base : tuple of str or None
         Services that changed between the base and the revision in force;
-        ``None`` if that is no longer known.
+        ``None`` if that is no longer available.
     difference : tuple of str
         What the refused text would change against the revision in force.
     """
@@ -231,10 +232,10 @@
     exit_code: ExitCode = ExitCode.REFUSED
 
     def lines(self) -> Iterator[str]:
-        """Yield the winner, what differs, and the remedy."""
+        """Yield the accepted change, the differences and the remedy."""
         yield (
             f"conflict: revision {self.current_revision} by "
-            f"{self.winner_author or 'nobody'}, {time_text(self.winner_time_ms)}, "
+            f"{self.winner_author or 'nobody'}, {format_time(self.winner_time_ms)}, "
             f"is in force, not base revision {self.base_revision}"
         )
         if self.changed_since_base is None:
@@ -245,6 +246,6 @@
         yield "your text would change now:"
         yield from (f"  {change}" for change in self.difference)
         yield (
-            "take the other change into your text, then apply it with "
+            "merge the other change into your text, then apply it with "
             f"--base-revision {self.current_revision}"
         )
--- a/packages/cli/src/kingcuplug_cli/_connection.py
+++ b/packages/cli/src/kingcuplug_cli/_connection.py
@@ -1,4 +1,4 @@
-"""How the program reaches a host."""
+"""Connection options and the HTTP client of the operators' interface."""
 
 import os
 import ssl
@@ -17,13 +17,13 @@
     WrongUsage,
 )
 
-__all__ = ["SETTINGS_VARIABLE", "Connection", "OperatorClient", "connection_of"]
+__all__ = ["SETTINGS_VARIABLE", "Connection", "OperatorClient", "load_connection"]
 
 SETTINGS_VARIABLE = "KINGCUPLUG_CLIENT"
 _DEFAULT_TIMEOUT_S = 15.0
 _CONNECT_TIMEOUT_S = 3.0
-# A host that starts or has no leader behind it has changed nothing.
-_NOTHING_DONE = frozenset(("Starting", "NoLeader", "NotLeader"))
+# Errors of a host that is still starting or reaches no leader; it changed nothing.
+_NOT_EXECUTED_ERRORS = frozenset(("Starting", "NoLeader", "NotLeader"))
 
 
 class Connection(BaseModel):
@@ -46,33 +46,35 @@
     ca_file: Path | None = None
 
 
-def connection_of(
+def load_connection(
     options: Mapping[str, str | None], environment: Mapping[str, str] = os.environ
 ) -> Connection:
-    """Return the options, completed from the settings file of the environment.
+    """Return the options, with defaults from the file that the environment names.
 
     Raises
     ------
     WrongUsage
         If the file or an option cannot be used.
     """
-    given = {name: value for name, value in options.items() if value is not None}
+    explicit_options = {
+        name: value for name, value in options.items() if value is not None
+    }
     path = environment.get(SETTINGS_VARIABLE)
-    stored: Any = {}
+    stored_options: Any = {}
     if path:
         try:
-            stored = orjson.loads(Path(path).read_bytes())
+            stored_options = orjson.loads(Path(path).read_bytes())
         except (OSError, orjson.JSONDecodeError) as error:
             raise WrongUsage(
                 f"client settings {path} cannot be read: {error}",
                 f"correct the file or unset {SETTINGS_VARIABLE}",
             ) from error
     try:
-        return Connection.model_validate({**stored, **given})
+        return Connection.model_validate({**stored_options, **explicit_options})
     except (ValidationError, TypeError) as error:
         raise WrongUsage(
-            f"the connection options cannot be used: {error}",
-            "give host, token_file and ca_file as texts",
+            f"the connection options are invalid: {error}",
+            "pass host, token_file and ca_file as strings",
         ) from error
 
 
@@ -92,15 +94,18 @@
                 f"pass --host ip:port, or name a file in {SETTINGS_VARIABLE}",
             )
         self.host = connection.host
-        self._headers = {"Content-Type": "application/json", **_token(connection)}
-        self._context = _context(connection.ca_file)
+        self._headers = {
+            "Content-Type": "application/json",
+            **_authorization_header(connection),
+        }
+        self._ssl_context = _make_ssl_context(connection.ca_file)
 
     async def call(
         self,
         path: str,
         fields: dict[str, Any] | None = None,
         *,
-        changes: bool = False,
+        mutating: bool = False,
         timeout_s: float = _DEFAULT_TIMEOUT_S,
     ) -> dict[str, Any]:
         """Post to an operators' endpoint and return its answer.
@@ -108,15 +113,15 @@
         Parameters
         ----------
         changes : bool
-            Whether the call changes anything; a lost answer then leaves its
-            outcome unknown.
+            Whether the call changes state; if its answer is lost, the outcome is
+            unknown.
 
         Raises
         ------
         CommandRefused
-            If the system refused.
+            If the host refused the call.
         Unreachable
-            If nothing was done because no host could be asked.
+            If no host could execute the call; nothing was changed.
         OutcomeUnknown
             If the answer to a change was lost.
         """
@@ -124,23 +129,25 @@
             status, body = await self._post(path, fields or {}, timeout_s)
         except aiohttp.ClientConnectorError as error:
             raise Unreachable(
-                f"host {self.host} accepts no connection: {error}",
+                f"cannot connect to host {self.host}: {error}",
                 "check that the host runs, --host, and --ca-file if it serves TLS",
             ) from error
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
-            raise self._lost(f"{type(error).__name__} {error}", changes) from error
-        return self._read(status, body, changes)
+            raise self._lost_answer_error(
+                f"{type(error).__name__} {error}", mutating
+            ) from error
+        return self._parse_answer(status, body, mutating)
 
     async def _post(
         self, path: str, fields: dict[str, Any], timeout_s: float
     ) -> tuple[int, bytes]:
-        scheme = "http" if self._context is None else "https"
+        scheme = "http" if self._ssl_context is None else "https"
         url = f"{scheme}://{self.host}/v1/operator/{path}"
         timeout = aiohttp.ClientTimeout(
             total=timeout_s, sock_connect=_CONNECT_TIMEOUT_S
         )
         connector = aiohttp.TCPConnector(
-            ssl=True if self._context is None else self._context
+            ssl=True if self._ssl_context is None else self._ssl_context
         )
         async with (
             aiohttp.ClientSession(connector=connector, timeout=timeout) as session,
@@ -150,42 +157,47 @@
         ):
             return response.status, await response.read()
 
-    def _read(self, status: int, body: bytes, changes: bool) -> dict[str, Any]:
+    def _parse_answer(self, status: int, body: bytes, mutating: bool) -> dict[str, Any]:
         try:
             answer = orjson.loads(body)
         except orjson.JSONDecodeError:
             answer = None
         if status == 404 and answer is None:
             raise Unreachable(
-                f"host {self.host} has no operators' interface here",
+                f"host {self.host} does not serve operators at this address",
                 "pass its caller_address, not its peer_address",
             )
         if not isinstance(answer, dict):
-            raise self._lost(f"HTTP status {status} without a JSON object", changes)
+            raise self._lost_answer_error(
+                f"HTTP status {status} without a JSON object", mutating
+            )
         if status == 200:
             return answer
         kind = str(answer.get("error", status))
         message = str(answer.get("message", f"HTTP status {status}"))
         remedy = str(answer.get("remedy", "try again shortly"))
         if kind == "OutcomeUnknown":
-            raise self._lost(message, changes)
-        if kind in _NOTHING_DONE:
+            raise self._lost_answer_error(message, mutating)
+        if kind in _NOT_EXECUTED_ERRORS:
             raise Unreachable(message, remedy)
         raise CommandRefused(message, remedy, kind, answer)
 
-    def _lost(self, cause: str, changes: bool) -> OutcomeUnknown | Unreachable:
-        if changes:
+    def _lost_answer_error(
+        self, cause: str, mutating: bool
+    ) -> OutcomeUnknown | Unreachable:
+        if mutating:
             return OutcomeUnknown(
                 f"host {self.host} did not answer, so the change may have been made:"
                 f" {cause}",
-                "look at the present state before you repeat the command",
+                "check the current state before you repeat the command",
             )
         return Unreachable(
-            f"host {self.host} did not answer: {cause}", "ask again, or another host"
+            f"host {self.host} did not answer: {cause}",
+            "try again, or use another host",
         )
 
 
-def _token(connection: Connection) -> dict[str, str]:
+def _authorization_header(connection: Connection) -> dict[str, str]:
     if connection.token_file is None:
         return {}
     try:
@@ -202,7 +214,7 @@
     return {"Authorization": f"Bearer {token}"}
 
 
-def _context(ca_file: Path | None) -> ssl.SSLContext | None:
+def _make_ssl_context(ca_file: Path | None) -> ssl.SSLContext | None:
     if ca_file is None:
         return None
     try:
@@ -212,6 +224,7 @@
             f"CA file {ca_file} cannot be used: {error}",
             "name a PEM file with the authority's certificate",
         ) from error
-    # Hosts are addressed by IP number; the private authority vouches for them.
+    # Hosts are addressed by IP address, so only the certificate chain is verified,
+    # against the private authority.
     context.check_hostname = False
     return context
--- a/packages/cli/src/kingcuplug_cli/_hosts.py
+++ b/packages/cli/src/kingcuplug_cli/_host_commands.py
@@ -1,4 +1,4 @@
-"""Commands about hosts and backend servers."""
+"""Commands that list, show and drain hosts, and list backend servers."""
 
 import dataclasses
 from collections.abc import Iterator
@@ -8,11 +8,11 @@
 from kingcuplug_cli._connection import OperatorClient
 from kingcuplug_cli._results import ExitCode
 
-__all__ = ["drain", "hosts", "servers", "status"]
+__all__ = ["drain_host", "host_status", "list_hosts", "list_servers"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Hosts:
+class HostList:
     """Entry hosts with a running lease."""
 
     hosts: tuple[HostRow, ...]
@@ -41,8 +41,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Servers:
-    """Backend servers that the control host knows."""
+class ServerList:
+    """Backend servers in the directory of the control host."""
 
     servers: tuple[ServerRow, ...]
     exit_code: ExitCode = ExitCode.DONE
@@ -59,15 +59,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Drained:
-    """The graceful shutdown of a host began."""
+class DrainResult:
+    """A host whose graceful shutdown has begun."""
 
     host: str
     in_flight: int
     exit_code: ExitCode = ExitCode.DONE
 
     def lines(self) -> Iterator[str]:
-        """Yield what happens next."""
+        """Yield the host and its number of requests in flight."""
         yield (
             f"host at {self.host} drains and then ends: {self.in_flight} requests "
             "in flight are finished first"
@@ -76,7 +76,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostStatus:
-    """State and counters of the host that was asked."""
+    """State and counters of the target host."""
 
     fields: dict[str, Any]
     exit_code: ExitCode = ExitCode.DONE
@@ -90,25 +90,27 @@
             yield f"  {name}: {value}"
 
 
-async def hosts(client: OperatorClient) -> Hosts:
+async def list_hosts(client: OperatorClient) -> HostList:
     """Return the entry hosts with a running lease."""
     fields = await client.call("hosts/show")
-    return Hosts(tuple(HostRow(**row) for row in fields["hosts"]))
+    return HostList(tuple(HostRow(**row) for row in fields["hosts"]))
 
 
-async def servers(client: OperatorClient, service: str | None = None) -> Servers:
+async def list_servers(
+    client: OperatorClient, service: str | None = None
+) -> ServerList:
     """Return the backend servers, of one service or all."""
     fields = await client.call("servers/show")
     rows = (ServerRow(**row) for row in fields["servers"])
-    return Servers(tuple(r for r in rows if service is None or r.service == service))
+    return ServerList(tuple(r for r in rows if service is None or r.service == service))
 
 
-async def drain(client: OperatorClient) -> Drained:
-    """Begin the graceful shutdown of the host that is asked."""
-    fields = await client.call("drain", changes=True)
-    return Drained(client.host, fields["in_flight"])
+async def drain_host(client: OperatorClient) -> DrainResult:
+    """Begin the graceful shutdown of the target host."""
+    fields = await client.call("drain", mutating=True)
+    return DrainResult(client.host, fields["in_flight"])
 
 
-async def status(client: OperatorClient) -> HostStatus:
-    """Return state and counters of the host that is asked."""
+async def host_status(client: OperatorClient) -> HostStatus:
+    """Return state and counters of the target host."""
     return HostStatus(await client.call("status"))
--- a/packages/cli/src/kingcuplug_cli/_invocation.py
+++ b/packages/cli/src/kingcuplug_cli/_invocation.py
@@ -1,4 +1,4 @@
-"""Running of one command and printing of its result."""
+"""Run one command and print its result."""
 
 import asyncio
 import dataclasses
@@ -10,10 +10,10 @@
 import fire
 from kingcuplug_common import KingcuplugError
 
-from kingcuplug_cli._connection import OperatorClient, connection_of
+from kingcuplug_cli._connection import OperatorClient, load_connection
 from kingcuplug_cli._results import ExitCode, Result
 
-__all__ = ["Invocation", "Program", "plain_texts", "spell_switches"]
+__all__ = ["Invocation", "InvocationFactory", "add_switch_values", "parse_as_strings"]
 
 _SWITCHES = frozenset(("--json", "--wait", "--raw"))
 
@@ -22,24 +22,24 @@
 
 
 class Invocation:
-    """A command whose arguments were understood and that has not run yet.
+    """A command whose arguments are parsed and that has not run yet.
 
     Parameters
     ----------
-    work : callable
+    command : callable
         Runs the command.
     as_json : bool
         Whether the result is printed as JSON.
     """
 
-    def __init__(self, work: Callable[[], Awaitable[Result]], as_json: bool) -> None:
-        self._work = work
+    def __init__(self, command: Callable[[], Awaitable[Result]], as_json: bool) -> None:
+        self._command = command
         self._as_json = as_json
 
     def _run(self) -> int:
         """Run the command, print its result and return the exit code."""
         try:
-            result = asyncio.run(self._result())
+            result = asyncio.run(self._await_command())
         except KingcuplugError as error:
             code = getattr(error, "exit_code", ExitCode.REFUSED)
             print(self._error_text(error, code), file=sys.stderr)
@@ -55,8 +55,8 @@
                 print(line)
         return int(result.exit_code)
 
-    async def _result(self) -> Result:
-        return await self._work()
+    async def _await_command(self) -> Result:
+        return await self._command()
 
     def _error_text(self, error: KingcuplugError, code: ExitCode) -> str:
         if not self._as_json:
@@ -71,13 +71,13 @@
         return json.dumps(fields, indent=2)
 
 
-class Program:
-    """The connection options and the form of the output.
+class InvocationFactory:
+    """Creates invocations with the connection options and the output format.
 
     Parameters
     ----------
     options : Mapping
-        Connection options as they were given.
+        Connection options from the command line.
     as_json : bool
         Whether results are printed as JSON.
     """
@@ -86,7 +86,7 @@
         self._options = options
         self._as_json = as_json
 
-    def local(
+    def local_invocation(
         self,
         function: Callable[_Parameters, Awaitable[Result]],
         *args: _Parameters.args,
@@ -95,23 +95,23 @@
         """Return the invocation of a command that needs no host."""
         return Invocation(lambda: function(*args, **kwargs), self._as_json)
 
-    def remote(
+    def remote_invocation(
         self,
         function: Callable[Concatenate[OperatorClient, _Parameters], Awaitable[Result]],
         *args: _Parameters.args,
         **kwargs: _Parameters.kwargs,
     ) -> Invocation:
-        """Return the invocation of a command that asks a host."""
+        """Return the invocation of a command that calls a host."""
 
-        async def work() -> Result:
-            client = OperatorClient(connection_of(self._options))
+        async def run_command() -> Result:
+            client = OperatorClient(load_connection(self._options))
             return await function(client, *args, **kwargs)
 
-        return Invocation(work, self._as_json)
+        return Invocation(run_command, self._as_json)
 
 
-def plain_texts(*names: str) -> Callable[[_Function], _Function]:
-    """Take arguments as texts, where fire would read numbers or lists."""
+def parse_as_strings(*names: str) -> Callable[[_Function], _Function]:
+    """Parse the named arguments as strings, where fire would make numbers or lists."""
 
     def decorate(function: _Function) -> _Function:
         fire.decorators.SetParseFns(**dict.fromkeys(names, str))(function)
@@ -120,9 +120,9 @@
     return decorate
 
 
-def spell_switches(arguments: Sequence[str]) -> list[str]:
-    """Return the arguments with a value for each switch.
+def add_switch_values(arguments: Sequence[str]) -> list[str]:
+    """Return the arguments with an explicit value for each switch.
 
-    Otherwise fire would take a word that follows a switch as its value.
+    Without it, fire takes the argument after a switch as the value of the switch.
     """
     return [f"{word}=True" if word in _SWITCHES else word for word in arguments]
--- a/packages/cli/src/kingcuplug_cli/_soak.py
+++ b/packages/cli/src/kingcuplug_cli/_soak.py
@@ -1,4 +1,4 @@
-"""The fault soak: run seeds, run one again, report."""
+"""Commands of the soak test with random faults: run, replay and report."""
 
 import asyncio
 import dataclasses
@@ -9,12 +9,14 @@
 
 __all__ = ["Soak"]
 
-_RESULTS = Path("soak-results.jsonl")
-_JOBS = 3  # A soak starts a handful of processes; more at once slow each other down.
+_RESULTS_FILE = Path("soak-results.jsonl")
+_PARALLEL_RUNS = (
+    3  # Each run starts several processes; more runs at once slow each other.
+)
 
 
 class Soak:
-    """Randomized faults against real processes on loopback.
+    """Run random faults against real processes on loopback.
 
     Violations make the exit code 1. Each result is appended to a file of JSON lines.
     """
@@ -26,11 +28,11 @@
         duration_s: float = 12.0,
         hosts: int = 5,
         disks: int = 3,
-        results: str = str(_RESULTS),
+        results: str = str(_RESULTS_FILE),
     ) -> None:
         """Run consecutive seeds, three at a time."""
         failed = asyncio.run(
-            _run_all(
+            _run_seeds(
                 range(first, first + seeds), duration_s, hosts, disks, Path(results)
             )
         )
@@ -45,45 +47,45 @@
         Path(folder).mkdir(parents=True, exist_ok=True)
         settings = SoakSettings(seed, duration_s, hosts, folder=Path(folder))
         outcome = asyncio.run(soak(settings))
-        _print(dataclasses.asdict(outcome))
+        _print_run(dataclasses.asdict(outcome))
         print("\n".join(outcome.troubles))
         sys.exit(1 if outcome.violations else 0)
 
-    def report(self, results: str = str(_RESULTS)) -> None:
-        """Sum up the results so far."""
-        lines = [orjson.loads(line) for line in Path(results).read_bytes().splitlines()]
-        failed = [line for line in lines if line["violations"]]
-        served = sum(line["served"] for line in lines)
-        asked = sum(line["asked"] for line in lines)
-        print(f"{len(lines)} runs, {len(failed)} with violations")
+    def report(self, results: str = str(_RESULTS_FILE)) -> None:
+        """Summarize the results file."""
+        runs = [orjson.loads(line) for line in Path(results).read_bytes().splitlines()]
+        failed = [run for run in runs if run["violations"]]
+        served = sum(run["served"] for run in runs)
+        asked = sum(run["asked"] for run in runs)
+        print(f"{len(runs)} runs, {len(failed)} with violations")
         print(f"{served} of {asked} requests served")
-        for line in failed:
-            _print(line)
+        for run in failed:
+            _print_run(run)
 
 
-async def _run_all(
+async def _run_seeds(
     seeds: range, duration_s: float, hosts: int, disks: int, results: Path
 ) -> int:
     from kingcuplug_soak import SoakSettings, soak
 
-    gate = asyncio.Semaphore(_JOBS)
+    run_slots = asyncio.Semaphore(_PARALLEL_RUNS)
     failed = 0
 
-    async def one(seed: int) -> None:
+    async def run_seed(seed: int) -> None:
         nonlocal failed
-        async with gate:
+        async with run_slots:
             outcome = await soak(SoakSettings(seed, duration_s, hosts, disks))
         line = dataclasses.asdict(outcome)
         failed += bool(outcome.violations)
         with results.open("ab") as file:
             file.write(orjson.dumps(line, option=orjson.OPT_APPEND_NEWLINE))
-        _print(line)
+        _print_run(line)
 
-    await asyncio.gather(*map(one, seeds))
+    await asyncio.gather(*map(run_seed, seeds))
     return failed
 
 
-def _print(line: dict[str, object]) -> None:
+def _print_run(line: dict[str, object]) -> None:
     violations = line["violations"]
     assert isinstance(violations, list)
     print(
--- a/tests/cli/conftest.py
+++ b/tests/cli/conftest.py
@@ -13,10 +13,10 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Run:
-    """What one run of the program printed and how it ended."""
+class ProgramRun:
+    """Exit code and output of one run of the program."""
 
-    code: int
+    exit_code: int
     out: str
     err: str
 
@@ -26,38 +26,41 @@
         return json.loads(self.out)
 
 
-Program = Callable[..., Run]
+RunProgram = Callable[..., ProgramRun]
 
 
 @pytest.fixture(scope="package")
 def deployment(tmp_path_factory: pytest.TempPathFactory) -> Iterator[RunningDeployment]:
-    """Return the deployment that the tests of this folder share."""
+    """Return the deployment shared by the tests of this folder."""
     with shared(tmp_path_factory.mktemp("deployment")) as running:
         yield running
 
 
 @pytest.fixture
-def program(
+def run_program(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
-) -> Program:
+) -> RunProgram:
     """Return a function that runs `kingcuplug` with the given arguments."""
     monkeypatch.delenv("KINGCUPLUG_CLIENT", raising=False)
 
-    def run(*arguments: str) -> Run:
+    def run(*arguments: str) -> ProgramRun:
         capsys.readouterr()
-        with pytest.raises(SystemExit) as ended:
+        with pytest.raises(SystemExit) as exited:
             main(arguments)
-        printed = capsys.readouterr()
-        return Run(int(ended.value.code or 0), printed.out, printed.err)
+        captured = capsys.readouterr()
+        return ProgramRun(int(exited.value.code or 0), captured.out, captured.err)
 
     return run
 
 
 @pytest.fixture
-def operator(
-    program: Program, deployment: Any, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> Program:
-    """Return the program, connected by the settings file of the environment."""
+def run_as_operator(
+    run_program: RunProgram,
+    deployment: Any,
+    tmp_path: Path,
+    monkeypatch: pytest.MonkeyPatch,
+) -> RunProgram:
+    """Return `run_program` with host and token set by a client settings file."""
     token = tmp_path / "token"
     token.write_text("operator-secret\n")
     settings = tmp_path / "client.json"
@@ -65,4 +68,4 @@
         json.dumps({"host": deployment.address(), "token_file": str(token)})
     )
     monkeypatch.setenv("KINGCUPLUG_CLIENT", str(settings))
-    return program
+    return run_program
