--- a/packages/common/src/kingcuplug_common/__init__.py
+++ b/packages/common/src/kingcuplug_common/__init__.py
@@ -8,8 +8,8 @@
 from typing import TYPE_CHECKING, Any
 
 from kingcuplug_common._clock import boot_time, wall_ms
-from kingcuplug_common._counters import Metrics, send_state_changes_to, state_change
-from kingcuplug_common._digest import canonical, digest, identifier
+from kingcuplug_common._condition import Signal
+from kingcuplug_common._digests import canonical, digest, identifier
 from kingcuplug_common._errors import (
     KingcuplugError,
     Refusal,
@@ -17,8 +17,8 @@
     RefusalReason,
     not_run,
 )
-from kingcuplug_common._events import EventLog
-from kingcuplug_common._signal import Signal
+from kingcuplug_common._event_log import EventLog
+from kingcuplug_common._metrics import Metrics, send_state_changes_to, state_change
 
 if TYPE_CHECKING:
     from kingcuplug_common._exposition import exposition
@@ -43,8 +43,8 @@
         traceparent,
     )
     from kingcuplug_common._telemetry import (
-        TraceFile,
-        log_to,
+        TraceFileExporter,
+        log_to_file,
         propagator,
         tracer,
     )
@@ -64,7 +64,7 @@
     "Signal",
     "Signer",
     "TlsSettings",
-    "TraceFile",
+    "TraceFileExporter",
     "Verifier",
     "boot_time",
     "canonical",
@@ -74,7 +74,7 @@
     "identifier",
     "key_id",
     "load_settings",
-    "log_to",
+    "log_to_file",
     "not_run",
     "propagator",
     "request_span",
@@ -91,7 +91,7 @@
     "_receipts": ("Receipt", "ReceiptInvalid", "Signer", "Verifier", "key_id"),
     "_settings": ("HostSettings", "SettingsInvalid", "TlsSettings", "load_settings"),
     "_spans": ("Hop", "entering", "request_span", "start_hop", "traceparent"),
-    "_telemetry": ("TraceFile", "log_to", "propagator", "tracer"),
+    "_telemetry": ("TraceFileExporter", "log_to_file", "propagator", "tracer"),
 }
 _MODULE_OF = {
     name: module for module, names in _LOADED_ON_USE.items() for name in names
--- a/packages/common/src/kingcuplug_common/_signal.py
+++ b/packages/common/src/kingcuplug_common/_condition.py
@@ -39,13 +39,13 @@
             while not condition():
                 if expired:
                     return False
-                await self._next(loop)
+                await self._wait_for_notify(loop)
         finally:
             if timer is not None:
                 timer.cancel()
         return True
 
-    async def _next(self, loop: asyncio.AbstractEventLoop) -> None:
+    async def _wait_for_notify(self, loop: asyncio.AbstractEventLoop) -> None:
         waiter = loop.create_future()
         self._waiters[waiter] = None
         try:
--- a/packages/common/src/kingcuplug_common/_events.py
+++ b/packages/common/src/kingcuplug_common/_event_log.py
@@ -22,21 +22,21 @@
 LINES_PER_S = 20.0
 FLUSH_INTERVAL_S = 0.25
 BUFFER_BYTES = 262_144  # A fraction of the smallest host's memory.
-WRITE_BYTES = 65_536  # Capacity of a pipe.
+MAX_WRITE_BYTES = 65_536  # Capacity of a pipe.
 _US_PER_S = 1_000_000
 
 
-class _Rate:
-    __slots__ = ("filled_at", "suppressed", "tokens")
+class _TokenBucket:
+    __slots__ = ("refilled_at", "suppressed", "tokens")
 
     def __init__(self, now: float) -> None:
         self.tokens = float(BURST_LINES)
-        self.filled_at = now
+        self.refilled_at = now
         self.suppressed = 0
 
-    def take(self, now: float) -> bool:
-        gained = (now - self.filled_at) * LINES_PER_S
-        self.filled_at = now
+    def try_acquire(self, now: float) -> bool:
+        gained = (now - self.refilled_at) * LINES_PER_S
+        self.refilled_at = now
         self.tokens = min(BURST_LINES, self.tokens + gained)
         if self.tokens < 1:
             self.suppressed += 1
@@ -64,10 +64,10 @@
     def __init__(self, descriptor: int, host: str) -> None:
         self._descriptor = descriptor
         self._host = host
-        self._rates: dict[str, _Rate] = {}
-        self._lines: deque[bytes] = deque()
-        self._waiting_bytes = 0
-        self._rest = b""
+        self._buckets: dict[str, _TokenBucket] = {}
+        self._queued_lines: deque[bytes] = deque()
+        self._buffered_bytes = 0
+        self._unwritten = b""
         self.dropped = 0
         with contextlib.suppress(OSError):
             os.set_blocking(descriptor, False)
@@ -78,7 +78,7 @@
         Spares building the fields of a line that would not be written; the line is
         then written with `always`.
         """
-        return self._rate(kind).take(time.monotonic())
+        return self._bucket(kind).try_acquire(time.monotonic())
 
     def write(self, kind: str, fields: dict[str, Any], always: bool = False) -> None:
         """Queue one line, unless its kind exceeds its rate.
@@ -89,8 +89,8 @@
             Skips the rate, for rare events such as start and stop.
         """
         now = time.monotonic()
-        rate = self._rate(kind)
-        if not always and not rate.take(now):
+        rate = self._bucket(kind)
+        if not always and not rate.try_acquire(now):
             return
         line = {
             "event": kind,
@@ -104,29 +104,29 @@
         if self.dropped:
             line["dropped"] = self.dropped
         data = orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE)
-        if self._waiting_bytes + len(data) > BUFFER_BYTES:
+        if self._buffered_bytes + len(data) > BUFFER_BYTES:
             self.dropped += 1
             return
-        self._lines.append(data)
-        self._waiting_bytes += len(data)
+        self._queued_lines.append(data)
+        self._buffered_bytes += len(data)
 
-    def _rate(self, kind: str) -> _Rate:
-        rate = self._rates.get(kind)
+    def _bucket(self, kind: str) -> _TokenBucket:
+        rate = self._buckets.get(kind)
         if rate is None:
-            rate = self._rates[kind] = _Rate(time.monotonic())
+            rate = self._buckets[kind] = _TokenBucket(time.monotonic())
         return rate
 
     def flush(self) -> None:
         """Write what the descriptor takes without blocking."""
-        while self._rest or self._lines:
-            while self._lines and len(self._rest) < WRITE_BYTES:
-                self._rest += self._lines.popleft()
+        while self._unwritten or self._queued_lines:
+            while self._queued_lines and len(self._unwritten) < MAX_WRITE_BYTES:
+                self._unwritten += self._queued_lines.popleft()
             try:
-                written = os.write(self._descriptor, self._rest)
+                written = os.write(self._descriptor, self._unwritten)
             except OSError:  # The reader is slow or gone; lines wait or are dropped.
                 return
-            self._rest = self._rest[written:]
-            self._waiting_bytes -= written
+            self._unwritten = self._unwritten[written:]
+            self._buffered_bytes -= written
 
     async def run(self) -> None:
         """Flush at intervals for ever."""
--- a/packages/common/src/kingcuplug_common/_exposition.py
+++ b/packages/common/src/kingcuplug_common/_exposition.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Mapping
 from typing import TYPE_CHECKING, Any
 
-from kingcuplug_common._counters import Histogram, Metrics
+from kingcuplug_common._metrics import Histogram, Metrics
 
 if TYPE_CHECKING:
     from prometheus_client.core import Metric
@@ -60,11 +60,13 @@
                 labels=_LABELS[name],
             )
             for labels, histogram in by_labels.items():
-                family.add_metric(labels, _buckets(histogram), histogram.sum_s)
+                family.add_metric(
+                    labels, _cumulative_buckets(histogram), histogram.sum_s
+                )
             yield family
 
 
-def _buckets(histogram: Histogram) -> list[Any]:
+def _cumulative_buckets(histogram: Histogram) -> list[Any]:
     total, buckets = 0, []
     bounds = [*map(str, Histogram.BOUNDS_S), "+Inf"]
     for bound, count in zip(bounds, histogram.counts, strict=True):
--- a/packages/common/src/kingcuplug_common/_counters.py
+++ b/packages/common/src/kingcuplug_common/_metrics.py
@@ -13,16 +13,16 @@
 
 PREFIX = "kingcuplug"
 
-StateSink = Callable[[str, str, dict[str, Any]], None]
+StateChangeSink = Callable[[str, str, dict[str, Any]], None]
 
 
 # Beyond so many combinations of labels, durations are counted together.
-_MOST_LABELS = 512
-_OTHER = "other"
+_MAX_LABEL_SETS = 512
+_OTHER_LABEL = "other"
 # Upper bounds of buckets: powers of two from 1/1024 s to 64 s.
-_SMALLEST_EXPONENT = -10
-_BUCKETS = 17
-_CLOCK_S = 1e-6  # Resolution of the clock; shorter durations count as this.
+_MIN_EXPONENT = -10
+_BUCKET_COUNT = 17
+_CLOCK_RESOLUTION_S = 1e-6  # Resolution of the clock; shorter durations count as this.
 
 
 class Histogram:
@@ -34,18 +34,18 @@
         By bucket; the last one takes everything above its bound.
     """
 
-    BOUNDS_S = tuple(2.0 ** (_SMALLEST_EXPONENT + i) for i in range(_BUCKETS))
+    BOUNDS_S = tuple(2.0 ** (_MIN_EXPONENT + i) for i in range(_BUCKET_COUNT))
 
     def __init__(self) -> None:
-        self.counts = [0] * (_BUCKETS + 1)
+        self.counts = [0] * (_BUCKET_COUNT + 1)
         self.sum_s = 0.0
 
     def record(self, duration_s: float) -> None:
         """Count one duration."""
-        mantissa, exponent = frexp(max(duration_s, _CLOCK_S))
+        mantissa, exponent = frexp(max(duration_s, _CLOCK_RESOLUTION_S))
         if mantissa == 0.5:
             exponent -= 1
-        bucket = min(max(exponent - _SMALLEST_EXPONENT, 0), _BUCKETS)
+        bucket = min(max(exponent - _MIN_EXPONENT, 0), _BUCKET_COUNT)
         self.counts[bucket] += 1
         self.sum_s += duration_s
 
@@ -86,8 +86,8 @@
         by_labels = self.durations.setdefault(name, {})
         histogram = by_labels.get(labels)
         if histogram is None:
-            if len(by_labels) >= _MOST_LABELS:
-                labels = (_OTHER,) * len(labels)
+            if len(by_labels) >= _MAX_LABEL_SETS:
+                labels = (_OTHER_LABEL,) * len(labels)
             histogram = by_labels.setdefault(labels, Histogram())
         histogram.record(duration_s)
 
@@ -96,22 +96,22 @@
         if self._client is not None:
             self._client.gauge(name, value)
 
-    def time(self, name: str, duration_ms: float) -> None:
+    def send_timing(self, name: str, duration_ms: float) -> None:
         """Record a duration in milliseconds."""
         if self._client is not None:
             self._client.timing(name, duration_ms)
 
 
-def _to_eliot(subject: str, state: str, fields: dict[str, Any]) -> None:
+def _log_with_eliot(subject: str, state: str, fields: dict[str, Any]) -> None:
     import eliot
 
     eliot.log_message(f"{PREFIX}:{subject}", state=state, **fields)
 
 
-_sink: StateSink = _to_eliot
+_sink: StateChangeSink = _log_with_eliot
 
 
-def send_state_changes_to(sink: StateSink) -> None:
+def send_state_changes_to(sink: StateChangeSink) -> None:
     """Give state changes to `sink` in place of eliot."""
     global _sink
     _sink = sink
--- a/packages/common/src/kingcuplug_common/_receipts.py
+++ b/packages/common/src/kingcuplug_common/_receipts.py
@@ -15,7 +15,7 @@
     Ed25519PublicKey,
 )
 
-from kingcuplug_common._digest import canonical, digest
+from kingcuplug_common._digests import canonical, digest
 from kingcuplug_common._errors import KingcuplugError
 
 __all__ = ["Receipt", "ReceiptInvalid", "Signer", "Verifier", "key_id"]
--- a/packages/common/src/kingcuplug_common/_spans.py
+++ b/packages/common/src/kingcuplug_common/_spans.py
@@ -58,14 +58,16 @@
         self._span = tracer.start_span(
             name, context=set_span_in_context(parent), attributes=attributes
         )
-        trace = _Trace(tracer, self._span, _traceparent(self._span.get_span_context()))
-        self._token: Token[_Trace | None] = _current.set(trace)
+        trace = _TraceContext(
+            tracer, self._span, _format_traceparent(self._span.get_span_context())
+        )
+        self._token: Token[_TraceContext | None] = _current_trace.set(trace)
 
     def end(self, **attributes: Any) -> None:
         """End the hop with attributes that are known only now."""
         self._span.set_attributes(attributes)
         self._span.end()
-        _current.reset(self._token)
+        _current_trace.reset(self._token)
 
     def __exit__(self, *error: object) -> None:
         """End the hop and note the error that ended it."""
@@ -75,7 +77,7 @@
             self.end()
 
 
-class _Trace:
+class _TraceContext:
     """The trace that runs in this context; without a tracer it is not sampled."""
 
     __slots__ = ("header", "span", "tracer")
@@ -86,8 +88,8 @@
         self.header = header
 
 
-_current: ContextVar[_Trace | None] = ContextVar("trace", default=None)
-_NOT_SAMPLED = Hop()
+_current_trace: ContextVar[_TraceContext | None] = ContextVar("trace", default=None)
+_UNSAMPLED_HOP = Hop()
 
 
 @contextmanager
@@ -97,13 +99,13 @@
     """Run a request under a span; its sender's ``traceparent`` decides first."""
     parent = propagator.extract(headers)
     with tracer.start_as_current_span(name, context=parent) as span:
-        header = _traceparent(span.get_span_context())
-        trace = _Trace(tracer if span.is_recording() else None, span, header)
-        token = _current.set(trace)
+        header = _format_traceparent(span.get_span_context())
+        trace = _TraceContext(tracer if span.is_recording() else None, span, header)
+        token = _current_trace.set(trace)
         try:
             yield span
         finally:
-            _current.reset(token)
+            _current_trace.reset(token)
 
 
 def start_hop(name: str, **attributes: Any) -> Hop:
@@ -112,9 +114,9 @@
     It must be ended in the task that started it, by `Hop.end` or as a context
     manager.
     """
-    trace = _current.get()
+    trace = _current_trace.get()
     if trace is None or trace.tracer is None:
-        return _NOT_SAMPLED
+        return _UNSAMPLED_HOP
     return _SampledHop(trace.tracer, trace.span, name, attributes)
 
 
@@ -122,14 +124,14 @@
     name: str, manager: AbstractAsyncContextManager[_T]
 ) -> AbstractAsyncContextManager[_T]:
     """Return `manager` with a hop around its entry, which may wait."""
-    trace = _current.get()
+    trace = _current_trace.get()
     if trace is None or trace.tracer is None:
         return manager
-    return _entering(name, manager)
+    return _traced_entry(name, manager)
 
 
 @asynccontextmanager
-async def _entering(
+async def _traced_entry(
     name: str, manager: AbstractAsyncContextManager[_T]
 ) -> Any:  # An asynchronous iterator of one value.
     hop = start_hop(name)
@@ -150,10 +152,10 @@
 
 def traceparent() -> str | None:
     """Return the W3C header for the next hop; ``None`` outside of a request."""
-    trace = _current.get()
+    trace = _current_trace.get()
     return None if trace is None else trace.header
 
 
-def _traceparent(context: SpanContext) -> str:
+def _format_traceparent(context: SpanContext) -> str:
     flags = int(context.trace_flags)
     return f"00-{context.trace_id:032x}-{context.span_id:016x}-{flags:02x}"
--- a/packages/common/src/kingcuplug_common/_telemetry.py
+++ b/packages/common/src/kingcuplug_common/_telemetry.py
@@ -20,9 +20,9 @@
 from opentelemetry.trace import Tracer
 from opentelemetry.trace.propagation.tracecontext import TraceContextTextMapPropagator
 
-from kingcuplug_common._counters import PREFIX
+from kingcuplug_common._metrics import PREFIX
 
-__all__ = ["TraceFile", "log_to", "propagator", "tracer"]
+__all__ = ["TraceFileExporter", "log_to_file", "propagator", "tracer"]
 
 # An operator looks at the waterfall right after the request.
 _TRACE_FILE_DELAY_MS = 500.0
@@ -31,12 +31,12 @@
 propagator = TraceContextTextMapPropagator()
 
 
-def log_to(path: Path) -> None:
+def log_to_file(path: Path) -> None:
     """Append eliot's log messages to a file, one JSON object per line."""
     eliot.to_file(path.open("a"))
 
 
-class TraceFile(SpanExporter):
+class TraceFileExporter(SpanExporter):
     """Writes spans to a file as JSON lines."""
 
     def __init__(self, path: Path) -> None:
@@ -88,7 +88,7 @@
     if path is not None:
         provider.add_span_processor(
             BatchSpanProcessor(
-                TraceFile(path), schedule_delay_millis=_TRACE_FILE_DELAY_MS
+                TraceFileExporter(path), schedule_delay_millis=_TRACE_FILE_DELAY_MS
             )
         )
     try:
--- a/packages/daemon/src/kingcuplug_daemon/__init__.py
+++ b/packages/daemon/src/kingcuplug_daemon/__init__.py
@@ -1,6 +1,6 @@
 """The kingcuplugd process: composition, HTTP applications and shutdown."""
 
-from kingcuplug_daemon._entry import policy_of
+from kingcuplug_daemon._entry_node import policy_of
 from kingcuplug_daemon._host import Host
 from kingcuplug_daemon._listener import Listener
 from kingcuplug_daemon._main import main
--- a/packages/daemon/src/kingcuplug_daemon/_caller_app.py
+++ b/packages/daemon/src/kingcuplug_daemon/_caller_app.py
@@ -25,7 +25,7 @@
 from starlette.responses import Response
 from starlette.routing import Route
 
-from kingcuplug_daemon._entry import EntryNode
+from kingcuplug_daemon._entry_node import EntryNode
 from kingcuplug_daemon._http import (
     error_fields,
     json_response,
@@ -34,19 +34,19 @@
     refusal_fields,
     status_of,
 )
-from kingcuplug_daemon._keys import ReceiptKeys
 from kingcuplug_daemon._lifecycle import Lifecycle
-from kingcuplug_daemon._requests import OrderModel, QueryModel
+from kingcuplug_daemon._receipt_keys import ReceiptKeys
+from kingcuplug_daemon._request_models import OrderModel, QueryModel
 from kingcuplug_daemon._tokens import BearerTokens
 
 __all__ = ["CallerApp"]
 
-_MILLISECONDS = 1_000
+_MS_PER_S = 1_000
 _UNAVAILABLE = 503
 _CONFLICT = 409
-_LEAVE_TIMEOUT_S = 0.8
+_WITHDRAWAL_TIMEOUT_S = 0.8
 
-Run = Callable[[Any, str, float], Awaitable[Answer]]
+RequestRunner = Callable[[Any, str, float], Awaitable[Answer]]
 
 
 class CallerApp:
@@ -74,30 +74,30 @@
         self,
         settings: HostSettings,
         entry: EntryNode,
-        keys: ReceiptKeys,
+        receipt_keys: ReceiptKeys,
         lifecycle: Lifecycle,
         metrics: Metrics,
         tracer: Tracer,
-        announcers: BearerTokens,
+        announce_tokens: BearerTokens,
     ) -> None:
         self._settings = settings
         self._entry = entry
-        self._keys = keys
+        self._receipt_keys = receipt_keys
         self._lifecycle = lifecycle
         self._metrics = metrics
         self._tracer = tracer
-        self._announcers = announcers
+        self._announce_tokens = announce_tokens
 
     def routes(self) -> list[Route]:
         """Return the routes of the callers' listener."""
         return [
-            Route("/v1/services/{service}/query", self._query, methods=["POST"]),
-            Route("/v1/services/{service}/order", self._order, methods=["POST"]),
-            Route("/v1/servers/announce", self._announce, methods=["POST"]),
-            Route("/v1/servers/renew", self._renew, methods=["POST"]),
+            Route("/v1/services/{service}/query", self._handle_query, methods=["POST"]),
+            Route("/v1/services/{service}/order", self._handle_order, methods=["POST"]),
+            Route("/v1/servers/announce", self._handle_announce, methods=["POST"]),
+            Route("/v1/servers/renew", self._handle_renew, methods=["POST"]),
         ]
 
-    async def _query(self, request: Request) -> Response:
+    async def _handle_query(self, request: Request) -> Response:
         async def run(model: QueryModel, request_id: str, deadline: float) -> Answer:
             service = request.path_params["service"]
             view = self._entry.configuration.view
@@ -119,7 +119,7 @@
 
         return await self._serve(request, "query", QueryModel, run)
 
-    async def _order(self, request: Request) -> Response:
+    async def _handle_order(self, request: Request) -> Response:
         async def run(model: OrderModel, request_id: str, deadline: float) -> Answer:
             order = OrderRequest(
                 request_id=request_id,
@@ -143,7 +143,7 @@
         request: Request,
         kind: str,
         model_type: type[QueryModel] | type[OrderModel],
-        run: Run,
+        run: RequestRunner,
     ) -> Response:
         """Read, run and answer one request; every end has a receipt."""
         started = asyncio.get_running_loop().time()
@@ -152,7 +152,7 @@
         body: Any = None
         resend = False
         with (
-            self._lifecycle.request(),
+            self._lifecycle.track_request(),
             request_span(self._tracer, kind, request.headers) as span,
         ):
             span.set_attribute("service", service)
@@ -165,15 +165,19 @@
                 resend = isinstance(model, OrderModel) and model.resend
                 span.set_attribute("request_id", request_id)
                 self._require_ready()
-                deadline = started + self._deadline_ms(service, model) / _MILLISECONDS
+                deadline = started + self._deadline_ms(service, model) / _MS_PER_S
                 answer = await run(model, request_id, deadline)
-                response = self._answered(kind, service, request_id, body, answer)
+                response = self._answer_response(
+                    kind, service, request_id, body, answer
+                )
             except Refusal as refusal:
                 refusal = unsettled(refusal, resend)
-                response = self._refused(kind, service, request_id, body, refusal)
+                response = self._refusal_response(
+                    kind, service, request_id, body, refusal
+                )
                 span.set_attribute("refusal", refusal.reason.value)
-        elapsed_ms = (asyncio.get_running_loop().time() - started) * _MILLISECONDS
-        self._metrics.time(f"{kind}.latency", elapsed_ms)
+        elapsed_ms = (asyncio.get_running_loop().time() - started) * _MS_PER_S
+        self._metrics.send_timing(f"{kind}.latency", elapsed_ms)
         return response
 
     def _require_ready(self) -> None:
@@ -184,17 +188,17 @@
                 "send the request again; the load balancer picks another entry host",
                 retry_after_ms=0,
             )
-        if not (self._entry.session.is_confirmed() and self._keys.published):
+        if not (self._entry.session.is_confirmed() and self._receipt_keys.published):
             raise not_run(
                 RefusalReason.CONFIGURATION_UNCONFIRMED,
                 f"entry host {self._settings.host} cannot confirm that its "
                 "configuration is the accepted one",
                 "send the request again; the load balancer picks another entry host",
-                retry_after_ms=_MILLISECONDS,
+                retry_after_ms=_MS_PER_S,
             )
 
     def _deadline_ms(self, service: str, model: QueryModel | OrderModel) -> int:
-        policy = self._policy(service)
+        policy = self._service_policy(service)
         if model.deadline_ms is None:
             return policy.deadline_ms
         if model.deadline_ms <= 0:
@@ -205,17 +209,17 @@
             )
         return min(model.deadline_ms, policy.deadline_ms)
 
-    def _policy(self, service: str) -> Policy:
+    def _service_policy(self, service: str) -> Policy:
         return self._entry.configuration.view.find(service).service.policy
 
-    def _answered(
+    def _answer_response(
         self, kind: str, service: str, request_id: str, body: Any, answer: Answer
     ) -> Response:
         self._metrics.count(f"{kind}.partial" if answer.partial else f"{kind}.whole")
         outcome = "partial" if answer.partial else "answered"
         if kind == "order":
             outcome = "ordered"
-        receipt = self._receipt(
+        receipt = self._sign_receipt(
             kind,
             service,
             request_id,
@@ -242,11 +246,11 @@
             }
         )
 
-    def _refused(
+    def _refusal_response(
         self, kind: str, service: str, request_id: str, body: Any, refusal: Refusal
     ) -> Response:
         self._metrics.count(f"{kind}.{refusal.kind.value}.{refusal.reason.value}")
-        receipt = self._receipt(
+        receipt = self._sign_receipt(
             kind,
             service,
             request_id,
@@ -263,7 +267,7 @@
         }
         return json_response(fields, status_of(refusal))
 
-    def _receipt(
+    def _sign_receipt(
         self,
         kind: str,
         service: str,
@@ -274,7 +278,7 @@
         revision: int,
         answer: Answer | None,
     ) -> dict[str, Any] | None:
-        return self._keys.sign(
+        return self._receipt_keys.sign(
             Receipt(
                 request_id=request_id,
                 request_digest=digest([service, kind, body]),
@@ -291,7 +295,7 @@
 
     # Backend servers
 
-    async def _announce(self, request: Request) -> Response:
+    async def _handle_announce(self, request: Request) -> Response:
         async def announce() -> Any:
             fields = await read_json(request, self._settings.body_limit_bytes)
             announcement = parse_announcement(fields)
@@ -300,13 +304,13 @@
             if announcement.state != "serving":
                 # A leaving server may stop as soon as it has this answer, so the
                 # other entry hosts must be about to learn of it.
-                async with asyncio.timeout(_LEAVE_TIMEOUT_S):
+                async with asyncio.timeout(_WITHDRAWAL_TIMEOUT_S):
                     await session.delivered(session.leases.version)
             return granted
 
-        return await self._server_call(request, announce)
+        return await self._handle_server_request(request, announce)
 
-    async def _renew(self, request: Request) -> Response:
+    async def _handle_renew(self, request: Request) -> Response:
         async def renew() -> Any:
             fields = await read_json(request, self._settings.body_limit_bytes)
             try:
@@ -320,17 +324,17 @@
                 ) from error
             return self._entry.session.leases.renew(server, *order)
 
-        return await self._server_call(request, renew)
+        return await self._handle_server_request(request, renew)
 
-    async def _server_call(
-        self, request: Request, work: Callable[[], Awaitable[Any]]
+    async def _handle_server_request(
+        self, request: Request, handler: Callable[[], Awaitable[Any]]
     ) -> Response:
         try:
-            self._announcers.authorize(request)
+            self._announce_tokens.authorize(request)
             if self._lifecycle.draining:
                 # The server then announces at another entry host.
                 return json_response({"error": "ShuttingDown"}, _UNAVAILABLE)
-            granted = await work()
+            granted = await handler()
         except Refusal as refusal:
             return json_response(error_fields(refusal), status_of(refusal))
         except TimeoutError:
--- a/packages/daemon/src/kingcuplug_daemon/_control.py
+++ b/packages/daemon/src/kingcuplug_daemon/_control_node.py
@@ -33,17 +33,17 @@
     SessionServer,
 )
 
-from kingcuplug_daemon import _questions
-from kingcuplug_daemon._machine import LEDGER_COMMANDS, SystemMachine
-from kingcuplug_daemon._peers import PeerClient, PeerError
+from kingcuplug_daemon import _state_reads
+from kingcuplug_daemon._peer_client import PeerClient, PeerError
+from kingcuplug_daemon._state_machine import LEDGER_COMMANDS, SystemStateMachine
 
-__all__ = ["BootstrapUnsafe", "ControlNode", "leader_of"]
+__all__ = ["BootstrapUnsafe", "ControlNode", "leader_address"]
 
 _RPC_TIMEOUT_S = 0.15
-_POLL_TIMEOUT_S = 5.0
+_MESH_POLL_TIMEOUT_S = 5.0
 _IDENTITY_TIMEOUT_S = 1.0
-_MILLISECONDS = 1_000
-_LONGEST_WAIT_S = 60.0
+_MS_PER_S = 1_000
+_MAX_WAIT_S = 60.0
 _LOG_FOLDER = "log"
 
 
@@ -90,8 +90,8 @@
         self._log_settings = log_settings or LogSettings()
         self._membership_settings = membership_settings or MembershipSettings()
         self._folder = settings.data_folder / _LOG_FOLDER
-        self._tasks: asyncio.Task[None] | None = None
-        self.machine = SystemMachine()
+        self._background_task: asyncio.Task[None] | None = None
+        self.state_machine = SystemStateMachine()
         self.replica: Replica
         self.sessions: SessionServer
         self.mesh: Mesh
@@ -111,8 +111,8 @@
         self.replica = Replica(
             Member(identity, self._settings.host, self._address),
             storage,
-            self._send_log,
-            self.machine,
+            self._send_log_message,
+            self.state_machine,
             self._log_settings,
             boot_time,
             random.Random(),
@@ -120,10 +120,10 @@
         )
         self.sessions = SessionServer(
             self._address,
-            self._other_addresses,
+            self._other_member_addresses,
             self._configuration_source(),
             self._leader_source(),
-            self._peers.path("/peer/v1/barrier", _RPC_TIMEOUT_S * 2),
+            self._peers.bind_path("/peer/v1/barrier", _RPC_TIMEOUT_S * 2),
             boot_time,
             self._membership_settings,
         )
@@ -132,23 +132,23 @@
             self.sessions.directory,
             self.sessions.verdicts,
             self.sessions.continuity,
-            self._other_addresses,
-            self._peers.path("/peer/v1/mesh", _POLL_TIMEOUT_S),
+            self._other_member_addresses,
+            self._peers.bind_path("/peer/v1/mesh", _MESH_POLL_TIMEOUT_S),
             boot_time,
             self._membership_settings,
         )
-        self.machine.on_revision.append(self.sessions.wake)
+        self.state_machine.revision_callbacks.append(self.sessions.wake)
         await self.replica.start()
-        self._tasks = asyncio.create_task(self._run())
+        self._background_task = asyncio.create_task(self._run_exchanges())
 
     async def stop(self) -> None:
         """Stop taking part."""
-        if self._tasks is not None:
-            self._tasks.cancel()
-            await asyncio.gather(self._tasks, return_exceptions=True)
+        if self._background_task is not None:
+            self._background_task.cancel()
+            await asyncio.gather(self._background_task, return_exceptions=True)
         await self.replica.stop()
 
-    async def _run(self) -> None:
+    async def _run_exchanges(self) -> None:
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.sessions.run())
             tasks.create_task(self.mesh.run())
@@ -159,29 +159,33 @@
         """Commit a command of any host and return its result."""
         kind = command.get("type")
         if kind == "lookup":
-            return await self._lookup(command)
+            return await self._look_up_order(command)
         if kind in LEDGER_COMMANDS:
             command = stamp(command, wall_ms())
         elif kind == "apply_configuration":
-            return await self._apply(command)
+            return await self._apply_configuration(command)
         result = await self.replica.propose(command)
         return dict(result)
 
-    async def read(self, question: dict[str, Any]) -> dict[str, Any]:
+    async def read(self, request: dict[str, Any]) -> dict[str, Any]:
         """Answer a question from state that is confirmed by the quorum."""
         await self.replica.read_barrier()
-        kind = question.get("type")
+        kind = request.get("type")
         answers = {
-            "configuration": lambda: _questions.configuration(self.machine),
-            "history": lambda: _questions.history(self.machine),
-            "order": lambda: _questions.order(self.machine, str(question.get("key"))),
-            "keys": lambda: _questions.keys(self.machine),
-            "hosts": lambda: _questions.hosts(self.sessions),
-            "servers": lambda: _questions.servers(self.sessions),
+            "configuration": lambda: _state_reads.current_configuration(
+                self.state_machine
+            ),
+            "history": lambda: _state_reads.configuration_history(self.state_machine),
+            "order": lambda: _state_reads.order_state(
+                self.state_machine, str(request.get("key"))
+            ),
+            "keys": lambda: _state_reads.public_keys(self.state_machine),
+            "hosts": lambda: _state_reads.live_entry_hosts(self.sessions),
+            "servers": lambda: _state_reads.known_servers(self.sessions),
             "control_status": self.status,
         }
         if kind == "in_force":
-            return await self._wait_in_force(question)
+            return await self._wait_in_force(request)
         if kind not in answers:
             raise KingcuplugError(
                 f"question {kind!r} is unknown", "run one version on all hosts"
@@ -200,20 +204,20 @@
         """
         for address in self._settings.control_seeds:
             if address != self._address:
-                await self._require_blank(address)
+                await self._require_no_cluster(address)
         cluster = identifier()
         await self.replica.bootstrap(cluster)
         return {"cluster": cluster, "member": self.replica.status().member.id}
 
-    async def change(self, change: dict[str, Any]) -> dict[str, Any]:
+    async def change_members(self, change: dict[str, Any]) -> dict[str, Any]:
         """Add the control host at an address, or remove a member by its id."""
         if "remove" in change:
             await self.replica.change(remove=str(change["remove"]))
             return {"removed": change["remove"]}
         address = str(change["add"])
-        role = _role(str(change.get("role", MemberRole.VOTER.value)))
+        role = _parse_role(str(change.get("role", MemberRole.VOTER.value)))
         try:
-            identity = await self._identity_of(address)
+            identity = await self._fetch_identity(address)
         except (OSError, TimeoutError, PeerError) as error:
             raise HostNotAdded(
                 f"control host at {address} cannot be asked who it is: {error}",
@@ -260,14 +264,16 @@
 
     # Internals
 
-    async def _lookup(self, command: dict[str, Any]) -> dict[str, Any]:
+    async def _look_up_order(self, command: dict[str, Any]) -> dict[str, Any]:
         await self.replica.read_barrier()
-        return result_to_json(self.machine.ledger.apply(command_from_json(command)))
+        return result_to_json(
+            self.state_machine.ledger.apply(command_from_json(command))
+        )
 
-    async def _apply(self, command: dict[str, Any]) -> dict[str, Any]:
+    async def _apply_configuration(self, command: dict[str, Any]) -> dict[str, Any]:
         change = ApplyConfiguration.from_json(command | {"time_ms": wall_ms()})
         await self.replica.read_barrier()
-        history = self.machine.configuration
+        history = self.state_machine.configuration
         settled = history.settled(change)
         if settled is not None:
             return settled.to_json()
@@ -275,10 +281,10 @@
         condensed = await asyncio.to_thread(history.condense, change)
         return dict(await self.replica.propose(condensed.to_json()))
 
-    async def _wait_in_force(self, question: dict[str, Any]) -> dict[str, Any]:
+    async def _wait_in_force(self, request: dict[str, Any]) -> dict[str, Any]:
         """Wait for a revision; the answer tells who may still serve an older one."""
-        revision = int(question["revision"])
-        wait_s = min(float(question["wait_ms"]) / _MILLISECONDS, _LONGEST_WAIT_S)
+        revision = int(request["revision"])
+        wait_s = min(float(request["wait_ms"]) / _MS_PER_S, _MAX_WAIT_S)
         try:
             async with asyncio.timeout(wait_s):
                 await self.sessions.wait_in_force(revision)
@@ -291,17 +297,17 @@
             "revision": revision,
             "in_force": in_force,
             "waiting_for": waiting,
-            **_questions.hosts(self.sessions),
+            **_state_reads.live_entry_hosts(self.sessions),
         }
 
-    async def _identity_of(self, address: str) -> dict[str, Any]:
+    async def _fetch_identity(self, address: str) -> dict[str, Any]:
         return await self._peers.post(
             address, "/peer/v1/identity", {}, _IDENTITY_TIMEOUT_S
         )
 
-    async def _require_blank(self, address: str) -> None:
+    async def _require_no_cluster(self, address: str) -> None:
         try:
-            identity = await self._identity_of(address)
+            identity = await self._fetch_identity(address)
         except (OSError, TimeoutError, PeerError) as error:
             raise BootstrapUnsafe(
                 f"control host at {address} cannot be asked whether a cluster exists:"
@@ -314,26 +320,28 @@
                 "add this host to it with `kingcuplug control add`",
             )
 
-    def _other_addresses(self) -> Sequence[str]:
+    def _other_member_addresses(self) -> Sequence[str]:
         members = self.replica.status().members
         return [m.address for m in members if m.address != self._address]
 
-    async def _send_log(self, peer: str, message: dict[str, Any]) -> dict[str, Any]:
+    async def _send_log_message(
+        self, peer_id: str, message: dict[str, Any]
+    ) -> dict[str, Any]:
         for member in self.replica.status().members:
-            if member.id == peer:
+            if member.id == peer_id:
                 return await self._peers.post(
                     member.address,
                     "/peer/v1/log",
                     message,
                     self._log_settings.rpc_timeout,
                 )
-        raise ConnectionError(f"member {peer} is not in the group")
+        raise ConnectionError(f"member {peer_id} is not in the group")
 
     def _configuration_source(self) -> ConfigurationSource:
-        history = self.machine.configuration
+        history = self.state_machine.configuration
         return ConfigurationSource(
             revision=lambda: history.current.number,
-            deltas_since=lambda number: _deltas_json(history.since(number)),
+            deltas_since=lambda number: _deltas_to_json(history.since(number)),
             text=lambda: history.current.text,
             digest=lambda: history.current.digest,
         )
@@ -353,7 +361,7 @@
         return None if leader is None else leader.address
 
 
-def _role(name: str) -> MemberRole:
+def _parse_role(name: str) -> MemberRole:
     try:
         return MemberRole(name)
     except ValueError as error:
@@ -362,10 +370,10 @@
         ) from error
 
 
-def leader_of(error: NotLeader) -> str | None:
+def leader_address(error: NotLeader) -> str | None:
     """Return the address of the leader that an error names."""
     return None if error.hint is None else error.hint.address
 
 
-def _deltas_json(deltas: Sequence[Any] | None) -> list[Any] | None:
+def _deltas_to_json(deltas: Sequence[Any] | None) -> list[Any] | None:
     return None if deltas is None else [delta.to_json() for delta in deltas]
--- /dev/null
+++ b/packages/daemon/src/kingcuplug_daemon/_crash_verdicts.py
@@ -0,0 +1,63 @@
+"""Shares the crash guard's blames with all entry hosts over the session."""
+
+import asyncio
+
+from kingcuplug_membership import SessionClient, Verdict
+from kingcuplug_routing import Blame, CrashGuard
+
+__all__ = ["CrashVerdictExchange"]
+
+_REPORT_INTERVAL_S = 0.05
+
+
+class CrashVerdictExchange:
+    """Carries blames between the crash guard and the session.
+
+    Parameters
+    ----------
+    session : SessionClient
+        Reports to, and learns from, all entry hosts.
+    guard : CrashGuard
+        This entry host's guard.
+    """
+
+    def __init__(self, session: SessionClient, crash_guard: CrashGuard) -> None:
+        self._session = session
+        self._crash_guard = crash_guard
+        session.verdicts.watch(self._receive_verdict)
+
+    async def run(self) -> None:
+        """Report fresh blames until cancelled."""
+        while True:
+            for blame in self._crash_guard.fresh():
+                self._session.report(_verdict_from_suspect(blame))
+            await asyncio.sleep(_REPORT_INTERVAL_S)
+
+    def _receive_verdict(self, verdict: Verdict) -> None:
+        if not verdict.condemned:
+            self._crash_guard.merge(
+                [_suspect_from_verdict(verdict, self._session.verdict_ms)]
+            )
+
+
+def _verdict_from_suspect(suspect: Blame) -> Verdict:
+    return Verdict(
+        fingerprint=suspect.fingerprint,
+        server=suspect.server,
+        incarnation=suspect.incarnation,
+        service=suspect.service,
+        availability_zone=suspect.availability_zone,
+        proven=suspect.proven,
+    )
+
+
+def _suspect_from_verdict(verdict: Verdict, verdict_ms: int) -> Blame:
+    return Blame(
+        fingerprint=verdict.fingerprint,
+        service=verdict.service,
+        server=verdict.server,
+        incarnation=verdict.incarnation,
+        availability_zone=verdict.availability_zone,
+        proven=verdict.proven,
+        age_ms=float(max(verdict_ms - verdict.remaining_ms, 0)),
+    )
--- a/packages/daemon/src/kingcuplug_daemon/_entry_configuration.py
+++ b/packages/daemon/src/kingcuplug_daemon/_entry_configuration.py
@@ -21,10 +21,10 @@
 from kingcuplug_query import RevisionView, ServiceRuntime
 from kingcuplug_routing import Admission, Router, RoutingPolicy
 
-__all__ = ["EntryConfiguration", "PolicyOf"]
+__all__ = ["EntryConfiguration", "RoutingPolicyFactory"]
 
-PolicyOf = Callable[[Service], RoutingPolicy]
-_NOTHING_IN_FORCE = -1
+RoutingPolicyFactory = Callable[[Service], RoutingPolicy]
+_NO_REVISION = -1
 
 
 class EntryConfiguration:
@@ -50,25 +50,25 @@
     def __init__(
         self,
         services: tuple[str, ...] | None,
-        policy_of: PolicyOf,
+        policy_factory: RoutingPolicyFactory,
         random_source: random.Random,
     ) -> None:
-        self.view = RevisionView(_NOTHING_IN_FORCE, {})
+        self.view = RevisionView(_NO_REVISION, {})
         self.retention_days = 0
-        self._routed = services
-        self._policy_of = policy_of
+        self._routed_services = services
+        self._policy_factory = policy_factory
         self._random = random_source
         self._text = ConfigurationText()
-        self.changed: Callable[[], None] = lambda: None
+        self.on_change: Callable[[], None] = lambda: None
 
     def current(self) -> int:
         """Return the number of the revision in force; -1 for none."""
         return self.view.number
 
-    def services(self) -> tuple[str, ...]:
+    def routed_services(self) -> tuple[str, ...]:
         """Return the names of the routed services."""
-        if self._routed is not None:
-            return self._routed
+        if self._routed_services is not None:
+            return self._routed_services
         return tuple(self._text.services)
 
     def apply(
@@ -94,10 +94,12 @@
         self._text = new
         self.retention_days = new.retention_days
         self.view = RevisionView(revision, self._runtimes(new))
-        self.changed()
+        self.on_change()
 
     def _runtimes(self, text: ConfigurationText) -> dict[str, ServiceRuntime]:
-        routed = set(text.services if self._routed is None else self._routed)
+        routed = set(
+            text.services if self._routed_services is None else self._routed_services
+        )
         return {
             name: self._runtime(service)
             for name, service in text.services.items()
@@ -112,5 +114,5 @@
             return ServiceRuntime(service, known.router, known.admission)
         # A changed policy starts with new statistics; requests in flight end under
         # the router that they started with.
-        router = Router(service.name, self._policy_of(service), self._random)
+        router = Router(service.name, self._policy_factory(service), self._random)
         return ServiceRuntime(service, router, Admission(router))
--- a/packages/daemon/src/kingcuplug_daemon/_entry.py
+++ b/packages/daemon/src/kingcuplug_daemon/_entry_node.py
@@ -17,19 +17,22 @@
 from kingcuplug_routing import CrashGuard, RoutingPolicy
 from opentelemetry.trace import Tracer
 
-from kingcuplug_daemon._entry_configuration import EntryConfiguration, PolicyOf
-from kingcuplug_daemon._holders import HolderWatch
-from kingcuplug_daemon._peers import PeerClient
-from kingcuplug_daemon._routing_state import RoutingState
-from kingcuplug_daemon._submission import Submitter
+from kingcuplug_daemon._claim_holders import ClaimHolderTracker
+from kingcuplug_daemon._crash_verdicts import CrashVerdictExchange
+from kingcuplug_daemon._entry_configuration import (
+    EntryConfiguration,
+    RoutingPolicyFactory,
+)
+from kingcuplug_daemon._leader_client import LeaderClient
+from kingcuplug_daemon._peer_client import PeerClient
+from kingcuplug_daemon._router_updater import RouterUpdater
 from kingcuplug_daemon._tls import client_context, reload_identity
 from kingcuplug_daemon._tracing import traced_session, traced_submit
-from kingcuplug_daemon._verdicts import VerdictExchange
 
 __all__ = ["EntryNode", "policy_of"]
 
 _SESSION_TIMEOUT_S = 2.0
-_DRAIN_S = 30.0
+_DRAIN_TIMEOUT_S = 30.0
 
 
 def policy_of(service: Service) -> RoutingPolicy:
@@ -54,7 +57,7 @@
         Greater after each restart of this host.
     peers : PeerClient
         Calls control hosts.
-    submitter : Submitter
+    submitter : LeaderClient
         Sends commands to the leader of the log.
     metrics : Metrics
         Counters.
@@ -70,21 +73,21 @@
         caller_address: str,
         incarnation: int,
         peers: PeerClient,
-        submitter: Submitter,
+        leader_client: LeaderClient,
         seeds: Sequence[str],
         metrics: Metrics,
         tracer: Tracer,
-        routing_policy: PolicyOf = policy_of,
+        policy_factory: RoutingPolicyFactory = policy_of,
         membership_settings: MembershipSettings | None = None,
     ) -> None:
         zone = settings.availability_zone
-        self.background = Background()
-        self.guard = CrashGuard()
+        self.background_tasks = Background()
+        self.crash_guard = CrashGuard()
         self._backend_tls = settings.backend_tls
         self._backend_context = client_context(settings.backend_tls)
         self.backend = HttpBackend(self._backend_context)
         self.configuration = EntryConfiguration(
-            settings.services, routing_policy, random.Random()
+            settings.services, policy_factory, random.Random()
         )
         self.session = SessionClient(
             settings.host,
@@ -95,42 +98,47 @@
             ConfigurationSink(
                 self.configuration.current,
                 self.configuration.apply,
-                self.configuration.services,
+                self.configuration.routed_services,
+            ),
+            traced_session(
+                peers.bind_path("/peer/v1/session", _SESSION_TIMEOUT_S), tracer
             ),
-            traced_session(peers.path("/peer/v1/session", _SESSION_TIMEOUT_S), tracer),
             boot_time,
             membership_settings,
         )
-        self._routing = RoutingState(
-            self.session, lambda: self.configuration.view, self.backend, self.guard
+        self._router_updater = RouterUpdater(
+            self.session,
+            lambda: self.configuration.view,
+            self.backend,
+            self.crash_guard,
         )
-        self.configuration.changed = self._routing.refresh
-        self._verdicts = VerdictExchange(self.session, self.guard)
+        self.configuration.on_change = self._router_updater.update_all
+        self._crash_verdicts = CrashVerdictExchange(self.session, self.crash_guard)
         self.queries = QueryExecutor(
             self.backend.send,
             self.backend.cancel,
-            self.guard,
+            self.crash_guard,
             metrics,
-            self.background,
+            self.background_tasks,
             zone,
         )
         self.orders = OrderExecutor(
             LedgerClient(
-                traced_submit(submitter.submit), settings.host, incarnation, wall_ms
+                traced_submit(leader_client.submit), settings.host, incarnation, wall_ms
             ),
             self.backend.send,
-            self.guard,
+            self.crash_guard,
             metrics,
-            self.background,
+            self.background_tasks,
             zone,
-            HolderWatch(self.session, self.background).lost,
+            ClaimHolderTracker(self.session, self.background_tasks).has_ended,
             self.backend.reachable,
         )
-        self._tasks: asyncio.Task[None] | None = None
+        self._background_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Begin the session."""
-        self._tasks = asyncio.create_task(self._run())
+        self._background_task = asyncio.create_task(self._run_exchanges())
 
     def reload(self) -> None:
         """Read the certificates for backend servers again, for new connections."""
@@ -138,22 +146,22 @@
 
     async def stop(self) -> None:
         """Finish attempts in flight, then end the session."""
-        await self.background.drain(_DRAIN_S)
-        if self._tasks is not None:
-            self._tasks.cancel()
-            await asyncio.gather(self._tasks, return_exceptions=True)
+        await self.background_tasks.drain(_DRAIN_TIMEOUT_S)
+        if self._background_task is not None:
+            self._background_task.cancel()
+            await asyncio.gather(self._background_task, return_exceptions=True)
         await self.backend.close()
 
     async def abort(self) -> None:
         """End at once, as a crashed process does."""
-        if self._tasks is not None:
-            self._tasks.cancel()
-            await asyncio.gather(self._tasks, return_exceptions=True)
-        await self.background.drain(0)
+        if self._background_task is not None:
+            self._background_task.cancel()
+            await asyncio.gather(self._background_task, return_exceptions=True)
+        await self.background_tasks.drain(0)
         await self.backend.close()
 
-    async def _run(self) -> None:
+    async def _run_exchanges(self) -> None:
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.session.run())
-            tasks.create_task(self._routing.run())
-            tasks.create_task(self._verdicts.run())
+            tasks.create_task(self._router_updater.run())
+            tasks.create_task(self._crash_verdicts.run())
--- a/packages/daemon/src/kingcuplug_daemon/_host.py
+++ b/packages/daemon/src/kingcuplug_daemon/_host.py
@@ -8,7 +8,7 @@
     HostSettings,
     Metrics,
     SettingsInvalid,
-    log_to,
+    log_to_file,
     state_change,
     tracer,
     wall_ms,
@@ -21,24 +21,24 @@
 from starlette.types import Receive, Scope, Send
 
 from kingcuplug_daemon._caller_app import CallerApp
-from kingcuplug_daemon._control import ControlNode
-from kingcuplug_daemon._entry import EntryNode, policy_of
-from kingcuplug_daemon._entry_configuration import PolicyOf
+from kingcuplug_daemon._control_node import ControlNode
+from kingcuplug_daemon._entry_configuration import RoutingPolicyFactory
+from kingcuplug_daemon._entry_node import EntryNode, policy_of
 from kingcuplug_daemon._http import json_response
-from kingcuplug_daemon._keys import ReceiptKeys
+from kingcuplug_daemon._leader_client import LeaderClient
 from kingcuplug_daemon._lifecycle import Lifecycle
 from kingcuplug_daemon._listener import Listener
 from kingcuplug_daemon._operator_app import OperatorApp
 from kingcuplug_daemon._peer_app import peer_application
-from kingcuplug_daemon._peers import PeerClient
-from kingcuplug_daemon._submission import Submitter
+from kingcuplug_daemon._peer_client import PeerClient
+from kingcuplug_daemon._receipt_keys import ReceiptKeys
 from kingcuplug_daemon._tls import check_identity
 from kingcuplug_daemon._tokens import BearerTokens
 
 __all__ = ["Host"]
 
-_MILLISECONDS = 1_000
-_SOON_S = 0.05
+_MS_PER_S = 1_000
+_RESPONSE_FLUSH_S = 0.05
 
 
 class Host:
@@ -62,30 +62,30 @@
     def __init__(
         self,
         settings: HostSettings,
-        routing_policy: PolicyOf = policy_of,
+        policy_factory: RoutingPolicyFactory = policy_of,
         log_settings: LogSettings | None = None,
         membership_settings: MembershipSettings | None = None,
     ) -> None:
         self.settings = settings
         self.metrics = Metrics(settings.statsd_address)
         self.lifecycle = Lifecycle()
-        self._routing_policy = routing_policy
+        self._policy_factory = policy_factory
         self._log_settings = log_settings
         self._membership_settings = membership_settings
         for tls in (settings.caller_tls, settings.peer_tls, settings.backend_tls):
             check_identity(tls)
-        self._operators = BearerTokens(settings.operator_token_file)
-        self._announcers = BearerTokens(settings.announce_token_file)
+        self._operator_tokens = BearerTokens(settings.operator_token_file)
+        self._announce_tokens = BearerTokens(settings.announce_token_file)
         self._peers = PeerClient(settings.peer_tls)
         self._resources = contextlib.ExitStack()
         self._drain_requested = asyncio.Event()
         # The listeners bind first, so that a port of 0 has its number before the
         # rest is built; they accept connections only at the end of `start`.
         self._caller_listener = Listener(
-            self._caller_entry, settings.caller_address, settings.caller_tls
+            self._handle_caller_request, settings.caller_address, settings.caller_tls
         )
         self._peer_listener = Listener(
-            self._peer_entry,
+            self._handle_peer_request,
             settings.peer_address,
             settings.peer_tls,
             client_certificates=True,
@@ -96,7 +96,7 @@
         self._peer_application: Starlette | None = None
         self.control: ControlNode | None = None
         self.entry: EntryNode | None = None
-        self.keys: ReceiptKeys
+        self.receipt_keys: ReceiptKeys
 
     async def start(self) -> None:
         """Start all roles and accept connections.
@@ -108,13 +108,13 @@
         """
         settings = self.settings
         if settings.log_file is not None:
-            log_to(settings.log_file)
+            log_to_file(settings.log_file)
         spans = self._resources.enter_context(
             tracer(settings.trace_file, settings.trace_share)
         )
         seeds = settings.control_seeds or (self.peer_address,)
-        submitter = Submitter(self._peers, lambda: seeds)
-        self.keys = ReceiptKeys(
+        submitter = LeaderClient(self._peers, lambda: seeds)
+        self.receipt_keys = ReceiptKeys(
             settings.host, settings.data_folder, submitter.submit, wall_ms
         )
         if "control" in settings.roles:
@@ -137,7 +137,7 @@
                 seeds,
                 self.metrics,
                 spans,
-                self._routing_policy,
+                self._policy_factory,
                 self._membership_settings,
             )
         operators = OperatorApp(
@@ -145,29 +145,29 @@
             submitter,
             self.control,
             self.entry,
-            self.keys,
+            self.receipt_keys,
             self.lifecycle,
             self.metrics,
             self._drain_requested.set,
-            self._operators,
+            self._operator_tokens,
         )
         routes = operators.routes()
         if self.entry is not None:
             routes += CallerApp(
                 settings,
                 self.entry,
-                self.keys,
+                self.receipt_keys,
                 self.lifecycle,
                 self.metrics,
                 spans,
-                self._announcers,
+                self._announce_tokens,
             ).routes()
         self._caller_application = Starlette(routes=routes)
         self._peer_application = peer_application(self.control, self.metrics, spans)
         await self._peer_listener.start()
         if self.entry is not None:
             await self.entry.start()
-        self._key_task = asyncio.create_task(self.keys.start())
+        self._key_task = asyncio.create_task(self.receipt_keys.start())
         await self._caller_listener.start()
         state_change("host", "started", host=settings.host)
 
@@ -185,9 +185,9 @@
         """
         if grace_ms is None:
             grace_ms = self.settings.shutdown_grace_ms
-        await self.lifecycle.drain(grace_ms / _MILLISECONDS)
+        await self.lifecycle.drain(grace_ms / _MS_PER_S)
         # Answers of the last requests are still being written.
-        await asyncio.sleep(_SOON_S)
+        await asyncio.sleep(_RESPONSE_FLUSH_S)
         await self._caller_listener.stop()
         self._key_task.cancel()
         if self.entry is not None:
@@ -220,8 +220,8 @@
             self._caller_listener.reload,
             self._peer_listener.reload,
             self._peers.reload,
-            self._operators.reload,
-            self._announcers.reload,
+            self._operator_tokens.reload,
+            self._announce_tokens.reload,
         ]
         if self.entry is not None:
             parts.append(self.entry.reload)
@@ -232,13 +232,17 @@
                 self.metrics.count("reload.failed")
                 state_change("host", "reload failed", why=str(error))
 
-    async def _caller_entry(self, scope: Scope, receive: Receive, send: Send) -> None:
-        await (self._caller_application or _starting)(scope, receive, send)
+    async def _handle_caller_request(
+        self, scope: Scope, receive: Receive, send: Send
+    ) -> None:
+        await (self._caller_application or _respond_starting)(scope, receive, send)
 
-    async def _peer_entry(self, scope: Scope, receive: Receive, send: Send) -> None:
-        await (self._peer_application or _starting)(scope, receive, send)
+    async def _handle_peer_request(
+        self, scope: Scope, receive: Receive, send: Send
+    ) -> None:
+        await (self._peer_application or _respond_starting)(scope, receive, send)
 
 
-async def _starting(scope: Scope, receive: Receive, send: Send) -> None:
+async def _respond_starting(scope: Scope, receive: Receive, send: Send) -> None:
     response: Response = json_response({"error": "Starting"}, 503)
     await response(scope, Request(scope, receive).receive, send)
--- a/packages/daemon/src/kingcuplug_daemon/_http.py
+++ b/packages/daemon/src/kingcuplug_daemon/_http.py
@@ -23,7 +23,12 @@
     "status_of",
 ]
 
-_SINGLE_HEADERS = (b"content-length", b"content-type", b"authorization", b"host")
+_NON_REPEATABLE_HEADERS = (
+    b"content-length",
+    b"content-type",
+    b"authorization",
+    b"host",
+)
 _MILLISECONDS = 1_000
 
 _STATUS_OF_REASON = {
@@ -83,7 +88,7 @@
     Refusal
         If a header is repeated, the body is too large or is not JSON.
     """
-    _require_single_headers(request)
+    _reject_repeated_headers(request)
     body = bytearray()
     async for chunk in request.stream():
         body += chunk
@@ -120,10 +125,10 @@
         ) from error
 
 
-def _require_single_headers(request: Request) -> None:
+def _reject_repeated_headers(request: Request) -> None:
     seen: set[bytes] = set()
     for name, _ in request.headers.raw:
-        if name in _SINGLE_HEADERS and name in seen:
+        if name in _NON_REPEATABLE_HEADERS and name in seen:
             raise not_run(
                 RefusalReason.INVALID_REQUEST,
                 f"the header {name.decode()!r} is given twice",
--- a/packages/daemon/src/kingcuplug_daemon/_key_registry.py
+++ b/packages/daemon/src/kingcuplug_daemon/_key_registry.py
@@ -12,7 +12,7 @@
 
 __all__ = ["KeyRegistry", "PublishKey", "PublishedKey"]
 
-_KEY_LIMIT = 100_000
+_MAX_KEYS = 100_000
 _RAW_KEY_BYTES = 32
 
 
@@ -70,14 +70,14 @@
                 identifier, command.host, command.public_key, command.time_ms
             )
             self._keys[identifier] = known
-            self._forget_oldest()
+            self._drop_oldest()
         return known
 
     def keys(self) -> list[PublishedKey]:
         """Return all keys, the oldest first."""
         return list(self._keys.values())
 
-    def raw(self) -> dict[str, bytes]:
+    def raw_keys(self) -> dict[str, bytes]:
         """Return the raw public keys by key identifier."""
         return {
             identifier: bytes.fromhex(key.public_key)
@@ -93,6 +93,6 @@
         keys = [PublishedKey(**fields) for fields in state["keys"]]
         self._keys = {key.key_id: key for key in keys}
 
-    def _forget_oldest(self) -> None:
-        while len(self._keys) > _KEY_LIMIT:
+    def _drop_oldest(self) -> None:
+        while len(self._keys) > _MAX_KEYS:
             del self._keys[next(iter(self._keys))]
--- a/packages/daemon/src/kingcuplug_daemon/_submission.py
+++ b/packages/daemon/src/kingcuplug_daemon/_leader_client.py
@@ -6,22 +6,22 @@
 
 from kingcuplug_common import KingcuplugError
 
-from kingcuplug_daemon._peers import NotSent, PeerClient, PeerError
+from kingcuplug_daemon._peer_client import NotSent, PeerClient, PeerError
 
-__all__ = ["NoLeader", "Submitter"]
+__all__ = ["LeaderClient", "NoLeader"]
 
-_TRY_TIMEOUT_S = 2.0
+_ATTEMPT_TIMEOUT_S = 2.0
 _CHANGE_TIMEOUT_S = 10.0
 _ROUNDS = 2
 # An election takes 300 to 600 ms; a shorter pause would only repeat the question.
-_PAUSE_S = 0.15
+_ROUND_PAUSE_S = 0.15
 
 
 class NoLeader(KingcuplugError):
     """No control host leads; nothing was done."""
 
 
-class Submitter:
+class LeaderClient:
     """Finds the leader and sends it commands and reads.
 
     Parameters
@@ -47,15 +47,15 @@
         NoLeader, PeerError
             If it certainly was not and will not be.
         """
-        return await self._send("/peer/v1/submit", command, _TRY_TIMEOUT_S)
+        return await self._send("/peer/v1/submit", command, _ATTEMPT_TIMEOUT_S)
 
     async def read(
-        self, question: dict[str, Any], timeout_s: float = _TRY_TIMEOUT_S
+        self, request: dict[str, Any], timeout_s: float = _ATTEMPT_TIMEOUT_S
     ) -> dict[str, Any]:
         """Return the leader's answer to a question; errors are as for `submit`."""
-        return await self._send("/peer/v1/read", question, timeout_s)
+        return await self._send("/peer/v1/read", request, timeout_s)
 
-    async def change(self, change: dict[str, Any]) -> dict[str, Any]:
+    async def change_members(self, change: dict[str, Any]) -> dict[str, Any]:
         """Change the members of the log's group; errors are as for `submit`."""
         return await self._send("/peer/v1/change", change, _CHANGE_TIMEOUT_S)
 
@@ -65,10 +65,12 @@
         last = "no control host is configured"
         for round_number in range(_ROUNDS):
             if round_number:
-                await asyncio.sleep(_PAUSE_S)
+                await asyncio.sleep(_ROUND_PAUSE_S)
             asked: set[str] = set()
             for address in self._candidates():
-                reply, last = await self._ask(address, path, message, timeout_s, asked)
+                reply, last = await self._send_following_leader(
+                    address, path, message, timeout_s, asked
+                )
                 if reply is not None:
                     return reply
         raise NoLeader(
@@ -80,26 +82,26 @@
         known = [] if self._leader is None else [self._leader]
         return known + [seed for seed in self._seeds() if seed != self._leader]
 
-    async def _ask(
+    async def _send_following_leader(
         self,
         address: str,
         path: str,
         message: dict[str, Any],
         timeout_s: float,
-        asked: set[str],
+        tried: set[str],
     ) -> tuple[dict[str, Any] | None, str]:
         """Ask one host, and the leader that it names, once each."""
         why = f"{address} was asked already"
         following: str | None = address
-        while following is not None and following not in asked:
-            asked.add(following)
+        while following is not None and following not in tried:
+            tried.add(following)
             try:
                 reply = await self._peers.post(following, path, message, timeout_s)
             except NotSent as error:
                 return None, error.message
             except PeerError as error:
-                if error.kind != "NotLeader":
-                    self._raise(error)
+                if error.error_name != "NotLeader":
+                    self._raise_refusal(error)
                 why = f"{following} does not lead"
                 following = error.fields.get("leader")
                 continue
@@ -109,7 +111,7 @@
             return reply, ""
         return None, why
 
-    def _raise(self, error: PeerError) -> None:
-        if error.kind == "LostLeadership":
+    def _raise_refusal(self, error: PeerError) -> None:
+        if error.error_name == "LostLeadership":
             raise TimeoutError(error.message) from error
         raise error
--- a/packages/daemon/src/kingcuplug_daemon/_lifecycle.py
+++ b/packages/daemon/src/kingcuplug_daemon/_lifecycle.py
@@ -33,7 +33,7 @@
         return self._in_flight
 
     @contextmanager
-    def request(self) -> Iterator[None]:
+    def track_request(self) -> Iterator[None]:
         """Count one request as in flight."""
         self._in_flight += 1
         self._idle.clear()
--- a/packages/daemon/src/kingcuplug_daemon/_listener.py
+++ b/packages/daemon/src/kingcuplug_daemon/_listener.py
@@ -20,7 +20,7 @@
 __all__ = ["Listener"]
 
 _BACKLOG = 1024
-_KEEPALIVE_S = 75
+_KEEPALIVE_TIMEOUT_S = 75
 
 
 class _Server(uvicorn.Server):
@@ -77,7 +77,7 @@
             server_header=False,
             date_header=False,
             backlog=_BACKLOG,
-            timeout_keep_alive=_KEEPALIVE_S,
+            timeout_keep_alive=_KEEPALIVE_TIMEOUT_S,
             ssl_certfile=tls.certificate if tls else None,
             ssl_keyfile=tls.private_key if tls else None,
             ssl_ca_certs=str(tls.authority) if tls else None,
--- a/packages/daemon/src/kingcuplug_daemon/_main.py
+++ b/packages/daemon/src/kingcuplug_daemon/_main.py
@@ -19,10 +19,10 @@
 
 def main() -> None:
     """Run the program."""
-    fire.Fire(_run, name="kingcuplugd")
+    fire.Fire(_run_host, name="kingcuplugd")
 
 
-def _run(settings: str) -> None:
+def _run_host(settings: str) -> None:
     """Run one host.
 
     Parameters
--- a/packages/daemon/src/kingcuplug_daemon/_operator_app.py
+++ b/packages/daemon/src/kingcuplug_daemon/_operator_app.py
@@ -15,29 +15,29 @@
 from starlette.responses import Response
 from starlette.routing import Route
 
-from kingcuplug_daemon._control import ControlNode
-from kingcuplug_daemon._entry import EntryNode
+from kingcuplug_daemon._control_node import ControlNode
+from kingcuplug_daemon._entry_node import EntryNode
 from kingcuplug_daemon._http import (
     error_fields,
     json_response,
     read_json,
     status_of,
 )
-from kingcuplug_daemon._keys import ReceiptKeys
+from kingcuplug_daemon._leader_client import LeaderClient
 from kingcuplug_daemon._lifecycle import Lifecycle
-from kingcuplug_daemon._peers import PeerError
-from kingcuplug_daemon._submission import Submitter
+from kingcuplug_daemon._peer_client import PeerError
+from kingcuplug_daemon._receipt_keys import ReceiptKeys
 from kingcuplug_daemon._tokens import BearerTokens
 
 __all__ = ["OperatorApp"]
 
 _READ_TIMEOUT_S = 2.0
 _DEFAULT_WAIT_MS = 10_000
-_MILLISECONDS = 1_000
+_MS_PER_S = 1_000
 _CONFLICT = 409
 _UNAVAILABLE = 503
 
-Work = Callable[[dict[str, Any]], Awaitable[Any]]
+OperatorHandler = Callable[[dict[str, Any]], Awaitable[Any]]
 
 
 class OperatorApp:
@@ -47,7 +47,7 @@
     ----------
     settings : HostSettings
         Settings of this host.
-    submitter : Submitter
+    submitter : LeaderClient
         Sends commands and questions to the leader.
     control : ControlNode or None
         This host's control role.
@@ -66,24 +66,24 @@
     def __init__(
         self,
         settings: HostSettings,
-        submitter: Submitter,
+        leader_client: LeaderClient,
         control: ControlNode | None,
         entry: EntryNode | None,
-        keys: ReceiptKeys,
+        receipt_keys: ReceiptKeys,
         lifecycle: Lifecycle,
         metrics: Metrics,
-        drain: Callable[[], None],
-        operators: BearerTokens,
+        begin_drain: Callable[[], None],
+        operator_tokens: BearerTokens,
     ) -> None:
         self._settings = settings
-        self._submitter = submitter
+        self._leader_client = leader_client
         self._control = control
         self._entry = entry
-        self._keys = keys
+        self._receipt_keys = receipt_keys
         self._lifecycle = lifecycle
         self._metrics = metrics
-        self._drain = drain
-        self._operators = operators
+        self._drain = begin_drain
+        self._operator_tokens = operator_tokens
 
     def routes(self) -> list[Route]:
         """Return the routes of the callers' listener."""
@@ -96,32 +96,34 @@
             "control/leader": "control_status",
         }
         routes = [
-            Route("/healthz", self._health, methods=["GET"]),
-            Route("/readyz", self._readiness, methods=["GET"]),
-            self._post("configuration", self._apply),
-            self._post("in-force", self._in_force),
-            self._post("orders/show", self._show_order),
-            self._post("keys/rotate", self._rotate),
-            self._post("drain", self._begin_drain),
-            self._post("status", self._status),
-            self._post("control/bootstrap", self._bootstrap),
-            self._post("control/add", self._add_member),
-            self._post("control/remove", self._remove_member),
-            self._post("control/status", self._control_status),
+            Route("/healthz", self._handle_liveness, methods=["GET"]),
+            Route("/readyz", self._handle_readiness, methods=["GET"]),
+            self._post_route("configuration", self._apply_configuration),
+            self._post_route("in-force", self._wait_in_force),
+            self._post_route("orders/show", self._show_order),
+            self._post_route("keys/rotate", self._rotate_key),
+            self._post_route("drain", self._handle_drain),
+            self._post_route("status", self._status),
+            self._post_route("control/bootstrap", self._bootstrap),
+            self._post_route("control/add", self._add_member),
+            self._post_route("control/remove", self._remove_member),
+            self._post_route("control/status", self._control_status),
         ]
         for path, question in reads.items():
-            routes.append(self._post(f"{path}/show", self._reader(question)))
+            routes.append(
+                self._post_route(f"{path}/show", self._read_handler(question))
+            )
         return routes
 
-    def _post(self, path: str, work: Work) -> Route:
+    def _post_route(self, path: str, handler: OperatorHandler) -> Route:
         async def endpoint(request: Request) -> Response:
-            return await self._answer(request, work)
+            return await self._handle(request, handler)
 
         return Route(f"/v1/operator/{path}", endpoint, methods=["POST"])
 
-    async def _answer(self, request: Request, work: Work) -> Response:
+    async def _handle(self, request: Request, handler: OperatorHandler) -> Response:
         try:
-            self._operators.authorize(request)
+            self._operator_tokens.authorize(request)
             fields = await read_json(request, self._settings.body_limit_bytes)
             if not isinstance(fields, dict):
                 raise not_run(
@@ -129,7 +131,7 @@
                     f"the body is {type(fields).__name__}, not an object",
                     "send one JSON object",
                 )
-            return json_response(await work(fields))
+            return json_response(await handler(fields))
         except Refusal as refusal:
             return json_response(error_fields(refusal), status_of(refusal))
         except PeerError as error:
@@ -137,61 +139,61 @@
         except KingcuplugError as error:
             return json_response(error_fields(error), _CONFLICT)
         except TimeoutError as error:
-            return json_response(_unknown_fields(error), _UNAVAILABLE)
+            return json_response(_outcome_unknown_fields(error), _UNAVAILABLE)
 
     # Checks of the load balancer
 
-    async def _health(self, request: Request) -> Response:
+    async def _handle_liveness(self, request: Request) -> Response:
         return json_response({"live": True, "host": self._settings.host})
 
-    async def _readiness(self, request: Request) -> Response:
-        ready = self._ready()
+    async def _handle_readiness(self, request: Request) -> Response:
+        ready = self._is_ready()
         return json_response({"ready": ready}, 200 if ready else _UNAVAILABLE)
 
-    def _ready(self) -> bool:
+    def _is_ready(self) -> bool:
         if self._entry is None or self._lifecycle.draining:
             return False
-        return self._entry.session.is_confirmed() and self._keys.published
+        return self._entry.session.is_confirmed() and self._receipt_keys.published
 
     # Work
 
-    def _reader(self, question: str) -> Work:
+    def _read_handler(self, read_type: str) -> OperatorHandler:
         async def read(fields: dict[str, Any]) -> dict[str, Any]:
-            return await self._submitter.read({"type": question})
+            return await self._leader_client.read({"type": read_type})
 
         return read
 
-    async def _apply(self, fields: dict[str, Any]) -> dict[str, Any]:
+    async def _apply_configuration(self, fields: dict[str, Any]) -> dict[str, Any]:
         command = {
             "type": "apply_configuration",
-            "change_id": _text(fields, "change_id"),
+            "change_id": _text_field(fields, "change_id"),
             "base_revision": fields.get("base_revision"),
-            "text": _text(fields, "text"),
-            "author": _text(fields, "author"),
+            "text": _text_field(fields, "text"),
+            "author": _text_field(fields, "author"),
             "time_ms": 0,
             "delta": None,
         }
-        return await self._submitter.submit(command)
+        return await self._leader_client.submit(command)
 
-    async def _in_force(self, fields: dict[str, Any]) -> dict[str, Any]:
-        wait_ms = _number(fields, "wait_ms", _DEFAULT_WAIT_MS)
+    async def _wait_in_force(self, fields: dict[str, Any]) -> dict[str, Any]:
+        wait_ms = _number_field(fields, "wait_ms", _DEFAULT_WAIT_MS)
         question = {
             "type": "in_force",
-            "revision": _number(fields, "revision"),
+            "revision": _number_field(fields, "revision"),
             "wait_ms": wait_ms,
         }
-        timeout_s = wait_ms / _MILLISECONDS + _READ_TIMEOUT_S
-        return await self._submitter.read(question, timeout_s)
+        timeout_s = wait_ms / _MS_PER_S + _READ_TIMEOUT_S
+        return await self._leader_client.read(question, timeout_s)
 
     async def _show_order(self, fields: dict[str, Any]) -> dict[str, Any]:
-        return await self._submitter.read(
-            {"type": "order", "key": _text(fields, "key")}
+        return await self._leader_client.read(
+            {"type": "order", "key": _text_field(fields, "key")}
         )
 
-    async def _rotate(self, fields: dict[str, Any]) -> dict[str, Any]:
-        return {"key_id": await self._keys.rotate()}
+    async def _rotate_key(self, fields: dict[str, Any]) -> dict[str, Any]:
+        return {"key_id": await self._receipt_keys.rotate()}
 
-    async def _begin_drain(self, fields: dict[str, Any]) -> dict[str, Any]:
+    async def _handle_drain(self, fields: dict[str, Any]) -> dict[str, Any]:
         self._drain()
         return {"draining": True, "in_flight": self._lifecycle.in_flight}
 
@@ -200,7 +202,7 @@
             "host": self._settings.host,
             "availability_zone": self._settings.availability_zone,
             "roles": sorted(self._settings.roles),
-            "ready": self._ready(),
+            "ready": self._is_ready(),
             "draining": self._lifecycle.draining,
             "in_flight": self._lifecycle.in_flight,
             "counters": dict(sorted(self._metrics.counts.items())),
@@ -210,27 +212,29 @@
             status["revision"] = self._entry.configuration.current()
             status["confirmed"] = session.is_confirmed()
             status["live_entry_hosts"] = session.live_entry_hosts
-            status["condemned"] = len(self._entry.guard.condemned())
+            status["condemned"] = len(self._entry.crash_guard.condemned())
         if self._control is not None:
             status["control"] = self._control.status()
         return status
 
     async def _control_status(self, fields: dict[str, Any]) -> dict[str, Any]:
-        return self._require_control().status()
+        return self._control_node().status()
 
     async def _bootstrap(self, fields: dict[str, Any]) -> dict[str, Any]:
-        return await self._require_control().bootstrap()
+        return await self._control_node().bootstrap()
 
     async def _add_member(self, fields: dict[str, Any]) -> dict[str, Any]:
         role = str(fields.get("role", "voter"))
-        return await self._submitter.change(
-            {"add": _text(fields, "address"), "role": role}
+        return await self._leader_client.change_members(
+            {"add": _text_field(fields, "address"), "role": role}
         )
 
     async def _remove_member(self, fields: dict[str, Any]) -> dict[str, Any]:
-        return await self._submitter.change({"remove": _text(fields, "member")})
+        return await self._leader_client.change_members(
+            {"remove": _text_field(fields, "member")}
+        )
 
-    def _require_control(self) -> ControlNode:
+    def _control_node(self) -> ControlNode:
         if self._control is None:
             raise KingcuplugError(
                 f"host {self._settings.host} has no control role",
@@ -239,7 +243,7 @@
         return self._control
 
 
-def _text(fields: dict[str, Any], name: str) -> str:
+def _text_field(fields: dict[str, Any], name: str) -> str:
     value = fields.get(name)
     if not isinstance(value, str) or not value:
         raise not_run(
@@ -250,7 +254,7 @@
     return value
 
 
-def _number(fields: dict[str, Any], name: str, default: int | None = None) -> int:
+def _number_field(fields: dict[str, Any], name: str, default: int | None = None) -> int:
     value = fields.get(name, default)
     if type(value) is not int or value < 0:
         raise not_run(
@@ -261,7 +265,7 @@
     return value
 
 
-def _unknown_fields(error: Exception) -> dict[str, Any]:
+def _outcome_unknown_fields(error: Exception) -> dict[str, Any]:
     return {
         "error": "OutcomeUnknown",
         "message": f"no answer came, the command may have been applied: {error}",
--- a/packages/daemon/src/kingcuplug_daemon/_peer_app.py
+++ b/packages/daemon/src/kingcuplug_daemon/_peer_app.py
@@ -11,13 +11,13 @@
 from starlette.responses import Response
 from starlette.routing import Route
 
-from kingcuplug_daemon._control import ControlNode, leader_of
+from kingcuplug_daemon._control_node import ControlNode, leader_address
 from kingcuplug_daemon._http import error_fields, json_response, read_json
 
 __all__ = ["peer_application"]
 
 _BODY_LIMIT_BYTES = 64 * 1024 * 1024
-_REFUSED = 409
+_CONFLICT = 409
 
 Handler = Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]
 
@@ -43,7 +43,7 @@
         "identity": identity,
         "submit": control.submit,
         "read": control.read,
-        "change": control.change,
+        "change": control.change_members,
     }
     return Starlette(
         routes=[
@@ -75,12 +75,12 @@
             with request_span(tracer, f"peer.{name}", request.headers):
                 return json_response(await handler(message))
         except NotLeader as error:
-            fields = error_fields(error) | {"leader": leader_of(error)}
-            return json_response(fields, _REFUSED)
+            fields = error_fields(error) | {"leader": leader_address(error)}
+            return json_response(fields, _CONFLICT)
         except KingcuplugError as error:
-            return json_response(error_fields(error), _REFUSED)
+            return json_response(error_fields(error), _CONFLICT)
         except ExceptionGroup as group:
-            return json_response(_group_fields(group), _REFUSED)
+            return json_response(_group_fields(group), _CONFLICT)
 
     return endpoint
 
--- a/packages/daemon/src/kingcuplug_daemon/_peers.py
+++ b/packages/daemon/src/kingcuplug_daemon/_peer_client.py
@@ -13,8 +13,8 @@
 __all__ = ["NotSent", "PeerClient", "PeerError"]
 
 _CONNECT_TIMEOUT_S = 0.5
-_POOL_PER_HOST = 8
-_KEEPALIVE_S = 30.0
+_MAX_CONNECTIONS_PER_HOST = 8
+_KEEPALIVE_TIMEOUT_S = 30.0
 _JSON_HEADERS = {"Content-Type": "application/json"}
 
 
@@ -33,12 +33,12 @@
         The whole answer.
     """
 
-    def __init__(self, kind: str, fields: Mapping[str, Any]) -> None:
+    def __init__(self, error_name: str, fields: Mapping[str, Any]) -> None:
         super().__init__(
             str(fields.get("message", "no message")),
             str(fields.get("remedy", "look at the log of the peer")),
         )
-        self.kind = kind
+        self.error_name = error_name
         self.fields = fields
 
 
@@ -66,7 +66,7 @@
         if self._session is not None:
             await self._session.close()
 
-    def path(self, path: str, timeout_s: float) -> Call:
+    def bind_path(self, path: str, timeout_s: float) -> Call:
         """Return a function that posts messages to one path of any peer.
 
         It raises `NotSent` if the peer cannot have seen the message, `PeerError`
@@ -83,10 +83,10 @@
     ) -> dict[str, Any]:
         """Post one message; see `path` for the errors."""
         try:
-            async with self._http().post(
+            async with self._open_session().post(
                 f"{self._scheme}://{address}{path}",
                 data=orjson.dumps(message),
-                headers=_headers(),
+                headers=_request_headers(),
                 timeout=aiohttp.ClientTimeout(
                     total=timeout_s, sock_connect=_CONNECT_TIMEOUT_S
                 ),
@@ -100,15 +100,15 @@
             ) from error
         except aiohttp.ClientError as error:
             raise ConnectionError(f"call of {address}{path} broke: {error}") from error
-        return _read(status, body)
+        return _parse_reply(status, body)
 
-    def _http(self) -> aiohttp.ClientSession:
+    def _open_session(self) -> aiohttp.ClientSession:
         if self._session is None:
             self._session = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(
                     limit=0,
-                    limit_per_host=_POOL_PER_HOST,
-                    keepalive_timeout=_KEEPALIVE_S,
+                    limit_per_host=_MAX_CONNECTIONS_PER_HOST,
+                    keepalive_timeout=_KEEPALIVE_TIMEOUT_S,
                     ssl=self._context if self._context is not None else True,
                 ),
                 cookie_jar=aiohttp.DummyCookieJar(),
@@ -116,12 +116,12 @@
         return self._session
 
 
-def _headers() -> dict[str, str]:
+def _request_headers() -> dict[str, str]:
     trace = traceparent()
     return _JSON_HEADERS if trace is None else {**_JSON_HEADERS, "traceparent": trace}
 
 
-def _read(status: int, body: bytes) -> dict[str, Any]:
+def _parse_reply(status: int, body: bytes) -> dict[str, Any]:
     try:
         value = orjson.loads(body)
     except orjson.JSONDecodeError as error:
--- a/packages/daemon/src/kingcuplug_daemon/_keys.py
+++ b/packages/daemon/src/kingcuplug_daemon/_receipt_keys.py
@@ -12,7 +12,7 @@
 
 __all__ = ["ReceiptKeys"]
 
-_FILE = "receipt-key"
+_KEY_FILE = "receipt-key"
 _SEED_BYTES = 32
 _RETRY_S = 0.5
 
@@ -45,7 +45,7 @@
         wall_ms: Callable[[], int],
     ) -> None:
         self._host = host
-        self._path = None if folder is None else folder / _FILE
+        self._path = None if folder is None else folder / _KEY_FILE
         self._submit = submit
         self._wall_ms = wall_ms
         self._signer: Signer | None = None
@@ -58,11 +58,11 @@
 
     async def start(self) -> None:
         """Load or make the key and publish it, however long that takes."""
-        signer = self._load() or self._make()
+        signer = self._load_key() or self._generate_key()
         async with self._lock:
             while True:
                 try:
-                    await self._publish(signer)
+                    await self._publish_key(signer)
                     return
                 except (KingcuplugError, TimeoutError):
                     await asyncio.sleep(_RETRY_S)
@@ -76,8 +76,8 @@
             If it could not be published; the present key stays in use.
         """
         async with self._lock:
-            signer = self._make()
-            await self._publish(signer)
+            signer = self._generate_key()
+            await self._publish_key(signer)
             state_change("receipt-key", "rotated", key_id=signer.key_id)
             return signer.key_id
 
@@ -85,12 +85,12 @@
         """Return the signed receipt; ``None`` before the key is published."""
         return None if self._signer is None else self._signer.sign(receipt)
 
-    async def _publish(self, signer: Signer) -> None:
+    async def _publish_key(self, signer: Signer) -> None:
         command = PublishKey(self._host, signer.public_key.hex(), self._wall_ms())
         await self._submit(command.to_json())
         self._signer = signer
 
-    def _load(self) -> Signer | None:
+    def _load_key(self) -> Signer | None:
         if self._path is None or not self._path.exists():
             return None
         seed = self._path.read_bytes()
@@ -101,7 +101,7 @@
             )
         return Signer(seed)
 
-    def _make(self) -> Signer:
+    def _generate_key(self) -> Signer:
         seed = os.urandom(_SEED_BYTES)
         if self._path is not None:
             _write_private(self._path, seed)
--- a/packages/daemon/src/kingcuplug_daemon/_requests.py
+++ b/packages/daemon/src/kingcuplug_daemon/_request_models.py
@@ -9,7 +9,7 @@
 
 _Identifier = Annotated[str, StringConstraints(pattern=r"^[!-~]{1,128}$")]
 _Key = Annotated[str, StringConstraints(min_length=1, max_length=512)]
-_DEADLINE_LIMIT_MS = 3_600_000
+_MAX_DEADLINE_MS = 3_600_000
 
 
 class _RequestModel(BaseModel):
@@ -17,7 +17,7 @@
 
     body: Any
     request_id: _Identifier | None = None
-    deadline_ms: int | None = Field(default=None, le=_DEADLINE_LIMIT_MS)
+    deadline_ms: int | None = Field(default=None, le=_MAX_DEADLINE_MS)
     priority: Priority = Priority.NORMAL
 
 
--- a/packages/daemon/src/kingcuplug_daemon/_routing_state.py
+++ b/packages/daemon/src/kingcuplug_daemon/_router_updater.py
@@ -7,13 +7,13 @@
 from kingcuplug_query import HttpBackend, RevisionView
 from kingcuplug_routing import CrashGuard, Holding, ServerView
 
-__all__ = ["RoutingState"]
+__all__ = ["RouterUpdater"]
 
-_HOSTS_PERIOD_S = 0.5
-_FORGET_S = 60.0
+_HOST_COUNT_CHECK_INTERVAL_S = 0.5
+_POOL_CLOSE_DELAY_S = 60.0
 
 
-class RoutingState:
+class RouterUpdater:
     """Feeds routers, connection limits and the crash guard from the directory.
 
     Parameters
@@ -31,64 +31,64 @@
     def __init__(
         self,
         session: SessionClient,
-        view: Callable[[], RevisionView],
+        current_view: Callable[[], RevisionView],
         backend: HttpBackend,
-        guard: CrashGuard,
+        crash_guard: CrashGuard,
     ) -> None:
         self._session = session
-        self._view = view
-        self._backend = backend
-        self._guard = guard
-        self._dirty: set[str] = set()
-        self._scheduled = False
+        self._current_view = current_view
+        self._backend_client = backend
+        self._crash_guard = crash_guard
+        self._changed_services: set[str] = set()
+        self._update_scheduled = False
         self._live_entry_hosts = 1
-        self._last: dict[tuple[str, str], ServerEntry] = {}
+        self._last_entries: dict[tuple[str, str], ServerEntry] = {}
         self._addresses: dict[str, set[str]] = {}
         session.directory.watch(self._entry_changed)
 
-    def refresh(self) -> None:
+    def update_all(self) -> None:
         """Update every router, after a new revision or number of entry hosts."""
-        self._dirty.update(self._view().services)
-        self._schedule()
+        self._changed_services.update(self._current_view().services)
+        self._schedule_update()
 
     async def run(self) -> None:
         """Follow the number of live entry hosts until cancelled."""
         while True:
-            await asyncio.sleep(_HOSTS_PERIOD_S)
+            await asyncio.sleep(_HOST_COUNT_CHECK_INTERVAL_S)
             if self._session.live_entry_hosts != self._live_entry_hosts:
                 self._live_entry_hosts = self._session.live_entry_hosts
-                self.refresh()
+                self.update_all()
 
     def _entry_changed(self, entry: ServerEntry) -> None:
-        self._note_restart(entry)
-        self._dirty.add(entry.announcement.service)
-        self._schedule()
+        self._report_restart(entry)
+        self._changed_services.add(entry.announcement.service)
+        self._schedule_update()
 
-    def _note_restart(self, entry: ServerEntry) -> None:
-        former = self._last.pop(entry.key, None)
+    def _report_restart(self, entry: ServerEntry) -> None:
+        former = self._last_entries.pop(entry.key, None)
         if self._session.directory.get(*entry.key) is not None:
-            self._last[entry.key] = entry
+            self._last_entries[entry.key] = entry
         if former is None or former.announcement.state == "withdrawn":
             return
         before = former.announcement
         if entry.announcement.incarnation > before.incarnation:
-            self._guard.server_crashed(
+            self._crash_guard.server_crashed(
                 before.server,
                 before.incarnation,
                 before.service,
                 before.availability_zone,
             )
 
-    def _schedule(self) -> None:
-        if not self._scheduled:
-            self._scheduled = True
+    def _schedule_update(self) -> None:
+        if not self._update_scheduled:
+            self._update_scheduled = True
             asyncio.get_running_loop().call_soon(self._update)
 
     def _update(self) -> None:
         """Update the routers of all changed services at once."""
-        self._scheduled = False
-        dirty, self._dirty = self._dirty, set()
-        view = self._view()
+        self._update_scheduled = False
+        dirty, self._changed_services = self._changed_services, set()
+        view = self._current_view()
         for name in dirty:
             runtime = view.services.get(name)
             if runtime is None:
@@ -99,22 +99,24 @@
                 if entry.live
             ]
             runtime.router.update(servers, self._live_entry_hosts)
-            self._share_connections(name, servers)
+            self._set_connection_limits(name, servers)
 
-    def _share_connections(self, service: str, servers: list[ServerView]) -> None:
+    def _set_connection_limits(self, service: str, servers: list[ServerView]) -> None:
         addresses = {server.address for server in servers}
         for address in self._addresses.get(service, set()) - addresses:
             # A server whose lease ended may still answer what it was asked.
             loop = asyncio.get_running_loop()
-            loop.call_later(_FORGET_S, self._forget, service, address)
+            loop.call_later(
+                _POOL_CLOSE_DELAY_S, self._close_unused_pool, service, address
+            )
         self._addresses[service] = addresses
         for server in servers:
             share = max(server.connections // self._live_entry_hosts, 1)
-            self._backend.limit(server.address, share)
+            self._backend_client.limit(server.address, share)
 
-    def _forget(self, service: str, address: str) -> None:
+    def _close_unused_pool(self, service: str, address: str) -> None:
         if address not in self._addresses.get(service, set()):
-            self._backend.forget(address)
+            self._backend_client.forget(address)
 
 
 def _server_view(entry: ServerEntry) -> ServerView:
--- a/packages/daemon/src/kingcuplug_daemon/_machine.py
+++ b/packages/daemon/src/kingcuplug_daemon/_state_machine.py
@@ -13,12 +13,12 @@
 
 from kingcuplug_daemon._key_registry import KeyRegistry, PublishKey
 
-__all__ = ["LEDGER_COMMANDS", "SystemMachine"]
+__all__ = ["LEDGER_COMMANDS", "SystemStateMachine"]
 
 LEDGER_COMMANDS = frozenset(("claim", "dispatch", "outcome", "release"))
 
 
-class SystemMachine:
+class SystemStateMachine:
     """Configuration, order ledger and public keys, as one machine.
 
     Attributes
@@ -31,7 +31,7 @@
         self.configuration = ConfigurationHistory()
         self.ledger = OrderLedger()
         self.keys = KeyRegistry()
-        self.on_revision: list[Callable[[], None]] = []
+        self.revision_callbacks: list[Callable[[], None]] = []
 
     def apply(self, index: int, command: Any) -> Any:
         """Apply one committed command and return its result as JSON value."""
@@ -61,15 +61,15 @@
         self.configuration.load(state["configuration"])
         self.ledger.load(state["ledger"])
         self.keys.load(state["keys"])
-        self._revised()
+        self._notify_revision()
 
     def _apply_configuration(self, command: dict[str, Any]) -> dict[str, Any]:
         before = self.configuration.current.number
         result = self.configuration.apply(command).to_json()
         if self.configuration.current.number != before:
-            self._revised()
+            self._notify_revision()
         return result
 
-    def _revised(self) -> None:
-        for callback in self.on_revision:
+    def _notify_revision(self) -> None:
+        for callback in self.revision_callbacks:
             callback()
--- a/packages/daemon/src/kingcuplug_daemon/_questions.py
+++ b/packages/daemon/src/kingcuplug_daemon/_state_reads.py
@@ -8,40 +8,47 @@
 
 from kingcuplug_membership import ServerEntry, SessionServer
 
-from kingcuplug_daemon._machine import SystemMachine
+from kingcuplug_daemon._state_machine import SystemStateMachine
 
-__all__ = ["configuration", "history", "hosts", "keys", "order", "servers"]
+__all__ = [
+    "configuration_history",
+    "current_configuration",
+    "known_servers",
+    "live_entry_hosts",
+    "order_state",
+    "public_keys",
+]
 
-_HISTORY_LIMIT = 1_000
+_MAX_HISTORY_CHANGES = 1_000
 
 
-def configuration(machine: SystemMachine) -> dict[str, Any]:
+def current_configuration(state_machine: SystemStateMachine) -> dict[str, Any]:
     """Return the revision in force."""
-    return machine.configuration.current._asdict()
+    return state_machine.configuration.current._asdict()
 
 
-def history(machine: SystemMachine) -> dict[str, Any]:
+def configuration_history(state_machine: SystemStateMachine) -> dict[str, Any]:
     """Return the remembered changes, the newest first."""
-    changes = machine.configuration.recent(_HISTORY_LIMIT)
+    changes = state_machine.configuration.recent(_MAX_HISTORY_CHANGES)
     return {"revisions": [change._asdict() for change in changes]}
 
 
-def order(machine: SystemMachine, key: str) -> dict[str, Any]:
+def order_state(state_machine: SystemStateMachine, key: str) -> dict[str, Any]:
     """Return what happened to an order."""
-    record = machine.ledger.lookup(key)
+    record = state_machine.ledger.lookup(key)
     return {
         "key": key,
-        "explanation": machine.ledger.explain(key),
+        "explanation": state_machine.ledger.explain(key),
         "state": None if record is None else record.state,
     }
 
 
-def keys(machine: SystemMachine) -> dict[str, Any]:
+def public_keys(state_machine: SystemStateMachine) -> dict[str, Any]:
     """Return the public keys that check receipts."""
-    return machine.keys.dump()
+    return state_machine.keys.dump()
 
 
-def hosts(sessions: SessionServer) -> dict[str, Any]:
+def live_entry_hosts(sessions: SessionServer) -> dict[str, Any]:
     """Return the entry hosts with a running lease."""
     return {
         "hosts": [
@@ -57,7 +64,7 @@
     }
 
 
-def servers(sessions: SessionServer) -> dict[str, Any]:
+def known_servers(sessions: SessionServer) -> dict[str, Any]:
     """Return all known backend servers."""
     directory = sessions.directory
     return {
--- a/packages/daemon/src/kingcuplug_daemon/_tls.py
+++ b/packages/daemon/src/kingcuplug_daemon/_tls.py
@@ -16,7 +16,7 @@
         If a file cannot be read, or certificate and key do not belong together.
     """
     if tls is not None:
-        _load(ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER), tls)
+        _load_identity(ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER), tls)
 
 
 def client_context(tls: TlsSettings | None) -> ssl.SSLContext | None:
@@ -32,7 +32,7 @@
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     # Hosts are addressed by IP number; the private authority vouches for them.
     context.check_hostname = False
-    _load(context, tls)
+    _load_identity(context, tls)
     return context
 
 
@@ -50,10 +50,10 @@
     if context is None or tls is None:
         return
     check_identity(tls)
-    _load(context, tls)
+    _load_identity(context, tls)
 
 
-def _load(context: ssl.SSLContext, tls: TlsSettings) -> None:
+def _load_identity(context: ssl.SSLContext, tls: TlsSettings) -> None:
     try:
         context.load_verify_locations(cafile=tls.authority)
         context.load_cert_chain(tls.certificate, tls.private_key)
--- a/packages/daemon/src/kingcuplug_daemon/_tokens.py
+++ b/packages/daemon/src/kingcuplug_daemon/_tokens.py
@@ -26,13 +26,13 @@
 
     def __init__(self, path: Path | None) -> None:
         self._path = path
-        self._accepted: tuple[bytes, ...] | None = None
+        self._accepted_tokens: tuple[bytes, ...] | None = None
         self.reload()
 
     def reload(self) -> None:
         """Read the file again; on an error the former tokens stay accepted."""
         if self._path is not None:
-            self._accepted = _read(self._path)
+            self._accepted_tokens = _read_tokens(self._path)
 
     def authorize(self, request: Request) -> None:
         """Check the bearer token of a request.
@@ -42,11 +42,12 @@
         Refusal
             If tokens are configured and the request carries none of them.
         """
-        if self._accepted is None:
+        if self._accepted_tokens is None:
             return
         given = request.headers.get("authorization", "").encode()
         matches = [
-            hmac.compare_digest(given, b"Bearer " + token) for token in self._accepted
+            hmac.compare_digest(given, b"Bearer " + token)
+            for token in self._accepted_tokens
         ]
         if not any(matches):
             raise not_run(
@@ -56,7 +57,7 @@
             )
 
 
-def _read(path: Path) -> tuple[bytes, ...]:
+def _read_tokens(path: Path) -> tuple[bytes, ...]:
     try:
         tokens = tuple(line.strip() for line in path.read_bytes().splitlines())
     except OSError as error:
--- a/tests/common/test_signal.py
+++ b/tests/common/test_condition.py
@@ -6,7 +6,7 @@
 from kingcuplug_testkit import run_virtual
 
 
-def test_wait_ends_when_its_timer_fires_a_moment_early():
+def test_wait_times_out_when_its_timer_fires_early():
     """Guards against a wait that goes on for ever.
 
     Event loops run timers that are due within their clock's resolution, so the clock
--- a/tests/common/test_events.py
+++ b/tests/common/test_event_log_and_metrics.py
@@ -5,8 +5,8 @@
 import orjson
 import pytest
 from kingcuplug_common import EventLog, Metrics, exposition
-from kingcuplug_common._counters import Histogram
-from kingcuplug_common._events import BUFFER_BYTES, BURST_LINES
+from kingcuplug_common._event_log import BUFFER_BYTES, BURST_LINES
+from kingcuplug_common._metrics import Histogram
 
 
 @pytest.fixture
@@ -21,14 +21,14 @@
     return [orjson.loads(line) for line in os.read(reader, 1 << 20).splitlines()]
 
 
-def test_flood_of_one_kind_is_counted_and_hides_no_other(pipe):
+def test_rate_limit_applies_to_each_kind_separately(pipe):
     """Guards against logs that grow with the load, and against silent gaps."""
     reader, writer = pipe
     log = EventLog(writer, "host")
     for number in range(BURST_LINES + 50):
         log.write("flood", {"number": number})
     log.write("rare", {})
-    log._rates["flood"].tokens = 1.0
+    log._buckets["flood"].tokens = 1.0
     log.write("flood", {"number": -1})
     log.flush()
     lines = _lines(reader)
@@ -37,7 +37,7 @@
     assert lines[-1]["suppressed"] == 50
 
 
-def test_reader_that_stops_never_blocks_the_host(pipe):
+def test_stalled_reader_never_blocks_the_writer(pipe):
     """Guards against a host that waits for whoever collects its logs."""
     reader, writer = pipe
     log = EventLog(writer, "host")
@@ -45,18 +45,18 @@
         log.write("line", {"text": "x" * 1_000}, always=True)
         log.flush()
     assert log.dropped > 0
-    assert log._waiting_bytes <= BUFFER_BYTES
-    waiting_bytes = log._waiting_bytes
+    assert log._buffered_bytes <= BUFFER_BYTES
+    waiting_bytes = log._buffered_bytes
     os.read(reader, 1 << 20)
     log.flush()
-    assert log._waiting_bytes < waiting_bytes
+    assert log._buffered_bytes < waiting_bytes
 
 
 @pytest.mark.parametrize(
     ("duration_s", "bucket"),
     [(0.0, 0), (2**-10, 0), (0.001, 1), (1.0, 10), (900.0, 17)],
 )
-def test_durations_fall_under_their_bounds(duration_s, bucket):
+def test_duration_is_counted_in_its_bucket(duration_s, bucket):
     """Guards against a duration counted below its bucket's lower bound."""
     histogram = Histogram()
     histogram.record(duration_s)
@@ -65,7 +65,7 @@
         assert duration_s <= Histogram.BOUNDS_S[bucket]
 
 
-def test_figures_are_served_as_text():
+def test_metrics_are_rendered_in_prometheus_format():
     """Guards against figures that the collector cannot read."""
     metrics = Metrics()
     metrics.count("requests.503", 2)
--- a/tests/common/test_spans.py
+++ b/tests/common/test_spans.py
@@ -23,7 +23,7 @@
     assert (tmp_path / "trace").read_text() == ""
 
 
-def test_a_hop_that_fails_names_the_error_and_gives_way(tmp_path: Path):
+def test_failed_hop_records_the_error_and_restores_its_parent(tmp_path: Path):
     """Guards against later hops that appear below a failed one."""
     with (
         tracer(tmp_path / "trace", 0.0) as spans,
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,7 +11,7 @@
 from kingcuplug_cli._local import Group, LocalDeployment, Sizes
 
 _T = TypeVar("_T")
-_STEP_TIMEOUT_S = 60.0
+_CALL_TIMEOUT_S = 60.0
 
 SIZES = Sizes(
     ("zone-1", "zone-2"),
@@ -47,10 +47,10 @@
         self.local: LocalDeployment
         self.revision = 0
 
-    def run(self, work: Coroutine[Any, Any, _T]) -> _T:
+    def run(self, coroutine: Coroutine[Any, Any, _T]) -> _T:
         """Run a coroutine on the deployment's loop and return its result."""
-        return asyncio.run_coroutine_threadsafe(work, self._loop).result(
-            _STEP_TIMEOUT_S
+        return asyncio.run_coroutine_threadsafe(coroutine, self._loop).result(
+            _CALL_TIMEOUT_S
         )
 
     def start(self, **options: Any) -> None:
@@ -66,7 +66,7 @@
         """Stop everything."""
         self.run(self.local.stop())
         self._loop.call_soon_threadsafe(self._loop.stop)
-        self._thread.join(_STEP_TIMEOUT_S)
+        self._thread.join(_CALL_TIMEOUT_S)
         self._loop.close()
 
     def address(self, number: int = 0) -> str:
@@ -79,7 +79,7 @@
 
 
 @contextlib.contextmanager
-def running(**options: Any) -> Iterator[RunningDeployment]:
+def running_deployment(**options: Any) -> Iterator[RunningDeployment]:
     """Run a deployment."""
     deployment = RunningDeployment()
     deployment.start(**options)
@@ -96,7 +96,7 @@
     The fixture that calls this belongs to the folder's own conftest, so that no
     host runs during the tests of other folders.
     """
-    with running(
+    with running_deployment(
         entry_hosts=2,
         control_hosts=1,
         operator_token="operator-secret",
--- a/tests/daemon/_certificates.py
+++ b/tests/daemon/_certificates.py
@@ -13,7 +13,7 @@
 _DAY = datetime.timedelta(days=1)
 
 
-class Authority:
+class CertificateAuthority:
     """Signs certificates for 127.0.0.1.
 
     Parameters
@@ -28,16 +28,16 @@
         self._folder = folder
         self._name = name
         self._key = ec.generate_private_key(ec.SECP256R1())
-        self._count = 0
-        certificate = self._builder(name, self._key.public_key(), None)
+        self._identity_count = 0
+        certificate = self._sign_certificate(name, self._key.public_key(), None)
         self.file = folder / f"{name}.pem"
         self.file.write_bytes(certificate)
 
-    def identity(self, trusted: Path | None = None) -> TlsSettings:
+    def issue_identity(self, trusted: Path | None = None) -> TlsSettings:
         """Return a new identity that trusts `trusted`, by default this authority."""
-        self._count += 1
-        stem = f"{self._name}-{self._count}"
-        return self.renew(
+        self._identity_count += 1
+        stem = f"{self._name}-{self._identity_count}"
+        return self.renew_identity(
             TlsSettings(
                 certificate=self._folder / f"{stem}.crt",
                 private_key=self._folder / f"{stem}.key",
@@ -45,7 +45,7 @@
             )
         )
 
-    def renew(self, tls: TlsSettings) -> TlsSettings:
+    def renew_identity(self, tls: TlsSettings) -> TlsSettings:
         """Write a new key and certificate into the files of an identity."""
         key = ec.generate_private_key(ec.SECP256R1())
         tls.private_key.write_bytes(
@@ -56,11 +56,13 @@
             )
         )
         tls.certificate.write_bytes(
-            self._builder("host", key.public_key(), ipaddress.ip_address("127.0.0.1"))
+            self._sign_certificate(
+                "host", key.public_key(), ipaddress.ip_address("127.0.0.1")
+            )
         )
         return tls
 
-    def _builder(
+    def _sign_certificate(
         self,
         name: str,
         key: ec.EllipticCurvePublicKey,
--- a/tests/daemon/conftest.py
+++ b/tests/daemon/conftest.py
@@ -12,10 +12,10 @@
 
 from tests.conftest import RunningDeployment, shared
 
-Respond = Callable[[dict[str, Any], dict[str, str]], bytes]
+Responder = Callable[[dict[str, Any], dict[str, str]], bytes]
 
 
-def reply_to(fields: dict[str, Any], **changes: Any) -> dict[str, Any]:
+def sub_response(fields: dict[str, Any], **changes: Any) -> dict[str, Any]:
     """Return a right reply to a sub-request, with changes."""
     echo = ("attempt_id", "snapshot", "shard", "shard_count")
     return (
@@ -23,27 +23,27 @@
     )
 
 
-def http(body: Any, length: int | None = None) -> bytes:
+def http_response(body: Any, length: int | None = None) -> bytes:
     """Return an HTTP response; `length` replaces the true Content-Length."""
     raw = body if isinstance(body, bytes) else json.dumps(body).encode()
     stated = len(raw) if length is None else length
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (stated, raw)
 
 
-def answer(fields: dict[str, Any], headers: dict[str, str]) -> bytes:
+def respond_ok(fields: dict[str, Any], headers: dict[str, str]) -> bytes:
     """Answer as a faultless backend server does."""
-    return http(reply_to(fields))
+    return http_response(sub_response(fields))
 
 
-class RawServer:
+class ScriptedBackendServer:
     """A backend server of the service `raw` that answers whatever a test wants.
 
     It holds both shards of one snapshot. An empty response closes the connection.
     """
 
     def __init__(self, local: Any, name: str, incarnation: int) -> None:
-        self.respond: Respond = answer
-        self.seen: list[tuple[dict[str, Any], dict[str, str]]] = []
+        self.respond: Responder = respond_ok
+        self.received: list[tuple[dict[str, Any], dict[str, str]]] = []
         self.connections = 0
         self._local = local
         self._name = name
@@ -84,11 +84,11 @@
         self.connections += 1
         try:
             while True:
-                path, headers, fields = await _request(reader)
+                path, headers, fields = await _read_request(reader)
                 if path != "/sub-request":
-                    writer.write(http({"cancelled": False}))
+                    writer.write(http_response({"cancelled": False}))
                     continue
-                self.seen.append((fields, headers))
+                self.received.append((fields, headers))
                 response = self.respond(fields, headers)
                 writer.write(response)
                 if not response:
@@ -99,7 +99,7 @@
             writer.close()
 
 
-async def _request(
+async def _read_request(
     reader: asyncio.StreamReader,
 ) -> tuple[str, dict[str, str], dict[str, Any]]:
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
@@ -120,10 +120,10 @@
 
 
 @pytest.fixture
-def raw_server(deployment: Any) -> Iterator[RawServer]:
+def raw_server(deployment: Any) -> Iterator[ScriptedBackendServer]:
     """Return a raw backend server that the first host knows."""
     number = next(_numbers)
-    server = RawServer(deployment.local, f"raw-{number}", number)
+    server = ScriptedBackendServer(deployment.local, f"raw-{number}", number)
     deployment.run(server.start())
     directory = deployment.local.hosts[0].entry.session.directory
     _wait_until(lambda: any(e.live for e in directory.servers("raw")))
--- a/tests/daemon/test_borders.py
+++ b/tests/daemon/test_invalid_input.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from tests.daemon.conftest import http, reply_to
+from tests.daemon.conftest import http_response, sub_response
 
 QUERY = "/v1/services/stock/query"
 ANNOUNCE = "/v1/servers/announce"
 RENEW = "/v1/servers/renew"
 
 
-async def _raw(deployment: Any, request: bytes) -> tuple[int, dict[str, Any]]:
+async def _send_raw(deployment: Any, request: bytes) -> tuple[int, dict[str, Any]]:
     """Send bytes and read one response."""
     host, _, port = deployment.address().rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
@@ -32,7 +32,7 @@
         writer.close()
 
 
-def _post(path: str, body: bytes, *headers: str) -> bytes:
+def _post_bytes(path: str, body: bytes, *headers: str) -> bytes:
     lines = [
         f"POST {path} HTTP/1.1",
         "Host: entry",
@@ -46,56 +46,64 @@
     return json.dumps(value).encode()
 
 
-CALLERS = {
-    "empty body": (_post(QUERY, b""), 400, "invalid_request"),
-    "malformed JSON": (_post(QUERY, b'{"body": '), 400, "invalid_request"),
-    "not UTF-8": (_post(QUERY, b'{"body": "\xff"}'), 400, "invalid_request"),
-    "deep nesting": (_post(QUERY, b"[" * 5_000), 400, "invalid_request"),
-    "not an object": (_post(QUERY, b"[1]"), 400, "invalid_request"),
-    "no body field": (_post(QUERY, b"{}"), 400, "invalid_request"),
-    "unknown field": (_post(QUERY, _json({"body": 1, "x": 1})), 400, "invalid_request"),
+CALLER_REQUESTS = {
+    "empty body": (_post_bytes(QUERY, b""), 400, "invalid_request"),
+    "malformed JSON": (_post_bytes(QUERY, b'{"body": '), 400, "invalid_request"),
+    "not UTF-8": (_post_bytes(QUERY, b'{"body": "\xff"}'), 400, "invalid_request"),
+    "deep nesting": (_post_bytes(QUERY, b"[" * 5_000), 400, "invalid_request"),
+    "not an object": (_post_bytes(QUERY, b"[1]"), 400, "invalid_request"),
+    "no body field": (_post_bytes(QUERY, b"{}"), 400, "invalid_request"),
+    "unknown field": (
+        _post_bytes(QUERY, _json({"body": 1, "x": 1})),
+        400,
+        "invalid_request",
+    ),
     "odd request id": (
-        _post(QUERY, _json({"body": 1, "request_id": "a\nb"})),
+        _post_bytes(QUERY, _json({"body": 1, "request_id": "a\nb"})),
         400,
         "invalid_request",
     ),
     "unknown service": (
-        _post("/v1/services/stcok/query", _json({"body": 1})),
+        _post_bytes("/v1/services/stcok/query", _json({"body": 1})),
         404,
         "unknown_service",
     ),
     "huge body": (
-        _post(QUERY, _json({"body": "x" * 1_100_000})),
+        _post_bytes(QUERY, _json({"body": "x" * 1_100_000})),
         413,
         "body_too_large",
     ),
     "deadline in the past": (
-        _post(QUERY, _json({"body": 1, "deadline_ms": -5})),
+        _post_bytes(QUERY, _json({"body": 1, "deadline_ms": -5})),
         504,
         "deadline_exceeded",
     ),
     "undeclared dependency": (
-        _post(QUERY, _json({"body": 1, "dependency_requests": {"patterns": 1}})),
+        _post_bytes(QUERY, _json({"body": 1, "dependency_requests": {"patterns": 1}})),
         400,
         "invalid_request",
     ),
     "two hosts": (
-        _post(QUERY, _json({"body": 1}), "Host: other"),
+        _post_bytes(QUERY, _json({"body": 1}), "Host: other"),
         400,
         "invalid_request",
     ),
     "two content types": (
-        _post(QUERY, _json({"body": 1}), "Content-Type: a/b", "Content-Type: c/d"),
+        _post_bytes(
+            QUERY, _json({"body": 1}), "Content-Type: a/b", "Content-Type: c/d"
+        ),
         400,
         "invalid_request",
     ),
     "order without key": (
-        _post("/v1/services/stock/order", _json({"body": 1, "partition_key": "1"})),
+        _post_bytes(
+            "/v1/services/stock/order", _json({"body": 1, "partition_key": "1"})
+        ),
         400,
         "invalid_request",
     ),
     "order with an odd key": (
-        _post(
+        _post_bytes(
             "/v1/services/stock/order",
             _json({"body": 1, "partition_key": "1", "idempotency_key": "tomorrow"}),
         ),
@@ -105,18 +113,18 @@
 }
 
 
-async def _beside_a_query(deployment: Any, request: bytes) -> Any:
+async def _send_alongside_query(deployment: Any, request: bytes) -> Any:
     """Send bad input while a good query is in flight; return both ends."""
     base = f"http://{deployment.address()}"
     good = deployment.local.call("stock", "query", {"body": {"band": 1}}, base)
-    return await asyncio.gather(_raw(deployment, request), good)
+    return await asyncio.gather(_send_raw(deployment, request), good)
 
 
-@pytest.mark.parametrize("case", CALLERS)
+@pytest.mark.parametrize("case", CALLER_REQUESTS)
 def test_bad_requests_get_a_typed_refusal(deployment: Any, case: str):
     """Guards against a 500 without receipt, and against harm to other requests."""
-    request, status, reason = CALLERS[case]
-    (got, answer), good = deployment.run(_beside_a_query(deployment, request))
+    request, status, reason = CALLER_REQUESTS[case]
+    (got, answer), good = deployment.run(_send_alongside_query(deployment, request))
     assert got == status, answer
     assert answer["refusal"]["reason"] == reason
     assert answer["refusal"]["kind"] == "not_run"
@@ -126,39 +134,45 @@
     assert good[1]["coverage"] == 1.0
 
 
-SERVERS = {
-    "announcement that is no JSON": (_post(ANNOUNCE, b"hello"), 400, "Refusal"),
-    "announcement of nothing": (_post(ANNOUNCE, b"null"), 409, "AnnouncementInvalid"),
+SERVER_REQUESTS = {
+    "announcement that is no JSON": (_post_bytes(ANNOUNCE, b"hello"), 400, "Refusal"),
+    "announcement of nothing": (
+        _post_bytes(ANNOUNCE, b"null"),
+        409,
+        "AnnouncementInvalid",
+    ),
     "announcement of nonsense": (
-        _post(ANNOUNCE, _json({"server": "a b", "slots": -1, "holdings": "all"})),
+        _post_bytes(ANNOUNCE, _json({"server": "a b", "slots": -1, "holdings": "all"})),
         409,
         "AnnouncementInvalid",
     ),
-    "renewal of nothing": (_post(RENEW, b"[]"), 400, "Refusal"),
+    "renewal of nothing": (_post_bytes(RENEW, b"[]"), 400, "Refusal"),
     "renewal of nonsense": (
-        _post(RENEW, _json({"server": "a", "incarnation": "x", "sequence": {}})),
+        _post_bytes(RENEW, _json({"server": "a", "incarnation": "x", "sequence": {}})),
         400,
         "Refusal",
     ),
     "renewal that nobody granted": (
-        _post(RENEW, _json({"server": "nobody", "incarnation": 1, "sequence": 1})),
+        _post_bytes(
+            RENEW, _json({"server": "nobody", "incarnation": 1, "sequence": 1})
+        ),
         409,
         "LeaseUnknown",
     ),
 }
 
 
-@pytest.mark.parametrize("case", SERVERS)
+@pytest.mark.parametrize("case", SERVER_REQUESTS)
 def test_bad_announcements_get_a_typed_error(deployment: Any, case: str):
     """Guards against a backend server's fault that stops the entry host."""
-    request, status, error = SERVERS[case]
-    (got, answer), good = deployment.run(_beside_a_query(deployment, request))
+    request, status, error = SERVER_REQUESTS[case]
+    (got, answer), good = deployment.run(_send_alongside_query(deployment, request))
     assert (got, answer["error"]) == (status, error)
     assert answer["remedy"]
     assert good[0] == 200
 
 
-OPERATORS = {
+OPERATOR_REQUESTS = {
     "not JSON": ("in-force", b"{"),
     "not an object": ("in-force", b"[]"),
     "no revision": ("in-force", b"{}"),
@@ -168,40 +182,44 @@
 }
 
 
-@pytest.mark.parametrize("case", OPERATORS)
+@pytest.mark.parametrize("case", OPERATOR_REQUESTS)
 def test_bad_operator_calls_get_a_typed_error(deployment: Any, case: str):
     """Guards against a 500 that the command line can't explain."""
-    path, body = OPERATORS[case]
+    path, body = OPERATOR_REQUESTS[case]
     token = "Authorization: Bearer operator-secret"
-    request = _post(f"/v1/operator/{path}", body, token)
-    status, answer = deployment.run(_raw(deployment, request))
+    request = _post_bytes(f"/v1/operator/{path}", body, token)
+    status, answer = deployment.run(_send_raw(deployment, request))
     assert (status, answer["reason"]) == (400, "invalid_request")
 
 
-REPLIES = {
-    "truncated": lambda f: http(b'{"attempt_id"', length=4_000)[:-3],
-    "oversized": lambda f: http(b"", length=17 * 1024 * 1024) + b"x" * 1_000,
-    "not JSON": lambda f: http(b"<html>busy</html>"),
-    "not an object": lambda f: http([1, 2]),
+SUB_RESPONSES = {
+    "truncated": lambda f: http_response(b'{"attempt_id"', length=4_000)[:-3],
+    "oversized": lambda f: http_response(b"", length=17 * 1024 * 1024) + b"x" * 1_000,
+    "not JSON": lambda f: http_response(b"<html>busy</html>"),
+    "not an object": lambda f: http_response([1, 2]),
     "not HTTP": lambda f: b"hello\r\n\r\n",
     "nothing": lambda f: b"",
-    "of another attempt": lambda f: http(reply_to(f, attempt_id="other")),
-    "of another shard": lambda f: http(reply_to(f, shard=1 - f["shard"])),
-    "of another snapshot": lambda f: http(reply_to(f, snapshot=2)),
-    "with odd coverage": lambda f: http(reply_to(f, coverage=7)),
-    "with an odd status": lambda f: http(reply_to(f, status="splendid")),
+    "of another attempt": lambda f: http_response(sub_response(f, attempt_id="other")),
+    "of another shard": lambda f: http_response(sub_response(f, shard=1 - f["shard"])),
+    "of another snapshot": lambda f: http_response(sub_response(f, snapshot=2)),
+    "with odd coverage": lambda f: http_response(sub_response(f, coverage=7)),
+    "with an odd status": lambda f: http_response(sub_response(f, status="splendid")),
 }
 
 
-@pytest.mark.parametrize("case", REPLIES)
-def test_bad_replies_are_never_an_answer(
+@pytest.mark.parametrize("case", SUB_RESPONSES)
+def test_invalid_sub_responses_never_become_an_answer(
     deployment: Any, call: Any, raw_server: Any, case: str
 ):
     """Guards against a server's broken reply that a caller gets as an answer."""
-    broken = REPLIES[case]
+    broken = SUB_RESPONSES[case]
 
     def respond(fields: dict[str, Any], headers: dict[str, str]) -> bytes:
-        return broken(fields) if fields["body"] == "bad" else http(reply_to(fields))
+        return (
+            broken(fields)
+            if fields["body"] == "bad"
+            else http_response(sub_response(fields))
+        )
 
     raw_server.respond = respond
 
@@ -222,7 +240,7 @@
     assert (status, answer["coverage"]) == (200, 1.0)
 
 
-def test_accepted_connections_have_no_delay(deployment: Any):
+def test_accepted_connections_set_tcp_nodelay(deployment: Any):
     """Guards against 40 ms per reply, the wait for a delayed acknowledgement."""
 
     async def options() -> list[int]:
--- a/tests/daemon/test_shutdown.py
+++ b/tests/daemon/test_shutdown.py
@@ -8,13 +8,13 @@
 from kingcuplug_daemon import Host
 
 
-async def _drained(local: Any) -> dict[str, Any]:
+async def _shut_down_under_load(local: Any) -> dict[str, Any]:
     """Stop a host with a query and an order in flight; note all that is seen."""
     like = local.hosts[1].settings
     host = Host(like.model_copy(update={"host": "host-09"}))
     await host.start()
     base = f"http://{host.caller_address}"
-    while (await _get(local, f"{base}/readyz"))[0] != 200:  # noqa: ASYNC110
+    while (await _get_json(local, f"{base}/readyz"))[0] != 200:  # noqa: ASYNC110
         await asyncio.sleep(0.02)
     for server in local.servers:
         server.behaviour.service_time_ms = 300.0
@@ -31,7 +31,7 @@
     stopping = asyncio.create_task(host.stop(grace_ms=150))
     while not host.lifecycle.draining:  # noqa: ASYNC110
         await asyncio.sleep(0)
-    seen: dict[str, Any] = {"ready": await _get(local, f"{base}/readyz")}
+    seen: dict[str, Any] = {"ready": await _get_json(local, f"{base}/readyz")}
     late = asyncio.create_task(local.call("trims", "query", {"body": key}, base))
     while not host.lifecycle.closed:  # noqa: ASYNC110
         await asyncio.sleep(0.01)
@@ -46,14 +46,14 @@
     return seen
 
 
-async def _get(local: Any, url: str) -> tuple[int, Any]:
+async def _get_json(local: Any, url: str) -> tuple[int, Any]:
     async with local.http.get(url) as response:
         return response.status, await response.json()
 
 
-def test_shutdown_finishes_what_is_in_flight(deployment: Any):
+def test_shutdown_finishes_requests_in_flight(deployment: Any):
     """Guards against a deployment of a new version that loses answers."""
-    seen = deployment.run(_drained(deployment.local))
+    seen = deployment.run(_shut_down_under_load(deployment.local))
     # First the load balancer is told; work that still comes is served.
     assert seen["ready"] == (503, {"ready": False})
     assert seen["late"][0] == 200
--- a/tests/daemon/test_tls.py
+++ b/tests/daemon/test_tls.py
@@ -20,12 +20,12 @@
 from kingcuplug_common import HostSettings, SettingsInvalid, TlsSettings
 from kingcuplug_daemon import Host, Listener, _main
 from kingcuplug_daemon._main import serve
-from kingcuplug_daemon._peers import PeerClient
+from kingcuplug_daemon._peer_client import PeerClient
 from kingcuplug_daemon._tls import client_context
 from kingcuplug_query import ConnectFailed, HttpBackend, SubRequest
 
-from tests.conftest import RunningDeployment, running
-from tests.daemon._certificates import Authority
+from tests.conftest import RunningDeployment, running_deployment
+from tests.daemon._certificates import CertificateAuthority
 
 
 @pytest.fixture(scope="module")
@@ -34,29 +34,33 @@
 
 
 @pytest.fixture(scope="module")
-def authority(folder: Path) -> Authority:
-    return Authority(folder, "authority")
+def authority(folder: Path) -> CertificateAuthority:
+    return CertificateAuthority(folder, "authority")
 
 
 @pytest.fixture(scope="module")
-def stranger(folder: Path) -> Authority:
-    return Authority(folder, "stranger")
+def stranger(folder: Path) -> CertificateAuthority:
+    return CertificateAuthority(folder, "stranger")
 
 
 @pytest.fixture(scope="module")
-def secure(folder: Path, authority: Authority) -> Iterator[RunningDeployment]:
+def secure(
+    folder: Path, authority: CertificateAuthority
+) -> Iterator[RunningDeployment]:
     """Return a deployment in which everything uses TLS and tokens."""
-    with running(
+    with running_deployment(
         entry_hosts=2,
         control_hosts=1,
         operator_token="operator-secret",
-        tls=authority.identity(),
+        tls=authority.issue_identity(),
     ) as deployment:
         yield deployment
 
 
 @pytest.fixture
-def operator(secure: RunningDeployment, authority: Authority, tmp_path: Path) -> Any:
+def operator(
+    secure: RunningDeployment, authority: CertificateAuthority, tmp_path: Path
+) -> Any:
     """Return a function that makes a client with a token and an authority."""
 
     def make(token: str = "operator-secret", ca: Path | None = authority.file) -> Any:
@@ -82,9 +86,7 @@
     assert secure.run(_config.show(operator())).number == 1
 
 
-def test_plain_callers_and_operators_get_nothing(
-    secure: RunningDeployment, operator: Any
-):
+def test_plain_text_requests_are_rejected(secure: RunningDeployment, operator: Any):
     """Guards against a listener that falls back to plain text."""
     with pytest.raises(aiohttp.ClientError):
         secure.run(
@@ -96,15 +98,15 @@
         secure.run(_config.show(operator(ca=None)))
 
 
-def test_an_operator_does_not_trust_a_strangers_host(
-    operator: Any, secure: RunningDeployment, stranger: Authority
+def test_operator_rejects_host_of_an_untrusted_authority(
+    operator: Any, secure: RunningDeployment, stranger: CertificateAuthority
 ):
     """Guards against sending the token to whoever took the address."""
     with pytest.raises(Unreachable):
         secure.run(_config.show(operator(ca=stranger.file)))
 
 
-async def _identity(address: str, tls: TlsSettings | None) -> dict[str, Any]:
+async def _request_identity(address: str, tls: TlsSettings | None) -> dict[str, Any]:
     client = PeerClient(tls)
     try:
         return await client.post(address, "/peer/v1/identity", {}, 2.0)
@@ -113,22 +115,26 @@
 
 
 def test_peers_need_a_certificate_of_the_authority(
-    secure: RunningDeployment, authority: Authority, stranger: Authority
+    secure: RunningDeployment,
+    authority: CertificateAuthority,
+    stranger: CertificateAuthority,
 ):
     """Guards against a log that anyone on the network may write."""
     address = secure.local.hosts[0].peer_address
-    known = secure.run(_identity(address, authority.identity()))
+    known = secure.run(_request_identity(address, authority.issue_identity()))
     assert known["host"] == "host-01"
-    refused = stranger.identity(trusted=authority.file)
+    refused = stranger.issue_identity(trusted=authority.file)
     with pytest.raises(OSError):
-        secure.run(_identity(address, refused))
+        secure.run(_request_identity(address, refused))
     with pytest.raises(OSError):
-        secure.run(_identity(address, None))
+        secure.run(_request_identity(address, None))
     with pytest.raises(OSError):
-        secure.run(_anonymous(address, authority))
+        secure.run(_post_without_certificate(address, authority))
 
 
-async def _anonymous(address: str, authority: Authority) -> None:
+async def _post_without_certificate(
+    address: str, authority: CertificateAuthority
+) -> None:
     """Call with the right authority and without a certificate."""
     context = ssl.create_default_context(cafile=str(authority.file))
     context.check_hostname = False
@@ -141,54 +147,64 @@
         await response.read()
 
 
-def test_a_peer_does_not_trust_a_strangers_host(
-    secure: RunningDeployment, authority: Authority, stranger: Authority
+def test_peer_rejects_host_of_an_untrusted_authority(
+    secure: RunningDeployment,
+    authority: CertificateAuthority,
+    stranger: CertificateAuthority,
 ):
     """Guards against a session with an impostor of the control host."""
-    impostor = stranger.identity(trusted=authority.file)
+    impostor = stranger.issue_identity(trusted=authority.file)
     with pytest.raises(OSError):
-        secure.run(_served(impostor, lambda a: _identity(a, authority.identity())))
+        secure.run(
+            _call_with_listener(
+                impostor, lambda a: _request_identity(a, authority.issue_identity())
+            )
+        )
 
 
-async def _nothing(scope: Any, receive: Any, send: Any) -> None:
+async def _empty_response_app(scope: Any, receive: Any, send: Any) -> None:
     await send({"type": "http.response.start", "status": 200, "headers": []})
     await send({"type": "http.response.body", "body": b"{}"})
 
 
-async def _served(tls: TlsSettings, work: Any) -> Any:
-    listener = Listener(_nothing, "127.0.0.1:0", tls)
+async def _call_with_listener(tls: TlsSettings, call: Any) -> Any:
+    listener = Listener(_empty_response_app, "127.0.0.1:0", tls)
     await listener.start()
     try:
-        return await work(listener.address)
+        return await call(listener.address)
     finally:
         await listener.stop()
 
 
-class _Ticket:
+class _AttemptStub:
     server = "impostor"
 
     def __init__(self, address: str) -> None:
         self.address = address
 
 
-def test_sub_requests_do_not_go_to_a_strangers_server(
-    secure: RunningDeployment, authority: Authority, stranger: Authority
+def test_sub_requests_need_a_server_of_the_authority(
+    secure: RunningDeployment,
+    authority: CertificateAuthority,
+    stranger: CertificateAuthority,
 ):
     """Guards against customers' data going to whoever took a server's address."""
     request = SubRequest("r", "a", "stock", "query", 1, 0, 1, 1_000, "normal", 1)
 
     async def send(address: str) -> None:
-        backend = HttpBackend(client_context(authority.identity()))
+        backend = HttpBackend(client_context(authority.issue_identity()))
         try:
-            await backend.send(_Ticket(address), request, 2.0)  # type: ignore[arg-type]
+            await backend.send(_AttemptStub(address), request, 2.0)  # type: ignore[arg-type]
         finally:
             await backend.close()
 
     with pytest.raises(ConnectFailed):
-        secure.run(_served(stranger.identity(trusted=authority.file), send))
+        secure.run(
+            _call_with_listener(stranger.issue_identity(trusted=authority.file), send)
+        )
 
 
-def _served_certificate(address: str, tls: TlsSettings) -> str:
+def _listener_certificate(address: str, tls: TlsSettings) -> str:
     host, _, port = address.rpartition(":")
     # Certificate requests of the peer listener are answered with `tls`.
     context = client_context(tls)
@@ -202,10 +218,10 @@
 
 @pytest.fixture
 def own_host(
-    secure: RunningDeployment, authority: Authority, tmp_path: Path
+    secure: RunningDeployment, authority: CertificateAuthority, tmp_path: Path
 ) -> Iterator[Host]:
     """Return an entry host with an identity and tokens of its own."""
-    tls = authority.identity()
+    tls = authority.issue_identity()
     for name in ("operator", "announce"):
         (tmp_path / f"{name}-token").write_text(f"{name}-1\n")
     settings = secure.local.hosts[1].settings.model_copy(
@@ -233,7 +249,7 @@
     host.reload()
 
 
-async def _presented(host: Host, tls: TlsSettings) -> str:
+async def _peer_client_certificate(host: Host, tls: TlsSettings) -> str:
     """Return the certificate with which a host calls its peers."""
     context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH, cafile=tls.authority)
     context.load_cert_chain(tls.certificate, tls.private_key)
@@ -253,59 +269,65 @@
 
 
 def test_certificates_are_reloaded_without_a_restart(
-    secure: RunningDeployment, authority: Authority, own_host: Host
+    secure: RunningDeployment, authority: CertificateAuthority, own_host: Host
 ):
     """Guards against an outage when the certificates of running hosts expire."""
     tls = own_host.settings.peer_tls
     assert tls is not None
-    other = authority.identity()
+    other = authority.issue_identity()
     listeners = (own_host.caller_address, own_host.peer_address)
     before = tls.certificate.read_text()
-    authority.renew(tls)
+    authority.renew_identity(tls)
     after = tls.certificate.read_text()
-    assert [_served_certificate(a, other) for a in listeners] == [before, before]
+    assert [_listener_certificate(a, other) for a in listeners] == [before, before]
     secure.run(_reload(own_host))
-    assert [_served_certificate(a, other) for a in listeners] == [after, after]
-    assert secure.run(_presented(own_host, other)) == after
+    assert [_listener_certificate(a, other) for a in listeners] == [after, after]
+    assert secure.run(_peer_client_certificate(own_host, other)) == after
 
 
 def test_a_new_authority_is_accepted_beside_the_old_one(
-    secure: RunningDeployment, authority: Authority, own_host: Host, folder: Path
+    secure: RunningDeployment,
+    authority: CertificateAuthority,
+    own_host: Host,
+    folder: Path,
 ):
     """Guards against an authority that can be changed only by an outage."""
     tls = own_host.settings.peer_tls
     assert tls is not None
-    successor = Authority(folder, "successor")
-    newcomer = successor.identity(trusted=authority.file)
+    successor = CertificateAuthority(folder, "successor")
+    newcomer = successor.issue_identity(trusted=authority.file)
     address = own_host.peer_address
     with pytest.raises(OSError):
-        secure.run(_identity(address, newcomer))
+        secure.run(_request_identity(address, newcomer))
     old = authority.file.read_bytes()
     try:
         authority.file.write_bytes(old + successor.file.read_bytes())
         secure.run(_reload(own_host))
         # A host without control role answers no peer; it is the 404 that counts.
         with pytest.raises(ConnectionError, match="no JSON"):
-            secure.run(_identity(address, newcomer))
+            secure.run(_request_identity(address, newcomer))
         with pytest.raises(ConnectionError, match="no JSON"):
-            secure.run(_identity(address, authority.identity()))
+            secure.run(_request_identity(address, authority.issue_identity()))
     finally:
         authority.file.write_bytes(old)
 
 
 def test_a_reload_of_unusable_files_changes_nothing(
-    secure: RunningDeployment, authority: Authority, own_host: Host
+    secure: RunningDeployment, authority: CertificateAuthority, own_host: Host
 ):
     """Guards against a host that a typing error during a renewal takes down."""
     tls = own_host.settings.peer_tls
     assert tls is not None
     before = tls.certificate.read_text()
-    authority.renew(tls)
+    authority.renew_identity(tls)
     tls.private_key.write_text("no key")
     own_host.settings.operator_token_file.write_text("\n")
     secure.run(_reload(own_host))
     assert own_host.metrics.counts["reload.failed"] >= 4
-    assert _served_certificate(own_host.caller_address, authority.identity()) == before
+    assert (
+        _listener_certificate(own_host.caller_address, authority.issue_identity())
+        == before
+    )
     status, _ = secure.run(_post(own_host, "operator/status", "operator-1"))
     assert status == 200
 
@@ -365,9 +387,7 @@
     assert statuses() == [401, 200]
 
 
-def test_a_wrong_token_ends_a_command_with_refused(
-    secure: RunningDeployment, operator: Any
-):
+def test_wrong_token_raises_command_refused(secure: RunningDeployment, operator: Any):
     """Guards against a wrong token that looks like an unreachable host."""
     with pytest.raises(CommandRefused) as refused:
         secure.run(_config.show(operator(token="guess")))
@@ -441,7 +461,7 @@
     assert seen == [200]
 
 
-def test_kingcuplugd_ends_with_2_for_wrong_settings(tmp_path: Path):
+def test_kingcuplugd_exits_with_2_on_invalid_settings(tmp_path: Path):
     """Guards against a supervisor that restarts a host forever."""
     path = tmp_path / "settings.json"
     fields = json.loads(
@@ -451,5 +471,5 @@
     )
     path.write_text(json.dumps(fields))
     with pytest.raises(SystemExit) as ended:
-        _main._run(str(path))
+        _main._run_host(str(path))
     assert ended.value.code == 2
--- a/tests/daemon/test_tracing.py
+++ b/tests/daemon/test_tracing.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-SAMPLED = "01"
+SAMPLED_FLAGS = "01"
 
 
-def _names(spans: list[dict[str, Any]]) -> Counter[str]:
+def _count_names(spans: list[dict[str, Any]]) -> Counter[str]:
     return Counter(span["name"] for span in spans)
 
 
@@ -27,9 +27,9 @@
         "dependency_requests": {"trims": {"colour": "purple"}},
     }
     assert call("stock", "query", fields)[0] == 200
-    wait_until(lambda: len(_names(spans(request_id))) >= 5)
+    wait_until(lambda: len(_count_names(spans(request_id))) >= 5)
     found = spans(request_id)
-    names = _names(found)
+    names = _count_names(found)
     assert names["query"] == names["dependency"] == 1
     assert names["admission"] == 2
     assert names["sub-request"] >= 6
@@ -38,7 +38,7 @@
     roots = [span for span in found if span["parent"] not in by_id]
     assert [span["name"] for span in roots] == ["query"]
     dependency = next(span for span in found if span["name"] == "dependency")
-    below = _names([s for s in found if s["parent"] == dependency["span"]])
+    below = _count_names([s for s in found if s["parent"] == dependency["span"]])
     assert below["sub-request"] >= 2
     for span in found:
         if span["name"] == "sub-request":
@@ -58,23 +58,23 @@
         "partition_key": "4711",
     }
     assert call("stock", "order", order)[0] == 200
-    wait_until(lambda: _names(spans(request_id))["peer.submit"] >= 3)
+    wait_until(lambda: _count_names(spans(request_id))["peer.submit"] >= 3)
     found = spans(request_id)
     steps = [s["fields"]["step"] for s in found if s["name"] == "ledger"]
     assert sorted(steps) == ["claim", "dispatch", "outcome"]
-    assert _names(found)["sub-request"] == 1
+    assert _count_names(found)["sub-request"] == 1
     ledger = {span["span"] for span in found if span["name"] == "ledger"}
     submits = [span for span in found if span["name"] == "peer.submit"]
     assert {span["parent"] for span in submits} == ledger
 
 
-def test_backend_servers_get_the_span_of_their_attempt(
+def test_sub_request_carries_traceparent_of_its_attempt(
     call: Any, spans: Any, wait_until: Any, raw_server: Any, request_id: str
 ):
     """Guards against a trace that ends at the entry host."""
     assert call("raw", "query", {"request_id": request_id, "body": 1})[0] == 200
-    headers = {f["attempt_id"]: h["traceparent"] for f, h in raw_server.seen}
-    wait_until(lambda: _names(spans(request_id))["sub-request"] == len(headers))
+    headers = {f["attempt_id"]: h["traceparent"] for f, h in raw_server.received}
+    wait_until(lambda: _count_names(spans(request_id))["sub-request"] == len(headers))
     for span in spans(request_id):
         if span["name"] == "sub-request":
             version, trace, parent, flags = headers[span["fields"]["attempt_id"]].split(
@@ -84,7 +84,7 @@
             assert int(flags, 16) & 1, "the sampled bit"
 
 
-def test_the_callers_trace_goes_on(
+def test_request_continues_the_callers_trace(
     deployment: Any, call: Any, spans: Any, wait_until: Any, request_id: str
 ):
     """Guards against a new trace at every tier."""
@@ -92,19 +92,19 @@
 
     async def send() -> int:
         url = f"http://{deployment.address()}/v1/services/trims/query"
-        headers = {"traceparent": f"00-{trace}-{'1' * 16}-{SAMPLED}"}
+        headers = {"traceparent": f"00-{trace}-{'1' * 16}-{SAMPLED_FLAGS}"}
         fields = {"body": 1, "request_id": request_id}
         http = deployment.local.http
         async with http.post(url, json=fields, headers=headers) as response:
             return response.status
 
     assert deployment.run(send()) == 200
-    wait_until(lambda: _names(spans(request_id))["query"] == 1)
+    wait_until(lambda: _count_names(spans(request_id))["query"] == 1)
     query = next(span for span in spans(request_id) if span["name"] == "query")
     assert (query["trace"], query["parent"]) == (trace, "1" * 16)
 
 
-def test_a_request_that_is_not_sampled_is_written_nowhere(
+def test_unsampled_request_records_no_spans(
     deployment: Any, call: Any, spans: Any, raw_server: Any, wait_until: Any
 ):
     """Guards against the cost of spans that nobody asked for."""
@@ -121,9 +121,9 @@
 
     assert deployment.run(send()) == 200
     # The backend server learns the decision and the trace all the same.
-    parts = {h["traceparent"].split("-")[1] for _, h in raw_server.seen}
+    parts = {h["traceparent"].split("-")[1] for _, h in raw_server.received}
     assert parts == {trace}
-    assert all(h["traceparent"].endswith("-00") for _, h in raw_server.seen)
+    assert all(h["traceparent"].endswith("-00") for _, h in raw_server.received)
     assert call("trims", "query", {"body": 1, "request_id": loud})[0] == 200
     wait_until(lambda: bool(spans(loud)))
     assert spans(quiet) == []
