--- a/packages/common/src/kingcuplug_common/__init__.py
+++ b/packages/common/src/kingcuplug_common/__init__.py
@@ -1,7 +1,7 @@
 """Errors, digests, settings, telemetry and receipts shared by all packages.
 
 Names whose modules import large libraries (validation, cryptography, tracing) are
-loaded on first use, so that a process pays at its start only for what it uses.
+imported on first use, so that a process loads only the libraries that it needs.
 """
 
 import importlib
@@ -86,21 +86,21 @@
     "wall_ms",
 ]
 
-_LOADED_ON_USE = {
+_LAZY_NAMES = {
     "_exposition": ("exposition",),
     "_receipts": ("Receipt", "ReceiptInvalid", "Signer", "Verifier", "key_id"),
     "_settings": ("HostSettings", "SettingsInvalid", "TlsSettings", "load_settings"),
     "_spans": ("Hop", "entering", "request_span", "start_hop", "traceparent"),
     "_telemetry": ("TraceFileExporter", "log_to_file", "propagator", "tracer"),
 }
-_MODULE_OF = {
-    name: module for module, names in _LOADED_ON_USE.items() for name in names
+_LAZY_MODULES = {
+    name: module for module, names in _LAZY_NAMES.items() for name in names
 }
 
 
 def __getattr__(name: str) -> Any:
     """Import the module of a name at its first use."""
-    module = _MODULE_OF.get(name)
+    module = _LAZY_MODULES.get(name)
     if module is None:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     value = getattr(importlib.import_module(f"{__name__}.{module}"), name)
--- a/packages/common/src/kingcuplug_common/_clock.py
+++ b/packages/common/src/kingcuplug_common/_clock.py
@@ -1,4 +1,4 @@
-"""The clock of leases, and the wall clock of records."""
+"""The clock for leases and the wall clock for records."""
 
 import time
 
@@ -6,10 +6,10 @@
 
 
 def boot_time() -> float:
-    """Return monotonic seconds that go on while the machine is suspended.
+    """Return monotonic seconds that include time for which the machine is suspended.
 
-    ``time.monotonic`` stands still then, so a leader that wakes up after hours would
-    trust a lease that ended long ago.
+    ``time.monotonic`` stops during a suspension, so a leader that is resumed after
+    hours would trust a lease that expired long ago.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
--- a/packages/common/src/kingcuplug_common/_condition.py
+++ b/packages/common/src/kingcuplug_common/_condition.py
@@ -7,14 +7,17 @@
 
 
 class Signal:
-    """Wakes all tasks that wait for a condition, which they check themselves."""
+    """Condition variable without a lock, for the tasks of one event loop.
+
+    Every notification wakes all waiting tasks, and each checks its own condition.
+    """
 
     def __init__(self) -> None:
-        # Ordered, so that a run with seeded faults can be repeated exactly.
+        # A dict keeps its order, so that runs with one fault seed repeat exactly.
         self._waiters: dict[asyncio.Future[None], None] = {}
 
     def notify(self) -> None:
-        """Make all waiting tasks check their conditions."""
+        """Wake all waiting tasks, which check their conditions."""
         for waiter in self._waiters:
             if not waiter.done():
                 waiter.set_result(None)
@@ -29,7 +32,7 @@
         expired = False
 
         def expire() -> None:
-            # The loop's clock may still be short of the deadline by its resolution.
+            # A timer may fire before its deadline by up to the clock's resolution.
             nonlocal expired
             expired = True
             self.notify()
--- a/packages/common/src/kingcuplug_common/_digests.py
+++ b/packages/common/src/kingcuplug_common/_digests.py
@@ -22,5 +22,5 @@
 
 
 def identifier() -> str:
-    """Return a random identifier that is unique for all practical purposes."""
+    """Return a random identifier of 96 bits as hex text."""
     return secrets.token_hex(_IDENTIFIER_BYTES)
--- a/packages/common/src/kingcuplug_common/_errors.py
+++ b/packages/common/src/kingcuplug_common/_errors.py
@@ -1,4 +1,4 @@
-"""Typed errors whose messages name the remedy.
+"""Typed errors whose messages state a remedy.
 
 A refusal tells the caller whether the request can have run, so the kind of a
 refusal is part of its type and never inferred from its text.
@@ -10,7 +10,7 @@
 
 
 class KingcuplugError(Exception):
-    """Base of all errors of the project.
+    """Base class of all errors of the project.
 
     Parameters
     ----------
@@ -58,7 +58,7 @@
 
 
 class Refusal(KingcuplugError):
-    """A request that gets no answer.
+    """Raised when a request is refused.
 
     Parameters
     ----------
@@ -67,7 +67,7 @@
     reason : RefusalReason
         Machine-readable cause.
     message, remedy : str
-        Text for a person.
+        Human-readable text.
     retry_after_ms : int, optional
         Earliest time at which sending the request again can succeed.
     """
--- a/packages/common/src/kingcuplug_common/_event_log.py
+++ b/packages/common/src/kingcuplug_common/_event_log.py
@@ -1,9 +1,9 @@
 """Structured log lines on standard output, bounded in volume and never blocking.
 
-One JSON object per line. A reader that stalls must not stop the host: lines wait in
-a bounded buffer and are dropped and counted when it is full. Each kind of line has
-its own rate, so that a flood of one kind neither hides the others nor costs
-processor time; lines that were held back are counted in `suppressed`.
+One JSON object per line. A stalled reader must not block the host: lines wait in a
+bounded buffer, and are dropped and counted when it is full. Each kind of line has its
+own rate limit, so that a flood of one kind neither crowds out the others nor costs
+processor time; lines over the limit are counted in ``suppressed``.
 """
 
 import asyncio
@@ -17,16 +17,18 @@
 
 __all__ = ["EventLog"]
 
-# A burst of failures should stay readable as a whole; beyond it samples suffice.
+# A burst of failures is logged in full; beyond it a sample is enough.
 BURST_LINES = 40
 LINES_PER_S = 20.0
 FLUSH_INTERVAL_S = 0.25
-BUFFER_BYTES = 262_144  # A fraction of the smallest host's memory.
-MAX_WRITE_BYTES = 65_536  # Capacity of a pipe.
+BUFFER_BYTES = 262_144  # Small against the memory of the smallest host.
+MAX_WRITE_BYTES = 65_536  # Default capacity of a Linux pipe.
 _US_PER_S = 1_000_000
 
 
 class _TokenBucket:
+    """Token bucket that limits the lines of one kind, and counts suppressed ones."""
+
     __slots__ = ("refilled_at", "suppressed", "tokens")
 
     def __init__(self, now: float) -> None:
@@ -35,9 +37,9 @@
         self.suppressed = 0
 
     def try_acquire(self, now: float) -> bool:
-        gained = (now - self.refilled_at) * LINES_PER_S
+        added_tokens = (now - self.refilled_at) * LINES_PER_S
         self.refilled_at = now
-        self.tokens = min(BURST_LINES, self.tokens + gained)
+        self.tokens = min(BURST_LINES, self.tokens + added_tokens)
         if self.tokens < 1:
             self.suppressed += 1
             return False
@@ -51,7 +53,7 @@
     Parameters
     ----------
     descriptor : int
-        Where lines go; made non-blocking.
+        Destination of the lines; set to non-blocking.
     host : str
         Name of the host, part of each line.
 
@@ -73,24 +75,24 @@
             os.set_blocking(descriptor, False)
 
     def admits(self, kind: str) -> bool:
-        """Return whether a line of this kind is within its rate, and count it.
+        """Take a token for one line of this kind and return whether there was one.
 
-        Spares building the fields of a line that would not be written; the line is
-        then written with `always`.
+        For callers that build the fields of a line only if it will be written; they
+        then pass `always` to `write`.
         """
         return self._bucket(kind).try_acquire(time.monotonic())
 
     def write(self, kind: str, fields: dict[str, Any], always: bool = False) -> None:
-        """Queue one line, unless its kind exceeds its rate.
+        """Queue one line, unless its kind exceeds its rate limit.
 
         Parameters
         ----------
         always : bool
-            Skips the rate, for rare events such as start and stop.
+            Skips the rate limit, for rare events such as start and stop.
         """
         now = time.monotonic()
-        rate = self._bucket(kind)
-        if not always and not rate.try_acquire(now):
+        bucket = self._bucket(kind)
+        if not always and not bucket.try_acquire(now):
             return
         line = {
             "event": kind,
@@ -99,8 +101,8 @@
             "monotonic_us": int(now * _US_PER_S),
             **fields,
         }
-        if rate.suppressed:
-            line["suppressed"], rate.suppressed = rate.suppressed, 0
+        if bucket.suppressed:
+            line["suppressed"], bucket.suppressed = bucket.suppressed, 0
         if self.dropped:
             line["dropped"] = self.dropped
         data = orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE)
@@ -111,25 +113,25 @@
         self._buffered_bytes += len(data)
 
     def _bucket(self, kind: str) -> _TokenBucket:
-        rate = self._buckets.get(kind)
-        if rate is None:
-            rate = self._buckets[kind] = _TokenBucket(time.monotonic())
-        return rate
+        bucket = self._buckets.get(kind)
+        if bucket is None:
+            bucket = self._buckets[kind] = _TokenBucket(time.monotonic())
+        return bucket
 
     def flush(self) -> None:
-        """Write what the descriptor takes without blocking."""
+        """Write as many queued lines as the descriptor accepts without blocking."""
         while self._unwritten or self._queued_lines:
             while self._queued_lines and len(self._unwritten) < MAX_WRITE_BYTES:
                 self._unwritten += self._queued_lines.popleft()
             try:
                 written = os.write(self._descriptor, self._unwritten)
-            except OSError:  # The reader is slow or gone; lines wait or are dropped.
+            except OSError:  # The reader is stalled or has closed the pipe.
                 return
             self._unwritten = self._unwritten[written:]
             self._buffered_bytes -= written
 
     async def run(self) -> None:
-        """Flush at intervals for ever."""
+        """Flush periodically until cancelled."""
         while True:
             await asyncio.sleep(FLUSH_INTERVAL_S)
             self.flush()
--- a/packages/common/src/kingcuplug_common/_exposition.py
+++ b/packages/common/src/kingcuplug_common/_exposition.py
@@ -1,7 +1,7 @@
-"""Counters and histograms as text, in the format that Prometheus reads.
+"""Metrics in the Prometheus text format.
 
-The library is imported when somebody asks for the text, so that a host which nobody
-examines does not pay for it.
+prometheus_client is imported on first use, so that a host that is never scraped does
+not load it.
 """
 
 from collections.abc import Iterable, Mapping
@@ -18,12 +18,12 @@
 
 
 def exposition(metrics: Metrics, gauges: Mapping[str, float]) -> bytes:
-    """Return all figures as text.
+    """Return all metrics in the Prometheus text format.
 
     Parameters
     ----------
     gauges : mapping
-        Values of this moment, by name.
+        Current values, by name.
     """
     from prometheus_client import CollectorRegistry, generate_latest
 
@@ -33,12 +33,14 @@
 
 
 class _Collector:
+    """Collector in the sense of prometheus_client."""
+
     def __init__(self, metrics: Metrics, gauges: Mapping[str, float]) -> None:
         self._metrics = metrics
         self._gauges = gauges
 
     def collect(self) -> "Iterable[Metric]":
-        """Yield the families of figures."""
+        """Yield the metric families."""
         from prometheus_client.core import (
             CounterMetricFamily,
             GaugeMetricFamily,
@@ -67,9 +69,9 @@
 
 
 def _cumulative_buckets(histogram: Histogram) -> list[Any]:
-    total, buckets = 0, []
+    cumulative_count, buckets = 0, []
     bounds = [*map(str, Histogram.BOUNDS_S), "+Inf"]
     for bound, count in zip(bounds, histogram.counts, strict=True):
-        total += count
-        buckets.append((bound, total))
+        cumulative_count += count
+        buckets.append((bound, cumulative_count))
     return buckets
--- a/packages/common/src/kingcuplug_common/_metrics.py
+++ b/packages/common/src/kingcuplug_common/_metrics.py
@@ -1,7 +1,7 @@
-"""Counters and state-change logs, without the libraries of traces.
+"""Counters, histograms and state-change logs.
 
-Hosts that only count and log start faster and smaller without the tracing and
-logging libraries, so eliot and statsd are imported on first use.
+eliot and statsd are imported on first use: hosts that need neither start faster and
+use less memory.
 """
 
 from collections import Counter
@@ -16,22 +16,22 @@
 StateChangeSink = Callable[[str, str, dict[str, Any]], None]
 
 
-# Beyond so many combinations of labels, durations are counted together.
+# Label sets beyond this number share one histogram, to bound memory.
 _MAX_LABEL_SETS = 512
 _OTHER_LABEL = "other"
 # Upper bounds of buckets: powers of two from 1/1024 s to 64 s.
 _MIN_EXPONENT = -10
 _BUCKET_COUNT = 17
-_CLOCK_RESOLUTION_S = 1e-6  # Resolution of the clock; shorter durations count as this.
+_CLOCK_RESOLUTION_S = 1e-6  # Shorter durations are recorded as this.
 
 
 class Histogram:
-    """Durations in buckets whose bounds double.
+    """Histogram of durations; each bucket's bound is twice the one before.
 
     Attributes
     ----------
     counts : list of int
-        By bucket; the last one takes everything above its bound.
+        Counts by bucket; the last one holds all durations above the greatest bound.
     """
 
     BOUNDS_S = tuple(2.0 ** (_MIN_EXPONENT + i) for i in range(_BUCKET_COUNT))
@@ -41,7 +41,7 @@
         self.sum_s = 0.0
 
     def record(self, duration_s: float) -> None:
-        """Count one duration."""
+        """Add one duration."""
         mantissa, exponent = frexp(max(duration_s, _CLOCK_RESOLUTION_S))
         if mantissa == 0.5:
             exponent -= 1
@@ -76,12 +76,12 @@
             self._client.incr(name, value)
 
     def observe(self, name: str, labels: tuple[str, ...], duration_s: float) -> None:
-        """Record a duration in a histogram in memory.
+        """Record a duration in the histogram of its labels.
 
         Parameters
         ----------
         labels : tuple of str
-            From small sets: never an id of a request or a server.
+            Label values from small sets; never ids of requests or servers.
         """
         by_labels = self.durations.setdefault(name, {})
         histogram = by_labels.get(labels)
@@ -92,12 +92,12 @@
         histogram.record(duration_s)
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a gauge."""
+        """Send the value of a gauge to statsd."""
         if self._client is not None:
             self._client.gauge(name, value)
 
     def send_timing(self, name: str, duration_ms: float) -> None:
-        """Record a duration in milliseconds."""
+        """Send a duration in milliseconds to statsd."""
         if self._client is not None:
             self._client.timing(name, duration_ms)
 
@@ -112,7 +112,7 @@
 
 
 def send_state_changes_to(sink: StateChangeSink) -> None:
-    """Give state changes to `sink` in place of eliot."""
+    """Send state changes to `sink` instead of eliot."""
     global _sink
     _sink = sink
 
--- a/packages/common/src/kingcuplug_common/_receipts.py
+++ b/packages/common/src/kingcuplug_common/_receipts.py
@@ -1,7 +1,7 @@
 """Signed receipts of answers, refusals and orders.
 
-A receipt lets a caller prove weeks later what it was told, without a store of
-every answer. Ed25519 signatures come from the ``cryptography`` library.
+A receipt lets a caller prove weeks later how its request was answered, without the
+hosts storing every answer. Ed25519 signatures come from the ``cryptography`` library.
 """
 
 import base64
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Receipt:
-    """What a caller was told.
+    """How one request was answered, as signed by a host.
 
     Attributes
     ----------
@@ -104,7 +104,7 @@
         self._public_keys = dict(public_keys)
 
     def verify(self, signed: Mapping[str, Any]) -> Receipt:
-        """Return the receipt if its signature holds.
+        """Return the receipt if its signature is valid.
 
         Raises
         ------
--- a/packages/common/src/kingcuplug_common/_settings.py
+++ b/packages/common/src/kingcuplug_common/_settings.py
@@ -1,7 +1,7 @@
 """Settings of one host, read from a JSON file.
 
-A process learns its addresses, its availability zone and its data folder from
-here and from nowhere else.
+They are the only source of a process's addresses, its availability zone and its data
+folder.
 """
 
 from pathlib import Path
--- a/packages/common/src/kingcuplug_common/_spans.py
+++ b/packages/common/src/kingcuplug_common/_spans.py
@@ -1,7 +1,7 @@
 """Spans of the hops of one request.
 
-The request's span decides once whether its trace is sampled; every hop below it
-then costs one look at a context variable when it is not.
+Sampling is decided once, at the request's span. In an unsampled trace each hop below
+it costs only one lookup of a context variable.
 """
 
 from collections.abc import Iterator, Mapping
@@ -19,7 +19,7 @@
 
 
 class Hop:
-    """A hop that is not sampled; it records nothing."""
+    """Span of one hop; this base class is for unsampled traces and records nothing."""
 
     __slots__ = ()
 
@@ -36,14 +36,14 @@
 
 
 class _SampledHop(Hop):
-    """A hop that is sampled.
+    """Span of one hop of a sampled trace.
 
     Parameters
     ----------
     tracer : Tracer
-        Makes the span.
+        Creates the span.
     parent : Span
-        Span of the hop above.
+        Parent of the new span.
     name : str
         Name of the hop.
     attributes : dict
@@ -64,13 +64,13 @@
         self._token: Token[_TraceContext | None] = _current_trace.set(trace)
 
     def end(self, **attributes: Any) -> None:
-        """End the hop with attributes that are known only now."""
+        """End the hop and add attributes to its span."""
         self._span.set_attributes(attributes)
         self._span.end()
         _current_trace.reset(self._token)
 
     def __exit__(self, *error: object) -> None:
-        """End the hop and note the error that ended it."""
+        """End the hop; an error's class name becomes its outcome."""
         if error[1] is not None:
             self.end(outcome=type(error[1]).__name__)
         else:
@@ -78,7 +78,7 @@
 
 
 class _TraceContext:
-    """The trace that runs in this context; without a tracer it is not sampled."""
+    """The current trace; `tracer` is ``None`` if the trace is not sampled."""
 
     __slots__ = ("header", "span", "tracer")
 
@@ -96,7 +96,7 @@
 def request_span(
     tracer: Tracer, name: str, headers: Mapping[str, str]
 ) -> Iterator[Span]:
-    """Run a request under a span; its sender's ``traceparent`` decides first."""
+    """Run a request in a span; a ``traceparent`` in `headers` decides on sampling."""
     parent = propagator.extract(headers)
     with tracer.start_as_current_span(name, context=parent) as span:
         header = _format_traceparent(span.get_span_context())
@@ -123,7 +123,7 @@
 def entering(
     name: str, manager: AbstractAsyncContextManager[_T]
 ) -> AbstractAsyncContextManager[_T]:
-    """Return `manager` with a hop around its entry, which may wait."""
+    """Return `manager` with a hop that spans its ``__aenter__``, which may wait."""
     trace = _current_trace.get()
     if trace is None or trace.tracer is None:
         return manager
@@ -133,7 +133,7 @@
 @asynccontextmanager
 async def _traced_entry(
     name: str, manager: AbstractAsyncContextManager[_T]
-) -> Any:  # An asynchronous iterator of one value.
+) -> Any:  # An asynchronous iterator with one value.
     hop = start_hop(name)
     try:
         value = await manager.__aenter__()
--- a/packages/common/src/kingcuplug_common/_telemetry.py
+++ b/packages/common/src/kingcuplug_common/_telemetry.py
@@ -24,7 +24,7 @@
 
 __all__ = ["TraceFileExporter", "log_to_file", "propagator", "tracer"]
 
-# An operator looks at the waterfall right after the request.
+# Short, since operators view a trace right after its request.
 _TRACE_FILE_DELAY_MS = 500.0
 _NANOSECONDS_PER_MICROSECOND = 1_000
 
@@ -37,7 +37,7 @@
 
 
 class TraceFileExporter(SpanExporter):
-    """Writes spans to a file as JSON lines."""
+    """Exports spans to a file as JSON lines."""
 
     def __init__(self, path: Path) -> None:
         self._file = path.open("a")
@@ -78,8 +78,8 @@
     path : Path or None
         JSON-lines file for spans.
     share : float
-        Share of traces that are recorded, 0 to 1; a caller's own decision in the
-        ``traceparent`` header goes first.
+        Share of traces that are sampled, 0 to 1; a caller's own decision in the
+        ``traceparent`` header takes precedence.
     """
     sampled_share = share if path is not None else 0.0
     provider = TracerProvider(
--- a/packages/daemon/src/kingcuplug_daemon/_caller_app.py
+++ b/packages/daemon/src/kingcuplug_daemon/_caller_app.py
@@ -58,16 +58,16 @@
         Settings of this host.
     entry : EntryNode
         Executes the requests.
-    keys : ReceiptKeys
+    receipt_keys : ReceiptKeys
         Signs the receipts.
     lifecycle : Lifecycle
-        Knows whether new work may be taken.
+        Whether new requests are accepted.
     metrics : Metrics
         Counters.
     tracer : Tracer
-        Makes one span per request.
-    announcers : BearerTokens
-        Tokens of backend servers.
+        Creates one span per request.
+    announce_tokens : BearerTokens
+        Accepted tokens of backend servers.
     """
 
     def __init__(
@@ -102,7 +102,7 @@
             service = request.path_params["service"]
             view = self._entry.configuration.view
             policy = view.find(service).service.policy
-            minimum = model.minimum_coverage
+            minimum_coverage = model.minimum_coverage
             query = QueryRequest(
                 request_id=request_id,
                 service=service,
@@ -110,8 +110,8 @@
                 priority=model.priority,
                 deadline=deadline,
                 minimum_coverage=policy.minimum_coverage
-                if minimum is None
-                else minimum,
+                if minimum_coverage is None
+                else minimum_coverage,
                 partition_key=model.partition_key,
                 dependency_requests=model.dependency_requests,
             )
@@ -145,7 +145,7 @@
         model_type: type[QueryModel] | type[OrderModel],
         run: RequestRunner,
     ) -> Response:
-        """Read, run and answer one request; every end has a receipt."""
+        """Read, run and answer one request; answers and refusals carry a receipt."""
         started = asyncio.get_running_loop().time()
         service = request.path_params["service"]
         request_id = identifier()
@@ -300,13 +300,13 @@
             fields = await read_json(request, self._settings.body_limit_bytes)
             announcement = parse_announcement(fields)
             session = self._entry.session
-            granted = session.leases.announce(announcement)
+            lease = session.leases.announce(announcement)
             if announcement.state != "serving":
-                # A leaving server may stop as soon as it has this answer, so the
-                # other entry hosts must be about to learn of it.
+                # A server that withdraws may stop once it has this response, so the
+                # change must first be delivered to the other entry hosts.
                 async with asyncio.timeout(_WITHDRAWAL_TIMEOUT_S):
                     await session.delivered(session.leases.version)
-            return granted
+            return lease
 
         return await self._handle_server_request(request, announce)
 
@@ -315,14 +315,14 @@
             fields = await read_json(request, self._settings.body_limit_bytes)
             try:
                 server = str(fields["server"])
-                order = int(fields["incarnation"]), int(fields["sequence"])
+                version = int(fields["incarnation"]), int(fields["sequence"])
             except (KeyError, TypeError, ValueError) as error:
                 raise not_run(
                     RefusalReason.INVALID_REQUEST,
                     f"the renewal is malformed: {error!r}",
                     "send server, incarnation and sequence",
                 ) from error
-            return self._entry.session.leases.renew(server, *order)
+            return self._entry.session.leases.renew(server, *version)
 
         return await self._handle_server_request(request, renew)
 
@@ -332,9 +332,9 @@
         try:
             self._announce_tokens.authorize(request)
             if self._lifecycle.draining:
-                # The server then announces at another entry host.
+                # The server then announces itself at another entry host.
                 return json_response({"error": "ShuttingDown"}, _UNAVAILABLE)
-            granted = await handler()
+            lease = await handler()
         except Refusal as refusal:
             return json_response(error_fields(refusal), status_of(refusal))
         except TimeoutError:
@@ -344,8 +344,8 @@
             return json_response(error_fields(error), _CONFLICT)
         return json_response(
             {
-                "lease_ms": granted.lease_ms,
-                "renew_ms": granted.renew_ms,
-                "renew_address": granted.renew_address,
+                "lease_ms": lease.lease_ms,
+                "renew_ms": lease.renew_ms,
+                "renew_address": lease.renew_address,
             }
         )
--- a/packages/daemon/src/kingcuplug_daemon/_claim_holders.py
+++ b/packages/daemon/src/kingcuplug_daemon/_claim_holders.py
@@ -1,4 +1,4 @@
-"""Knows which holders of order claims have ended."""
+"""Tracks which holders of order claims have ended."""
 
 import asyncio
 
@@ -11,14 +11,16 @@
 
 
 class ClaimHolderTracker:
-    """Answers at once from what was learned and asks the session for the rest.
+    """Answers from a cache and asks the session for missing entries in the background.
+
+    A claim is held by one incarnation of an entry host.
 
     Parameters
     ----------
     session : SessionClient
-        Asked whether a run of an entry host is live.
-    background : Background
-        Runs the questions.
+        Asked whether an incarnation of an entry host is live.
+    background_tasks : Background
+        Runs the checks.
     """
 
     def __init__(self, session: SessionClient, background_tasks: Background) -> None:
@@ -28,25 +30,25 @@
         self._pending: set[tuple[str, int]] = set()
 
     def has_ended(self, host: str, incarnation: int) -> bool:
-        """Return whether a run of an entry host is known to have ended.
+        """Return whether an incarnation of an entry host is known to have ended.
 
-        A wrong answer costs only a takeover, which the ledger refuses if the claim
-        was dispatched.
+        A wrong answer costs only an attempted takeover, which the ledger refuses if the
+        claim was dispatched.
         """
-        run = (host, incarnation)
-        if run in self._ended:
+        holder = (host, incarnation)
+        if holder in self._ended:
             return True
-        if run not in self._pending:
-            self._pending.add(run)
-            self._background_tasks.start(self._check_live(run))
+        if holder not in self._pending:
+            self._pending.add(holder)
+            self._background_tasks.start(self._check_live(holder))
         return False
 
-    async def _check_live(self, run: tuple[str, int]) -> None:
+    async def _check_live(self, holder: tuple[str, int]) -> None:
         try:
             async with asyncio.timeout(_CHECK_TIMEOUT_S):
-                if not await self._session.is_live(*run):
-                    self._ended.add(run)
+                if not await self._session.is_live(*holder):
+                    self._ended.add(holder)
         except TimeoutError:
             return
         finally:
-            self._pending.discard(run)
+            self._pending.discard(holder)
--- a/packages/daemon/src/kingcuplug_daemon/_control_node.py
+++ b/packages/daemon/src/kingcuplug_daemon/_control_node.py
@@ -1,4 +1,4 @@
-"""The control role of a host: replica of the log, sessions and mesh."""
+"""The control role of a host: log replica, sessions and mesh replication."""
 
 import asyncio
 import random
@@ -48,28 +48,28 @@
 
 
 class BootstrapUnsafe(KingcuplugError):
-    """A cluster may exist already, so this host must not begin another."""
+    """A cluster may exist already, so this host must not bootstrap another."""
 
 
 class HostNotAdded(KingcuplugError):
-    """A host that cannot become a member; nothing was changed."""
+    """A host cannot become a member; nothing was changed."""
 
 
 class ControlNode:
-    """A control host's state and its answers to other hosts.
+    """A control host's state and its handlers for requests of other hosts.
 
     Parameters
     ----------
     settings : HostSettings
         Settings of this host.
     peer_address : str
-        Address at which other hosts reach it.
+        Address at which other hosts reach this one.
     peers : PeerClient
         Calls other hosts.
     metrics : Metrics
         Counters.
     log_settings, membership_settings : optional
-        Times and bounds.
+        Timeouts and limits.
     """
 
     def __init__(
@@ -97,7 +97,7 @@
         self.mesh: Mesh
 
     async def start(self) -> None:
-        """Open the data folder and take part in the log.
+        """Open the data folder, start the log replica and serve sessions.
 
         Raises
         ------
@@ -142,7 +142,7 @@
         self._background_task = asyncio.create_task(self._run_exchanges())
 
     async def stop(self) -> None:
-        """Stop taking part."""
+        """Stop the sessions, the mesh and the log replica."""
         if self._background_task is not None:
             self._background_task.cancel()
             await asyncio.gather(self._background_task, return_exceptions=True)
@@ -153,10 +153,10 @@
             tasks.create_task(self.sessions.run())
             tasks.create_task(self.mesh.run())
 
-    # Answers to other hosts
+    # Requests of other hosts
 
     async def submit(self, command: dict[str, Any]) -> dict[str, Any]:
-        """Commit a command of any host and return its result."""
+        """Commit a command and return its result."""
         kind = command.get("type")
         if kind == "lookup":
             return await self._look_up_order(command)
@@ -168,10 +168,10 @@
         return dict(result)
 
     async def read(self, request: dict[str, Any]) -> dict[str, Any]:
-        """Answer a question from state that is confirmed by the quorum."""
+        """Answer a read request from state that a quorum has confirmed."""
         await self.replica.read_barrier()
         kind = request.get("type")
-        answers = {
+        read_handlers = {
             "configuration": lambda: _state_reads.current_configuration(
                 self.state_machine
             ),
@@ -186,28 +186,28 @@
         }
         if kind == "in_force":
             return await self._wait_in_force(request)
-        if kind not in answers:
+        if kind not in read_handlers:
             raise KingcuplugError(
-                f"question {kind!r} is unknown", "run one version on all hosts"
+                f"read request {kind!r} is unknown", "run one version on all hosts"
             )
-        return answers[kind]()
+        return read_handlers[kind]()
 
     async def bootstrap(self) -> dict[str, Any]:
-        """Begin a cluster on this host, unless one may exist.
+        """Bootstrap a cluster on this host, unless one may exist.
 
         Raises
         ------
         BootstrapUnsafe
-            If any configured control host cannot be asked or belongs to a cluster.
+            If any configured control host is unreachable or belongs to a cluster.
         BootstrapRefused
             If this host belongs to a cluster.
         """
         for address in self._settings.control_seeds:
             if address != self._address:
                 await self._require_no_cluster(address)
-        cluster = identifier()
-        await self.replica.bootstrap(cluster)
-        return {"cluster": cluster, "member": self.replica.status().member.id}
+        cluster_id = identifier()
+        await self.replica.bootstrap(cluster_id)
+        return {"cluster": cluster_id, "member": self.replica.status().member.id}
 
     async def change_members(self, change: dict[str, Any]) -> dict[str, Any]:
         """Add the control host at an address, or remove a member by its id."""
@@ -228,7 +228,7 @@
         return {"added": member.id, "role": role.value}
 
     def identity(self) -> dict[str, Any]:
-        """Return who this host is, for the checks of bootstrap and add."""
+        """Return this host's identity, for the checks of bootstrap and add."""
         status = self.replica.status()
         return {
             "host": self._settings.host,
@@ -274,15 +274,16 @@
         change = ApplyConfiguration.from_json(command | {"time_ms": wall_ms()})
         await self.replica.read_barrier()
         history = self.state_machine.configuration
-        settled = history.settled(change)
-        if settled is not None:
-            return settled.to_json()
-        # A text of the target size takes longer than an election timeout to check.
-        condensed = await asyncio.to_thread(history.condense, change)
-        return dict(await self.replica.propose(condensed.to_json()))
+        known_result = history.settled(change)
+        if known_result is not None:
+            return known_result.to_json()
+        # Checking a text of the largest supported size takes longer than an election
+        # timeout, so it runs in a thread.
+        command_with_delta = await asyncio.to_thread(history.condense, change)
+        return dict(await self.replica.propose(command_with_delta.to_json()))
 
     async def _wait_in_force(self, request: dict[str, Any]) -> dict[str, Any]:
-        """Wait for a revision; the answer tells who may still serve an older one."""
+        """Wait for a revision; the result lists hosts that may serve an older one."""
         revision = int(request["revision"])
         wait_s = min(float(request["wait_ms"]) / _MS_PER_S, _MAX_WAIT_S)
         try:
@@ -290,7 +291,7 @@
                 await self.sessions.wait_in_force(revision)
             in_force, waiting = True, []
         except TimeoutError:
-            # Nobody may lag and the leases of an earlier leader still count.
+            # The list may be empty: leases of an earlier leader also delay a revision.
             in_force = False
             waiting = self.sessions.barrier.lagging(revision)
         return {
@@ -371,7 +372,7 @@
 
 
 def leader_address(error: NotLeader) -> str | None:
-    """Return the address of the leader that an error names."""
+    """Return the address of the leader that an error refers to."""
     return None if error.hint is None else error.hint.address
 
 
--- a/packages/daemon/src/kingcuplug_daemon/_crash_verdicts.py
+++ b/packages/daemon/src/kingcuplug_daemon/_crash_verdicts.py
@@ -1,4 +1,7 @@
-"""Shares the crash guard's blames with all entry hosts over the session."""
+"""Exchanges crash suspects with the other entry hosts over the session.
+
+A suspect is a request that was in flight at a backend server that crashed.
+"""
 
 import asyncio
 
@@ -11,13 +14,13 @@
 
 
 class CrashVerdictExchange:
-    """Carries blames between the crash guard and the session.
+    """Reports new suspects to the session and adds received ones to the crash guard.
 
     Parameters
     ----------
     session : SessionClient
-        Reports to, and learns from, all entry hosts.
-    guard : CrashGuard
+        Sends verdicts to, and receives them from, all entry hosts.
+    crash_guard : CrashGuard
         This entry host's guard.
     """
 
@@ -27,10 +30,10 @@
         session.verdicts.watch(self._receive_verdict)
 
     async def run(self) -> None:
-        """Report fresh blames until cancelled."""
+        """Report new suspects until cancelled."""
         while True:
-            for blame in self._crash_guard.fresh():
-                self._session.report(_verdict_from_suspect(blame))
+            for suspect in self._crash_guard.fresh():
+                self._session.report(_verdict_from_suspect(suspect))
             await asyncio.sleep(_REPORT_INTERVAL_S)
 
     def _receive_verdict(self, verdict: Verdict) -> None:
--- a/packages/daemon/src/kingcuplug_daemon/_entry_configuration.py
+++ b/packages/daemon/src/kingcuplug_daemon/_entry_configuration.py
@@ -1,7 +1,7 @@
 """The configuration in force at an entry host.
 
-A revision is put in force as one immutable view; requests keep the view with which
-they started.
+Each revision takes effect as one immutable view; a request keeps the view with which
+it started.
 """
 
 import random
@@ -28,13 +28,13 @@
 
 
 class EntryConfiguration:
-    """Revisions as they come from the home control host.
+    """Applies the revisions that the home control host sends.
 
     Parameters
     ----------
     services : tuple of str or None
         Routed services; ``None`` routes all of them.
-    policy_of : callable
+    policy_factory : callable
         Returns the routing policy of a service.
     random_source : random.Random
         Source of all random decisions of the routers.
@@ -82,18 +82,18 @@
             If the resulting text has another digest; nothing changes then.
         """
         if deltas is not None:
-            new = replay(self._text, [Delta.from_json(value) for value in deltas])
+            new_text = replay(self._text, [Delta.from_json(value) for value in deltas])
         else:
-            new = parse(text or "")
-        found = text_digest(render(new))
-        if found != digest:
+            new_text = parse(text or "")
+        actual = text_digest(render(new_text))
+        if actual != digest:
             raise KingcuplugError(
-                f"revision {revision} has digest {found[:12]} here, not {digest[:12]}",
+                f"revision {revision} has digest {actual[:12]} here, not {digest[:12]}",
                 "the whole text is fetched",
             )
-        self._text = new
-        self.retention_days = new.retention_days
-        self.view = RevisionView(revision, self._runtimes(new))
+        self._text = new_text
+        self.retention_days = new_text.retention_days
+        self.view = RevisionView(revision, self._runtimes(new_text))
         self.on_change()
 
     def _runtimes(self, text: ConfigurationText) -> dict[str, ServiceRuntime]:
@@ -107,12 +107,12 @@
         }
 
     def _runtime(self, service: Service) -> ServiceRuntime:
-        known = self.view.services.get(service.name)
-        if known is not None and known.service == service:
-            return known
-        if known is not None and known.service.policy == service.policy:
-            return ServiceRuntime(service, known.router, known.admission)
-        # A changed policy starts with new statistics; requests in flight end under
-        # the router that they started with.
+        former = self.view.services.get(service.name)
+        if former is not None and former.service == service:
+            return former
+        if former is not None and former.service.policy == service.policy:
+            return ServiceRuntime(service, former.router, former.admission)
+        # A changed policy starts with new statistics; requests in flight finish with
+        # the router with which they started.
         router = Router(service.name, self._policy_factory(service), self._random)
         return ServiceRuntime(service, router, Admission(router))
--- a/packages/daemon/src/kingcuplug_daemon/_entry_node.py
+++ b/packages/daemon/src/kingcuplug_daemon/_entry_node.py
@@ -1,4 +1,4 @@
-"""The entry role of a host: session, routing and execution of requests."""
+"""The entry role of a host: its session, routing and request execution."""
 
 import asyncio
 import random
@@ -36,7 +36,7 @@
 
 
 def policy_of(service: Service) -> RoutingPolicy:
-    """Return the routing policy that a configured service asks for."""
+    """Return the routing policy that a service's configuration sets."""
     return RoutingPolicy(
         hedge_budget=service.policy.hedge_budget,
         retry_budget=service.policy.retry_budget,
@@ -52,18 +52,18 @@
     settings : HostSettings
         Settings of this host.
     caller_address : str
-        Address at which backend servers renew their leases.
+        Address to which backend servers send their lease renewals.
     incarnation : int
         Greater after each restart of this host.
     peers : PeerClient
         Calls control hosts.
-    submitter : LeaderClient
+    leader_client : LeaderClient
         Sends commands to the leader of the log.
     metrics : Metrics
         Counters.
     tracer : Tracer
-        Makes a span per exchange of the session.
-    routing_policy : callable
+        Creates a span per exchange of the session.
+    policy_factory : callable
         Returns the routing policy of a service.
     """
 
@@ -137,15 +137,15 @@
         self._background_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begin the session."""
+        """Start the session, the router updates and the exchange of crash verdicts."""
         self._background_task = asyncio.create_task(self._run_exchanges())
 
     def reload(self) -> None:
-        """Read the certificates for backend servers again, for new connections."""
+        """Reload the certificates for backend servers, for new connections."""
         reload_identity(self._backend_context, self._backend_tls)
 
     async def stop(self) -> None:
-        """Finish attempts in flight, then end the session."""
+        """Wait for attempts in flight, then end the session."""
         await self.background_tasks.drain(_DRAIN_TIMEOUT_S)
         if self._background_task is not None:
             self._background_task.cancel()
@@ -153,7 +153,7 @@
         await self.backend.close()
 
     async def abort(self) -> None:
-        """End at once, as a crashed process does."""
+        """Stop without waiting for attempts in flight, as a crash does."""
         if self._background_task is not None:
             self._background_task.cancel()
             await asyncio.gather(self._background_task, return_exceptions=True)
--- a/packages/daemon/src/kingcuplug_daemon/_host.py
+++ b/packages/daemon/src/kingcuplug_daemon/_host.py
@@ -1,4 +1,4 @@
-"""One host: its roles, listeners, and the way it starts and stops."""
+"""One host: its roles, its listeners, and its startup and shutdown."""
 
 import asyncio
 import contextlib
@@ -48,10 +48,10 @@
     ----------
     settings : HostSettings
         Settings of this host.
-    routing_policy : callable, optional
+    policy_factory : callable, optional
         Returns the routing policy of a service; for experiments.
     log_settings, membership_settings : optional
-        Times and bounds of the control plane.
+        Timeouts and limits of the control plane.
 
     Attributes
     ----------
@@ -79,8 +79,8 @@
         self._peers = PeerClient(settings.peer_tls)
         self._resources = contextlib.ExitStack()
         self._drain_requested = asyncio.Event()
-        # The listeners bind first, so that a port of 0 has its number before the
-        # rest is built; they accept connections only at the end of `start`.
+        # The listeners bind first, so that port 0 is resolved before the roles are
+        # built; they accept connections only at the end of `start`.
         self._caller_listener = Listener(
             self._handle_caller_request, settings.caller_address, settings.caller_tls
         )
@@ -113,9 +113,9 @@
             tracer(settings.trace_file, settings.trace_share)
         )
         seeds = settings.control_seeds or (self.peer_address,)
-        submitter = LeaderClient(self._peers, lambda: seeds)
+        leader_client = LeaderClient(self._peers, lambda: seeds)
         self.receipt_keys = ReceiptKeys(
-            settings.host, settings.data_folder, submitter.submit, wall_ms
+            settings.host, settings.data_folder, leader_client.submit, wall_ms
         )
         if "control" in settings.roles:
             self.control = ControlNode(
@@ -133,16 +133,16 @@
                 self.caller_address,
                 wall_ms(),
                 self._peers,
-                submitter,
+                leader_client,
                 seeds,
                 self.metrics,
                 spans,
                 self._policy_factory,
                 self._membership_settings,
             )
-        operators = OperatorApp(
+        operator_app = OperatorApp(
             settings,
-            submitter,
+            leader_client,
             self.control,
             self.entry,
             self.receipt_keys,
@@ -151,7 +151,7 @@
             self._drain_requested.set,
             self._operator_tokens,
         )
-        routes = operators.routes()
+        routes = operator_app.routes()
         if self.entry is not None:
             routes += CallerApp(
                 settings,
@@ -176,17 +176,18 @@
         await self._drain_requested.wait()
 
     async def stop(self, grace_ms: int | None = None) -> None:
-        """Shut down gracefully: no request in flight is cut.
+        """Shut down gracefully, without interrupting requests in flight.
 
         Parameters
         ----------
         grace_ms : int, optional
-            Time for the load balancer to notice; by default the settings'.
+            Time for the load balancer to remove this host; by default that of the
+            settings.
         """
         if grace_ms is None:
             grace_ms = self.settings.shutdown_grace_ms
         await self.lifecycle.drain(grace_ms / _MS_PER_S)
-        # Answers of the last requests are still being written.
+        # The responses to the last requests may still be in the send buffers.
         await asyncio.sleep(_RESPONSE_FLUSH_S)
         await self._caller_listener.stop()
         self._key_task.cancel()
@@ -200,7 +201,7 @@
         state_change("host", "stopped", host=self.settings.host)
 
     async def kill(self) -> None:
-        """End as a crashed process does; for tests."""
+        """Stop without a drain, as a crash does; for tests."""
         self._caller_listener.abort()
         self._peer_listener.abort()
         self._key_task.cancel()
@@ -212,11 +213,11 @@
         self._resources.close()
 
     def reload(self) -> None:
-        """Read certificates, for new connections, and tokens again.
+        """Reload tokens, and certificates for new connections.
 
-        Files that cannot be used are logged, and what was read before stays in use.
+        Unusable files are logged, and their former contents stay in use.
         """
-        parts: list[Callable[[], None]] = [
+        reloads: list[Callable[[], None]] = [
             self._caller_listener.reload,
             self._peer_listener.reload,
             self._peers.reload,
@@ -224,10 +225,10 @@
             self._announce_tokens.reload,
         ]
         if self.entry is not None:
-            parts.append(self.entry.reload)
-        for part in parts:
+            reloads.append(self.entry.reload)
+        for reload in reloads:
             try:
-                part()
+                reload()
             except SettingsInvalid as error:
                 self.metrics.count("reload.failed")
                 state_change("host", "reload failed", why=str(error))
--- a/packages/daemon/src/kingcuplug_daemon/_http.py
+++ b/packages/daemon/src/kingcuplug_daemon/_http.py
@@ -1,4 +1,4 @@
-"""Reading and writing of JSON over HTTP, with limits and typed refusals."""
+"""JSON request bodies and responses over HTTP, with limits and typed refusals."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, TypeVar
@@ -73,7 +73,7 @@
 
 
 def error_fields(error: KingcuplugError) -> dict[str, Any]:
-    """Return any typed error as JSON value; a refusal with kind and reason."""
+    """Return a typed error as JSON value; a refusal has its kind and reason."""
     fields: dict[str, Any] = {"error": type(error).__name__}
     if isinstance(error, Refusal):
         return fields | refusal_fields(error)
@@ -126,12 +126,12 @@
 
 
 def _reject_repeated_headers(request: Request) -> None:
-    seen: set[bytes] = set()
+    names: set[bytes] = set()
     for name, _ in request.headers.raw:
-        if name in _NON_REPEATABLE_HEADERS and name in seen:
+        if name in _NON_REPEATABLE_HEADERS and name in names:
             raise not_run(
                 RefusalReason.INVALID_REQUEST,
                 f"the header {name.decode()!r} is given twice",
                 "send it once",
             )
-        seen.add(name)
+        names.add(name)
--- a/packages/daemon/src/kingcuplug_daemon/_key_registry.py
+++ b/packages/daemon/src/kingcuplug_daemon/_key_registry.py
@@ -1,7 +1,7 @@
-"""Public keys that check receipts, kept in the replicated log.
+"""Public keys for verifying receipts, kept in the replicated log.
 
-A receipt must stay checkable for as long as orders are kept, so a key outlives the
-host that signed with it.
+A receipt must stay verifiable for as long as orders are kept, so a key is kept beyond
+the life of the host that signed with it.
 """
 
 import dataclasses
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PublishedKey:
-    """A public key and since when it is known."""
+    """A public key and the time of its publication."""
 
     key_id: str
     host: str
@@ -62,16 +62,16 @@
         self._keys: dict[str, PublishedKey] = {}
 
     def apply(self, command: PublishKey) -> PublishedKey:
-        """Add a key and return what is recorded of it."""
+        """Add a key, unless it is known, and return its record."""
         identifier = key_id(bytes.fromhex(command.public_key))
-        known = self._keys.get(identifier)
-        if known is None:
-            known = PublishedKey(
+        published = self._keys.get(identifier)
+        if published is None:
+            published = PublishedKey(
                 identifier, command.host, command.public_key, command.time_ms
             )
-            self._keys[identifier] = known
+            self._keys[identifier] = published
             self._drop_oldest()
-        return known
+        return published
 
     def keys(self) -> list[PublishedKey]:
         """Return all keys, the oldest first."""
@@ -89,7 +89,7 @@
         return {"keys": [dataclasses.asdict(key) for key in self._keys.values()]}
 
     def load(self, state: Mapping[str, Any]) -> None:
-        """Replace the state by a dump."""
+        """Replace the state by a former `dump`."""
         keys = [PublishedKey(**fields) for fields in state["keys"]]
         self._keys = {key.key_id: key for key in keys}
 
--- a/packages/daemon/src/kingcuplug_daemon/_leader_client.py
+++ b/packages/daemon/src/kingcuplug_daemon/_leader_client.py
@@ -1,4 +1,4 @@
-"""Sending of commands and reads to the leader of the replicated log."""
+"""Client for the leader of the replicated log."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -13,16 +13,17 @@
 _ATTEMPT_TIMEOUT_S = 2.0
 _CHANGE_TIMEOUT_S = 10.0
 _ROUNDS = 2
-# An election takes 300 to 600 ms; a shorter pause would only repeat the question.
+# An election takes 300 to 600 ms; a much shorter pause would only find the same
+# hosts without a leader.
 _ROUND_PAUSE_S = 0.15
 
 
 class NoLeader(KingcuplugError):
-    """No control host leads; nothing was done."""
+    """No control host is the leader; nothing was done."""
 
 
 class LeaderClient:
-    """Finds the leader and sends it commands and reads.
+    """Finds the leader and sends it commands and read requests.
 
     Parameters
     ----------
@@ -43,44 +44,44 @@
         Raises
         ------
         TimeoutError
-            If the command may have been applied, or may yet be.
+            If the command may have been applied, or may be applied later.
         NoLeader, PeerError
-            If it certainly was not and will not be.
+            If the command was not applied and will not be.
         """
         return await self._send("/peer/v1/submit", command, _ATTEMPT_TIMEOUT_S)
 
     async def read(
         self, request: dict[str, Any], timeout_s: float = _ATTEMPT_TIMEOUT_S
     ) -> dict[str, Any]:
-        """Return the leader's answer to a question; errors are as for `submit`."""
+        """Return the leader's reply to a read request; errors are as for `submit`."""
         return await self._send("/peer/v1/read", request, timeout_s)
 
     async def change_members(self, change: dict[str, Any]) -> dict[str, Any]:
-        """Change the members of the log's group; errors are as for `submit`."""
+        """Add or remove a member of the log's group; errors are as for `submit`."""
         return await self._send("/peer/v1/change", change, _CHANGE_TIMEOUT_S)
 
     async def _send(
         self, path: str, message: dict[str, Any], timeout_s: float
     ) -> dict[str, Any]:
-        last = "no control host is configured"
+        failure = "no control host is configured"
         for round_number in range(_ROUNDS):
             if round_number:
                 await asyncio.sleep(_ROUND_PAUSE_S)
-            asked: set[str] = set()
+            tried: set[str] = set()
             for address in self._candidates():
-                reply, last = await self._send_following_leader(
-                    address, path, message, timeout_s, asked
+                reply, failure = await self._send_following_leader(
+                    address, path, message, timeout_s, tried
                 )
                 if reply is not None:
                     return reply
         raise NoLeader(
-            f"no control host leads: {last}",
+            f"no control host is the leader: {failure}",
             "check `kingcuplug control status`; a majority of voters must run",
         )
 
     def _candidates(self) -> list[str]:
-        known = [] if self._leader is None else [self._leader]
-        return known + [seed for seed in self._seeds() if seed != self._leader]
+        first = [] if self._leader is None else [self._leader]
+        return first + [seed for seed in self._seeds() if seed != self._leader]
 
     async def _send_following_leader(
         self,
@@ -90,28 +91,31 @@
         timeout_s: float,
         tried: set[str],
     ) -> tuple[dict[str, Any] | None, str]:
-        """Ask one host, and the leader that it names, once each."""
-        why = f"{address} was asked already"
-        following: str | None = address
-        while following is not None and following not in tried:
-            tried.add(following)
+        """Send to one host, then to the leader that it refers to, once each.
+
+        Returns the reply, or ``None`` and the reason why there is none.
+        """
+        failure = f"{address} was tried already"
+        target: str | None = address
+        while target is not None and target not in tried:
+            tried.add(target)
             try:
-                reply = await self._peers.post(following, path, message, timeout_s)
+                reply = await self._peers.post(target, path, message, timeout_s)
             except NotSent as error:
                 return None, error.message
             except PeerError as error:
                 if error.error_name != "NotLeader":
-                    self._raise_refusal(error)
-                why = f"{following} does not lead"
-                following = error.fields.get("leader")
+                    self._raise_peer_error(error)
+                failure = f"{target} is not the leader"
+                target = error.fields.get("leader")
                 continue
             except OSError as error:
-                raise TimeoutError(f"{following} did not answer: {error}") from error
-            self._leader = following
+                raise TimeoutError(f"{target} did not answer: {error}") from error
+            self._leader = target
             return reply, ""
-        return None, why
+        return None, failure
 
-    def _raise_refusal(self, error: PeerError) -> None:
+    def _raise_peer_error(self, error: PeerError) -> None:
         if error.error_name == "LostLeadership":
             raise TimeoutError(error.message) from error
         raise error
--- a/packages/daemon/src/kingcuplug_daemon/_lifecycle.py
+++ b/packages/daemon/src/kingcuplug_daemon/_lifecycle.py
@@ -1,4 +1,4 @@
-"""Whether a host takes new work, and how much it still has in flight."""
+"""Whether a host accepts new requests, and the number in flight."""
 
 import asyncio
 from collections.abc import Iterator
@@ -10,12 +10,13 @@
 
 
 class Lifecycle:
-    """The host's way from ready over draining to closed.
+    """Lifecycle states of a host: ready, draining, closed.
 
     Attributes
     ----------
     draining : bool
-        The load balancer is told to send nothing more; requests are still served.
+        The readiness check fails, so that the load balancer stops sending requests;
+        requests are still served.
     closed : bool
         New requests are refused; those in flight finish.
     """
@@ -45,7 +46,10 @@
                 self._idle.set()
 
     async def drain(self, grace_s: float) -> None:
-        """Leave the load balancer, refuse new work after a grace, finish the rest."""
+        """Fail the readiness check, refuse new requests after `grace_s`, then wait.
+
+        Returns once no request is in flight.
+        """
         self.draining = True
         state_change("host", "draining", in_flight=self._in_flight)
         await asyncio.sleep(grace_s)
--- a/packages/daemon/src/kingcuplug_daemon/_listener.py
+++ b/packages/daemon/src/kingcuplug_daemon/_listener.py
@@ -1,7 +1,7 @@
 """One HTTP listener: a uvicorn server inside the running event loop.
 
-uvicorn would install signal handlers and decide about shutdown itself; here the
-host decides, because it must first finish the requests in flight.
+uvicorn would install signal handlers and control shutdown itself; here the host
+controls it, because it must first finish the requests in flight.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 
 
 class _Server(uvicorn.Server):
-    """A uvicorn server that leaves signals to the host."""
+    """A uvicorn server that installs no signal handlers; the host handles signals."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
@@ -40,9 +40,9 @@
     application : ASGIApp
         The application.
     address : str
-        ``ip:port``; port 0 takes a free one.
+        ``ip:port``; port 0 binds any free port.
     tls : TlsSettings, optional
-        Serves TLS with this identity.
+        Identity for TLS; ``None`` serves plain HTTP.
     client_certificates : bool
         Whether clients must present a certificate of ``tls.authority``.
     """
@@ -56,8 +56,8 @@
     ) -> None:
         host, _, port = address.rpartition(":")
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
-        # asyncio sets TCP_NODELAY only on sockets whose protocol is stated; without
-        # it, replies in two writes wait 40 ms for a delayed acknowledgement.
+        # asyncio sets TCP_NODELAY only on sockets created with IPPROTO_TCP; without
+        # it, responses in two writes wait 40 ms for a delayed acknowledgement.
         self._socket = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._socket.bind((host.strip("[]"), int(port)))
@@ -88,8 +88,8 @@
 
     async def start(self) -> None:
         """Accept connections."""
-        work = self._server.serve(sockets=[self._socket])
-        self._task = asyncio.get_running_loop().create_task(work)
+        serving = self._server.serve(sockets=[self._socket])
+        self._task = asyncio.get_running_loop().create_task(serving)
         while not self._server.started:
             if self._task.done():
                 await self._task
@@ -102,7 +102,7 @@
             await self._task
 
     def abort(self) -> None:
-        """Drop the listening socket and every connection at once."""
+        """Close the listening socket and abort every connection."""
         self._server.should_exit = True
         self._server.force_exit = True
         for server in getattr(self._server, "servers", ()):
@@ -114,6 +114,6 @@
                 transport.abort()
 
     def reload(self) -> None:
-        """Read the certificate and key files again, for new connections."""
-        # uvicorn makes its context when the listener starts.
+        """Reload the certificate and key files, for new connections."""
+        # uvicorn creates its TLS context when the listener starts.
         reload_identity(getattr(self._config, "ssl", None), self._tls)
--- a/packages/daemon/src/kingcuplug_daemon/_main.py
+++ b/packages/daemon/src/kingcuplug_daemon/_main.py
@@ -46,19 +46,22 @@
 
 
 async def serve(make_host: Callable[[], Host]) -> None:
-    """Run a host until SIGTERM, SIGINT or an operator's drain; SIGHUP reloads."""
+    """Run a host until SIGTERM, SIGINT or an operator's drain request.
+
+    SIGHUP reloads certificates and tokens.
+    """
     host = make_host()
     loop = asyncio.get_running_loop()
-    stopping = asyncio.Event()
-    loop.add_signal_handler(signal.SIGTERM, stopping.set)
-    loop.add_signal_handler(signal.SIGINT, stopping.set)
+    stop_requested = asyncio.Event()
+    loop.add_signal_handler(signal.SIGTERM, stop_requested.set)
+    loop.add_signal_handler(signal.SIGINT, stop_requested.set)
     loop.add_signal_handler(signal.SIGHUP, host.reload)
     await host.start()
-    waits = [
-        asyncio.create_task(stopping.wait()),
+    stop_waiters = [
+        asyncio.create_task(stop_requested.wait()),
         asyncio.create_task(host.drained()),
     ]
-    await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-    for wait in waits:
-        wait.cancel()
+    await asyncio.wait(stop_waiters, return_when=asyncio.FIRST_COMPLETED)
+    for waiter in stop_waiters:
+        waiter.cancel()
     await host.stop()
--- a/packages/daemon/src/kingcuplug_daemon/_operator_app.py
+++ b/packages/daemon/src/kingcuplug_daemon/_operator_app.py
@@ -1,4 +1,4 @@
-"""HTTP application for operators and for the load balancer's checks."""
+"""HTTP application for operators and the load balancer's health checks."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -41,26 +41,26 @@
 
 
 class OperatorApp:
-    """Endpoints for operators; any host answers, the leader decides.
+    """Endpoints for operators; any host forwards their requests to the leader.
 
     Parameters
     ----------
     settings : HostSettings
         Settings of this host.
-    submitter : LeaderClient
-        Sends commands and questions to the leader.
+    leader_client : LeaderClient
+        Sends commands and reads to the leader.
     control : ControlNode or None
         This host's control role.
     entry : EntryNode or None
         This host's entry role.
-    keys : ReceiptKeys
+    receipt_keys : ReceiptKeys
         This host's receipt key.
     lifecycle : Lifecycle
         Readiness of this host.
-    drain : callable
+    begin_drain : callable
         Begins a graceful shutdown.
-    operators : BearerTokens
-        Tokens of operators.
+    operator_tokens : BearerTokens
+        Accepted tokens of operators.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
 
     def routes(self) -> list[Route]:
         """Return the routes of the callers' listener."""
-        reads = {
+        read_types = {
             "configuration": "configuration",
             "history": "history",
             "hosts": "hosts",
@@ -109,9 +109,9 @@
             self._post_route("control/remove", self._remove_member),
             self._post_route("control/status", self._control_status),
         ]
-        for path, question in reads.items():
+        for path, read_type in read_types.items():
             routes.append(
-                self._post_route(f"{path}/show", self._read_handler(question))
+                self._post_route(f"{path}/show", self._read_handler(read_type))
             )
         return routes
 
@@ -141,7 +141,7 @@
         except TimeoutError as error:
             return json_response(_outcome_unknown_fields(error), _UNAVAILABLE)
 
-    # Checks of the load balancer
+    # Health checks of the load balancer
 
     async def _handle_liveness(self, request: Request) -> Response:
         return json_response({"live": True, "host": self._settings.host})
@@ -155,7 +155,7 @@
             return False
         return self._entry.session.is_confirmed() and self._receipt_keys.published
 
-    # Work
+    # Operator requests
 
     def _read_handler(self, read_type: str) -> OperatorHandler:
         async def read(fields: dict[str, Any]) -> dict[str, Any]:
@@ -177,13 +177,13 @@
 
     async def _wait_in_force(self, fields: dict[str, Any]) -> dict[str, Any]:
         wait_ms = _number_field(fields, "wait_ms", _DEFAULT_WAIT_MS)
-        question = {
+        read_request = {
             "type": "in_force",
             "revision": _number_field(fields, "revision"),
             "wait_ms": wait_ms,
         }
         timeout_s = wait_ms / _MS_PER_S + _READ_TIMEOUT_S
-        return await self._leader_client.read(question, timeout_s)
+        return await self._leader_client.read(read_request, timeout_s)
 
     async def _show_order(self, fields: dict[str, Any]) -> dict[str, Any]:
         return await self._leader_client.read(
--- a/packages/daemon/src/kingcuplug_daemon/_peer_app.py
+++ b/packages/daemon/src/kingcuplug_daemon/_peer_app.py
@@ -25,22 +25,22 @@
 def peer_application(
     control: ControlNode | None, metrics: Metrics, tracer: Tracer
 ) -> Starlette:
-    """Return the application; a host without control role answers nothing."""
+    """Return the application; a host without the control role has no endpoints."""
     if control is None:
         return Starlette()
 
-    async def barrier(message: dict[str, Any]) -> dict[str, Any]:
+    async def handle_barrier(message: dict[str, Any]) -> dict[str, Any]:
         return control.sessions.barrier.handle(message)
 
-    async def identity(message: dict[str, Any]) -> dict[str, Any]:
+    async def handle_identity(message: dict[str, Any]) -> dict[str, Any]:
         return control.identity()
 
     handlers: dict[str, Handler] = {
         "log": control.replica.handle,
         "session": control.sessions.handle,
         "mesh": control.mesh.handle,
-        "barrier": barrier,
-        "identity": identity,
+        "barrier": handle_barrier,
+        "identity": handle_identity,
         "submit": control.submit,
         "read": control.read,
         "change": control.change_members,
@@ -69,7 +69,7 @@
                     f"message is {type(message).__name__}, not an object",
                     "run one version on all hosts",
                 )
-            # Heartbeats and the like carry no trace and get no span.
+            # Periodic messages such as heartbeats carry no trace and get no span.
             if "traceparent" not in request.headers:
                 return json_response(await handler(message))
             with request_span(tracer, f"peer.{name}", request.headers):
--- a/packages/daemon/src/kingcuplug_daemon/_peer_client.py
+++ b/packages/daemon/src/kingcuplug_daemon/_peer_client.py
@@ -1,4 +1,4 @@
-"""Calls between the system's own processes: HTTP with JSON."""
+"""Client for calls to other hosts: JSON over HTTP."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -19,31 +19,31 @@
 
 
 class NotSent(KingcuplugError, ConnectionError):
-    """No connection could be made, so the peer has not seen the message."""
+    """No connection could be made, so the peer has not received the message."""
 
 
 class PeerError(KingcuplugError):
-    """The peer answered with an error.
+    """The peer responded with an error.
 
     Attributes
     ----------
-    kind : str
+    error_name : str
         Name of the error's class at the peer.
     fields : Mapping[str, Any]
-        The whole answer.
+        The whole response.
     """
 
     def __init__(self, error_name: str, fields: Mapping[str, Any]) -> None:
         super().__init__(
             str(fields.get("message", "no message")),
-            str(fields.get("remedy", "look at the log of the peer")),
+            str(fields.get("remedy", "check the log of the peer")),
         )
         self.error_name = error_name
         self.fields = fields
 
 
 class PeerClient:
-    """Calls other hosts at their peer addresses.
+    """Posts messages to the peer addresses of other hosts.
 
     Parameters
     ----------
@@ -58,7 +58,7 @@
         self._session: aiohttp.ClientSession | None = None
 
     def reload(self) -> None:
-        """Read the certificates again, for new connections."""
+        """Reload the certificates, for new connections."""
         reload_identity(self._context, self._tls)
 
     async def close(self) -> None:
@@ -69,8 +69,9 @@
     def bind_path(self, path: str, timeout_s: float) -> Call:
         """Return a function that posts messages to one path of any peer.
 
-        It raises `NotSent` if the peer cannot have seen the message, `PeerError`
-        if it refused, and `OSError` or `TimeoutError` if nothing is known.
+        The function raises `NotSent` if the peer cannot have received the message,
+        `PeerError` if the peer responded with an error, and `OSError` or
+        `TimeoutError` if the outcome is unknown.
         """
 
         async def call(address: str, message: dict[str, Any]) -> dict[str, Any]:
@@ -81,7 +82,7 @@
     async def post(
         self, address: str, path: str, message: dict[str, Any], timeout_s: float
     ) -> dict[str, Any]:
-        """Post one message; see `path` for the errors."""
+        """Post one message; errors are as for `bind_path`."""
         try:
             async with self._open_session().post(
                 f"{self._scheme}://{address}{path}",
@@ -99,7 +100,7 @@
                 "check that the host runs and that the address is right",
             ) from error
         except aiohttp.ClientError as error:
-            raise ConnectionError(f"call of {address}{path} broke: {error}") from error
+            raise ConnectionError(f"call to {address}{path} failed: {error}") from error
         return _parse_reply(status, body)
 
     def _open_session(self) -> aiohttp.ClientSession:
@@ -117,8 +118,8 @@
 
 
 def _request_headers() -> dict[str, str]:
-    trace = traceparent()
-    return _JSON_HEADERS if trace is None else {**_JSON_HEADERS, "traceparent": trace}
+    header = traceparent()
+    return _JSON_HEADERS if header is None else {**_JSON_HEADERS, "traceparent": header}
 
 
 def _parse_reply(status: int, body: bytes) -> dict[str, Any]:
--- a/packages/daemon/src/kingcuplug_daemon/_receipt_keys.py
+++ b/packages/daemon/src/kingcuplug_daemon/_receipt_keys.py
@@ -1,4 +1,4 @@
-"""The key with which this host signs receipts."""
+"""The Ed25519 key with which this host signs receipts."""
 
 import asyncio
 import os
@@ -20,9 +20,9 @@
 
 
 class ReceiptKeys:
-    """Signs with a key only after its public half is in the replicated log.
+    """Signs with a key only after its public key is in the replicated log.
 
-    A receipt whose key nobody can look up weeks later would prove nothing, so a
+    A receipt proves nothing unless its public key can be looked up weeks later, so a
     host is not ready before its key is published.
 
     Parameters
@@ -30,9 +30,9 @@
     host : str
         Name of this host.
     folder : Path or None
-        Keeps the key over restarts; without one every start makes a new key.
+        Stores the key across restarts; if ``None``, every start generates a new key.
     submit : callable
-        Commits a command.
+        Commits a command to the replicated log.
     wall_ms : callable
         Wall clock in milliseconds since the epoch.
     """
@@ -53,11 +53,11 @@
 
     @property
     def published(self) -> bool:
-        """Whether receipts can be signed."""
+        """Whether the public key is published, so that receipts can be signed."""
         return self._signer is not None
 
     async def start(self) -> None:
-        """Load or make the key and publish it, however long that takes."""
+        """Load or generate the key and publish it; retry until that succeeds."""
         signer = self._load_key() or self._generate_key()
         async with self._lock:
             while True:
@@ -73,7 +73,7 @@
         Raises
         ------
         KingcuplugError, TimeoutError
-            If it could not be published; the present key stays in use.
+            If the new key could not be published; the current key stays in use.
         """
         async with self._lock:
             signer = self._generate_key()
@@ -109,17 +109,17 @@
 
 
 def _write_private(path: Path, content: bytes) -> None:
-    new = path.with_suffix(".new")
-    new.unlink(missing_ok=True)
-    descriptor = os.open(new, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
+    temporary = path.with_suffix(".new")
+    temporary.unlink(missing_ok=True)
+    descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
     try:
         os.write(descriptor, content)
         os.fsync(descriptor)
     finally:
         os.close(descriptor)
-    new.rename(path)
-    folder = os.open(path.parent, os.O_RDONLY)
+    temporary.rename(path)
+    folder_descriptor = os.open(path.parent, os.O_RDONLY)
     try:
-        os.fsync(folder)
+        os.fsync(folder_descriptor)
     finally:
-        os.close(folder)
+        os.close(folder_descriptor)
--- a/packages/daemon/src/kingcuplug_daemon/_request_models.py
+++ b/packages/daemon/src/kingcuplug_daemon/_request_models.py
@@ -27,10 +27,11 @@
     Attributes
     ----------
     deadline_ms : int or None
-        Time until the answer must be there; at most, and by default, the
-        service's ``deadline_ms``.
+        Time within which the answer is due; at most, and by default, the service's
+        ``deadline_ms``.
     minimum_coverage : float or None
-        Least served share of the wanted shards; by default the service's.
+        Least share of the requested shards that must be served; by default the
+        service's.
     partition_key : str or None
         Restricts the query to the shard that holds this key.
     """
@@ -46,11 +47,11 @@
     Attributes
     ----------
     idempotency_key : str
-        ``<issue time in ms since the epoch>-<random text>``; the same for every
-        resend of the same order.
+        ``<issue time in ms since the epoch>-<random text>``; every resend of the
+        order carries the same key.
     resend : bool
-        Whether the caller may have sent this order before. A refusal then says
-        ``outcome_unknown`` unless the ledger knows better.
+        Whether the caller may have sent this order before. A refusal is then of kind
+        ``outcome_unknown`` unless the ledger holds the outcome.
     """
 
     idempotency_key: _Identifier
--- a/packages/daemon/src/kingcuplug_daemon/_router_updater.py
+++ b/packages/daemon/src/kingcuplug_daemon/_router_updater.py
@@ -1,4 +1,4 @@
-"""Keeps the routers of an entry host in step with the directory."""
+"""Updates the routers of an entry host when the directory changes."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,30 +14,31 @@
 
 
 class RouterUpdater:
-    """Feeds routers, connection limits and the crash guard from the directory.
+    """Applies directory changes to routers, connection limits and the crash guard.
 
     Parameters
     ----------
     session : SessionClient
-        Holds the directory and the number of live entry hosts.
-    view : callable
-        Returns the revision in force.
-    backend : HttpBackend
-        Gets the connection limits.
-    guard : CrashGuard
-        Learns of servers that came back without having withdrawn.
+        Provides the directory and the number of live entry hosts.
+    current_view : callable
+        Returns the view of the revision in force.
+    backend_client : HttpBackend
+        Receives the connection limits.
+    crash_guard : CrashGuard
+        Receives crashes: servers that announced a new incarnation without having
+        withdrawn the former one.
     """
 
     def __init__(
         self,
         session: SessionClient,
         current_view: Callable[[], RevisionView],
-        backend: HttpBackend,
+        backend_client: HttpBackend,
         crash_guard: CrashGuard,
     ) -> None:
         self._session = session
         self._current_view = current_view
-        self._backend_client = backend
+        self._backend_client = backend_client
         self._crash_guard = crash_guard
         self._changed_services: set[str] = set()
         self._update_scheduled = False
@@ -52,7 +53,7 @@
         self._schedule_update()
 
     async def run(self) -> None:
-        """Follow the number of live entry hosts until cancelled."""
+        """Update all routers when the number of live entry hosts changes."""
         while True:
             await asyncio.sleep(_HOST_COUNT_CHECK_INTERVAL_S)
             if self._session.live_entry_hosts != self._live_entry_hosts:
@@ -65,18 +66,18 @@
         self._schedule_update()
 
     def _report_restart(self, entry: ServerEntry) -> None:
-        former = self._last_entries.pop(entry.key, None)
+        previous = self._last_entries.pop(entry.key, None)
         if self._session.directory.get(*entry.key) is not None:
             self._last_entries[entry.key] = entry
-        if former is None or former.announcement.state == "withdrawn":
+        if previous is None or previous.announcement.state == "withdrawn":
             return
-        before = former.announcement
-        if entry.announcement.incarnation > before.incarnation:
+        old = previous.announcement
+        if entry.announcement.incarnation > old.incarnation:
             self._crash_guard.server_crashed(
-                before.server,
-                before.incarnation,
-                before.service,
-                before.availability_zone,
+                old.server,
+                old.incarnation,
+                old.service,
+                old.availability_zone,
             )
 
     def _schedule_update(self) -> None:
@@ -85,11 +86,11 @@
             asyncio.get_running_loop().call_soon(self._update)
 
     def _update(self) -> None:
-        """Update the routers of all changed services at once."""
+        """Update the routers of all changed services."""
         self._update_scheduled = False
-        dirty, self._changed_services = self._changed_services, set()
+        changed, self._changed_services = self._changed_services, set()
         view = self._current_view()
-        for name in dirty:
+        for name in changed:
             runtime = view.services.get(name)
             if runtime is None:
                 continue
@@ -104,15 +105,15 @@
     def _set_connection_limits(self, service: str, servers: list[ServerView]) -> None:
         addresses = {server.address for server in servers}
         for address in self._addresses.get(service, set()) - addresses:
-            # A server whose lease ended may still answer what it was asked.
+            # A server whose lease ended may still answer requests in flight.
             loop = asyncio.get_running_loop()
             loop.call_later(
                 _POOL_CLOSE_DELAY_S, self._close_unused_pool, service, address
             )
         self._addresses[service] = addresses
         for server in servers:
-            share = max(server.connections // self._live_entry_hosts, 1)
-            self._backend_client.limit(server.address, share)
+            limit = max(server.connections // self._live_entry_hosts, 1)
+            self._backend_client.limit(server.address, limit)
 
     def _close_unused_pool(self, service: str, address: str) -> None:
         if address not in self._addresses.get(service, set()):
--- a/packages/daemon/src/kingcuplug_daemon/_state_machine.py
+++ b/packages/daemon/src/kingcuplug_daemon/_state_machine.py
@@ -1,7 +1,7 @@
-"""The state machine that the replicated log applies.
+"""The state machine to which the replicated log applies its commands.
 
-It routes each command to the aggregate that owns the state; the aggregates do not
-know each other.
+It dispatches each command to the component that owns the state; the components are
+independent of each other.
 """
 
 from collections.abc import Callable
@@ -19,12 +19,12 @@
 
 
 class SystemStateMachine:
-    """Configuration, order ledger and public keys, as one machine.
+    """Configuration, order ledger and public keys as one state machine.
 
     Attributes
     ----------
-    on_revision : list of callable
-        Called after another configuration revision came into force.
+    revision_callbacks : list of callable
+        Called after a new configuration revision was applied or loaded.
     """
 
     def __init__(self) -> None:
@@ -64,9 +64,9 @@
         self._notify_revision()
 
     def _apply_configuration(self, command: dict[str, Any]) -> dict[str, Any]:
-        before = self.configuration.current.number
+        former_revision = self.configuration.current.number
         result = self.configuration.apply(command).to_json()
-        if self.configuration.current.number != before:
+        if self.configuration.current.number != former_revision:
             self._notify_revision()
         return result
 
--- a/packages/daemon/src/kingcuplug_daemon/_state_reads.py
+++ b/packages/daemon/src/kingcuplug_daemon/_state_reads.py
@@ -1,6 +1,6 @@
-"""Answers to questions about the shared state.
+"""Results of read requests about the replicated state.
 
-The caller has confirmed the state with the quorum before it asks.
+The control node confirms the state with a quorum before it calls these functions.
 """
 
 from collections.abc import Mapping
@@ -28,13 +28,13 @@
 
 
 def configuration_history(state_machine: SystemStateMachine) -> dict[str, Any]:
-    """Return the remembered changes, the newest first."""
+    """Return the recorded changes, the newest first."""
     changes = state_machine.configuration.recent(_MAX_HISTORY_CHANGES)
     return {"revisions": [change._asdict() for change in changes]}
 
 
 def order_state(state_machine: SystemStateMachine, key: str) -> dict[str, Any]:
-    """Return what happened to an order."""
+    """Return the ledger's state and explanation of an order."""
     record = state_machine.ledger.lookup(key)
     return {
         "key": key,
@@ -44,12 +44,12 @@
 
 
 def public_keys(state_machine: SystemStateMachine) -> dict[str, Any]:
-    """Return the public keys that check receipts."""
+    """Return the public keys for verifying receipts."""
     return state_machine.keys.dump()
 
 
 def live_entry_hosts(sessions: SessionServer) -> dict[str, Any]:
-    """Return the entry hosts with a running lease."""
+    """Return the entry hosts with a valid lease."""
     return {
         "hosts": [
             {
--- a/packages/daemon/src/kingcuplug_daemon/_tls.py
+++ b/packages/daemon/src/kingcuplug_daemon/_tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts, and reading their files again while they are in use."""
+"""TLS contexts, whose files can be reloaded while they are in use."""
 
 import ssl
 
@@ -30,22 +30,23 @@
     if tls is None:
         return None
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-    # Hosts are addressed by IP number; the private authority vouches for them.
+    # Hosts are addressed by IP address, so host names are not checked; trust rests
+    # on the private certificate authority.
     context.check_hostname = False
     _load_identity(context, tls)
     return context
 
 
 def reload_identity(context: ssl.SSLContext | None, tls: TlsSettings | None) -> None:
-    """Read the files again, for new connections.
+    """Reload the files, for new connections.
 
-    Authorities are added and never removed, so that a bundle with the old and the
-    new one lets hosts change one after another; a restart removes the old one.
+    Authorities are added and never removed, so that hosts can be moved to a new one in
+    turn with a bundle of the old and the new; a restart drops the old authority.
 
     Raises
     ------
     SettingsInvalid
-        If the files cannot be used; the context is not touched then.
+        If the files cannot be used; the context is then unchanged.
     """
     if context is None or tls is None:
         return
--- a/packages/daemon/src/kingcuplug_daemon/_tokens.py
+++ b/packages/daemon/src/kingcuplug_daemon/_tokens.py
@@ -15,8 +15,8 @@
     Parameters
     ----------
     path : Path or None
-        One token per line, so that an old and a new one hold during a change;
-        ``None`` accepts anyone.
+        File with one token per line, so that an old and a new token can be valid at
+        the same time; ``None`` accepts any request.
 
     Raises
     ------
@@ -30,7 +30,7 @@
         self.reload()
 
     def reload(self) -> None:
-        """Read the file again; on an error the former tokens stay accepted."""
+        """Reload the file; on an error the former tokens stay accepted."""
         if self._path is not None:
             self._accepted_tokens = _read_tokens(self._path)
 
@@ -44,9 +44,9 @@
         """
         if self._accepted_tokens is None:
             return
-        given = request.headers.get("authorization", "").encode()
+        header = request.headers.get("authorization", "").encode()
         matches = [
-            hmac.compare_digest(given, b"Bearer " + token)
+            hmac.compare_digest(header, b"Bearer " + token)
             for token in self._accepted_tokens
         ]
         if not any(matches):
--- a/packages/daemon/src/kingcuplug_daemon/_tracing.py
+++ b/packages/daemon/src/kingcuplug_daemon/_tracing.py
@@ -1,4 +1,4 @@
-"""Spans around calls of other hosts."""
+"""Spans around calls to other hosts."""
 
 from typing import Any
 
@@ -11,7 +11,7 @@
 
 
 def traced_submit(submit: Submit) -> Submit:
-    """Return `submit` with a hop per ledger step, lost answers included."""
+    """Return `submit` with a hop per ledger step, including calls that fail."""
 
     async def traced(command: dict[str, Any]) -> dict[str, Any]:
         with start_hop("ledger", step=command["type"]):
@@ -21,7 +21,7 @@
 
 
 def traced_session(call: Call, tracer: Tracer) -> Call:
-    """Return `call` with a trace of its own per exchange of the session."""
+    """Return `call` with a separate trace per exchange of the session."""
 
     async def traced(address: str, message: dict[str, Any]) -> dict[str, Any]:
         with request_span(tracer, "session", {}) as span:
