--- a/tests/common/test_condition.py
+++ b/tests/common/test_condition.py
@@ -7,20 +7,20 @@
 
 
 def test_wait_times_out_when_its_timer_fires_early():
-    """Guards against a wait that goes on for ever.
+    """Guards against a wait that never ends.
 
-    Event loops run timers that are due within their clock's resolution, so the clock
-    may be short of the deadline by less than that.
+    Event loops run timers up to their clock's resolution early, so the clock may not
+    have reached the deadline yet.
     """
 
     async def run() -> bool:
         loop, signal = asyncio.get_running_loop(), Signal()
         call_at = loop.call_at
 
-        def early(when, *arguments, **options):
+        def call_early(when, *arguments, **options):
             return call_at(when - 1e-9, *arguments, **options)
 
-        loop.call_at = early
+        loop.call_at = call_early
         waiting = asyncio.ensure_future(signal.until(lambda: False, 0.9))
         await asyncio.sleep(5.0)
         assert waiting.done(), "the wait outlasted its time limit"
--- a/tests/common/test_event_log_and_metrics.py
+++ b/tests/common/test_event_log_and_metrics.py
@@ -1,4 +1,4 @@
-"""Log lines under load and with a reader that stops, and figures as text."""
+"""Rate limits and buffering of the event log, and metrics as text."""
 
 import os
 
@@ -22,7 +22,7 @@
 
 
 def test_rate_limit_applies_to_each_kind_separately(pipe):
-    """Guards against logs that grow with the load, and against silent gaps."""
+    """Guards against logs that grow with the load, and against uncounted lines."""
     reader, writer = pipe
     log = EventLog(writer, "host")
     for number in range(BURST_LINES + 50):
@@ -38,7 +38,7 @@
 
 
 def test_stalled_reader_never_blocks_the_writer(pipe):
-    """Guards against a host that waits for whoever collects its logs."""
+    """Guards against a host that blocks while its log collector is stalled."""
     reader, writer = pipe
     log = EventLog(writer, "host")
     for _ in range(2_000):
@@ -66,7 +66,7 @@
 
 
 def test_metrics_are_rendered_in_prometheus_format():
-    """Guards against figures that the collector cannot read."""
+    """Guards against metrics that Prometheus cannot parse."""
     metrics = Metrics()
     metrics.count("requests.503", 2)
     metrics.observe("request", ("0", "200"), 0.03)
--- a/tests/common/test_receipts.py
+++ b/tests/common/test_receipts.py
@@ -1,4 +1,4 @@
-"""Receipts must expose any later change of what a caller was told."""
+"""Receipts must reveal any later change of their fields."""
 
 import dataclasses
 
@@ -51,7 +51,7 @@
 
 
 def test_rejects_missing_signature(receipt: Receipt, signer: Signer) -> None:
-    # Guards against a traceback instead of a typed error on a cut-off receipt.
+    # Guards against a traceback instead of a typed error on a truncated receipt.
     signed = signer.sign(receipt)
     del signed["signature"]
     with pytest.raises(ReceiptInvalid, match="readable signature"):
--- a/tests/common/test_settings.py
+++ b/tests/common/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings faults must all be reported at once, at start."""
+"""All faults of a settings file must be reported at once, at startup."""
 
 import json
 from pathlib import Path
@@ -41,7 +41,7 @@
 
 
 def test_control_needs_data_folder(tmp_path: Path, fields: dict[str, Any]) -> None:
-    # Guards against a control host that would keep its log nowhere.
+    # Guards against a control host without a folder for its log.
     fields["roles"] = ["control"]
     with pytest.raises(SettingsInvalid, match="data_folder"):
         load_settings(_write(tmp_path, fields))
--- a/tests/common/test_spans.py
+++ b/tests/common/test_spans.py
@@ -10,7 +10,7 @@
 
 
 def test_hops_of_an_unsampled_request_make_no_span(tmp_path: Path):
-    """Guards against building spans that are then thrown away."""
+    """Guards against creating spans that are then discarded."""
     with (
         tracer(tmp_path / "trace", 1.0) as spans,
         request_span(spans, "query", {"traceparent": f"{TRACE}0"}),
@@ -24,7 +24,7 @@
 
 
 def test_failed_hop_records_the_error_and_restores_its_parent(tmp_path: Path):
-    """Guards against later hops that appear below a failed one."""
+    """Guards against later hops that are recorded as children of a failed one."""
     with (
         tracer(tmp_path / "trace", 0.0) as spans,
         request_span(spans, "query", {"traceparent": f"{TRACE}1"}),
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures shared by the tests that use whole deployments."""
+"""Deployments of whole hosts, for the tests of several folders."""
 
 import asyncio
 import contextlib
@@ -35,9 +35,9 @@
 
 
 class RunningDeployment:
-    """A deployment whose event loop runs in a thread of its own.
+    """A deployment whose event loop runs in a separate thread.
 
-    Tests then call the program like a person does, while the hosts answer it.
+    The hosts thus keep serving while a test calls the command line synchronously.
     """
 
     def __init__(self) -> None:
@@ -54,16 +54,16 @@
         )
 
     def start(self, **options: Any) -> None:
-        """Start hosts and stand-ins; `options` go to `LocalDeployment`."""
+        """Start hosts and simulated servers; `options` go to `LocalDeployment`."""
 
-        async def begin() -> None:
+        async def start_local() -> None:
             self.local = LocalDeployment(SIZES, **options)
             self.revision = await self.local.start(TEXT)
 
-        self.run(begin())
+        self.run(start_local())
 
     def stop(self) -> None:
-        """Stop everything."""
+        """Stop the hosts, the event loop and its thread."""
         self.run(self.local.stop())
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join(_CALL_TIMEOUT_S)
@@ -80,7 +80,7 @@
 
 @contextlib.contextmanager
 def running_deployment(**options: Any) -> Iterator[RunningDeployment]:
-    """Run a deployment."""
+    """Run a deployment for the duration of the context."""
     deployment = RunningDeployment()
     deployment.start(**options)
     try:
@@ -91,10 +91,10 @@
 
 @contextlib.contextmanager
 def shared(folder: Path) -> Iterator[RunningDeployment]:
-    """Run the deployment that the tests of one folder share and leave as it was.
+    """Run the deployment that the tests of one folder share.
 
-    The fixture that calls this belongs to the folder's own conftest, so that no
-    host runs during the tests of other folders.
+    Tests must restore whatever they change. The fixture that calls this belongs to the
+    folder's own conftest, so that no host runs during the tests of other folders.
     """
     with running_deployment(
         entry_hosts=2,
--- a/tests/daemon/_certificates.py
+++ b/tests/daemon/_certificates.py
@@ -1,4 +1,4 @@
-"""Certificates of throw-away authorities."""
+"""Certificates of temporary certificate authorities."""
 
 import datetime
 import ipaddress
@@ -19,9 +19,9 @@
     Parameters
     ----------
     folder : Path
-        Gets the files.
+        Where all files are written.
     name : str
-        Common name and start of all file names.
+        Common name and prefix of all file names.
     """
 
     def __init__(self, folder: Path, name: str) -> None:
@@ -46,7 +46,7 @@
         )
 
     def renew_identity(self, tls: TlsSettings) -> TlsSettings:
-        """Write a new key and certificate into the files of an identity."""
+        """Replace the key and certificate files of an identity by new ones."""
         key = ec.generate_private_key(ec.SECP256R1())
         tls.private_key.write_bytes(
             key.private_bytes(
@@ -82,7 +82,7 @@
             .add_extension(x509.BasicConstraints(address is None, None), critical=True)
         )
         if address is not None:
-            names = x509.SubjectAlternativeName([x509.IPAddress(address)])
-            builder = builder.add_extension(names, critical=False)
+            alternative_names = x509.SubjectAlternativeName([x509.IPAddress(address)])
+            builder = builder.add_extension(alternative_names, critical=False)
         certificate = builder.sign(self._key, hashes.SHA256())
         return certificate.public_bytes(serialization.Encoding.PEM)
--- a/tests/daemon/conftest.py
+++ b/tests/daemon/conftest.py
@@ -16,29 +16,31 @@
 
 
 def sub_response(fields: dict[str, Any], **changes: Any) -> dict[str, Any]:
-    """Return a right reply to a sub-request, with changes."""
-    echo = ("attempt_id", "snapshot", "shard", "shard_count")
+    """Return a valid response to a sub-request, with `changes`."""
+    echoed_names = ("attempt_id", "snapshot", "shard", "shard_count")
     return (
-        {name: fields[name] for name in echo} | {"status": "ok", "value": 1} | changes
+        {name: fields[name] for name in echoed_names}
+        | {"status": "ok", "value": 1}
+        | changes
     )
 
 
 def http_response(body: Any, length: int | None = None) -> bytes:
-    """Return an HTTP response; `length` replaces the true Content-Length."""
+    """Return an HTTP response; `length` replaces the actual Content-Length."""
     raw = body if isinstance(body, bytes) else json.dumps(body).encode()
-    stated = len(raw) if length is None else length
-    return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (stated, raw)
+    content_length = len(raw) if length is None else length
+    return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (content_length, raw)
 
 
 def respond_ok(fields: dict[str, Any], headers: dict[str, str]) -> bytes:
-    """Answer as a faultless backend server does."""
+    """Return a valid response to a sub-request."""
     return http_response(sub_response(fields))
 
 
 class ScriptedBackendServer:
-    """A backend server of the service `raw` that answers whatever a test wants.
+    """A backend server of the service `raw` whose responses a test provides.
 
-    It holds both shards of one snapshot. An empty response closes the connection.
+    It serves both shards of one snapshot. An empty response closes the connection.
     """
 
     def __init__(self, local: Any, name: str, incarnation: int) -> None:
@@ -51,7 +53,7 @@
         self._server: asyncio.Server
 
     async def start(self) -> None:
-        """Listen and announce; the lease is short and is not renewed."""
+        """Listen and announce the server; its short lease is not renewed."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         await self._announce("serving", 1)
 
@@ -102,14 +104,14 @@
 async def _read_request(
     reader: asyncio.StreamReader,
 ) -> tuple[str, dict[str, str], dict[str, Any]]:
-    head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
-    pairs = (line.split(": ", 1) for line in head[1:] if line)
+    head_lines = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
+    pairs = (line.split(": ", 1) for line in head_lines[1:] if line)
     headers = {name.lower(): value for name, value in pairs}
     body = await reader.readexactly(int(headers.get("content-length", 0)))
-    return head[0].split()[1], headers, json.loads(body)
+    return head_lines[0].split()[1], headers, json.loads(body)
 
 
-_numbers = itertools.count(1)
+_server_numbers = itertools.count(1)
 
 
 @pytest.fixture(scope="package")
@@ -121,8 +123,8 @@
 
 @pytest.fixture
 def raw_server(deployment: Any) -> Iterator[ScriptedBackendServer]:
-    """Return a raw backend server that the first host knows."""
-    number = next(_numbers)
+    """Return a scripted backend server that the first host has registered."""
+    number = next(_server_numbers)
     server = ScriptedBackendServer(deployment.local, f"raw-{number}", number)
     deployment.run(server.start())
     directory = deployment.local.hosts[0].entry.session.directory
@@ -133,9 +135,9 @@
 
 
 def _wait_until(condition: Callable[[], bool]) -> None:
-    give_up = time.monotonic() + 20
+    deadline = time.monotonic() + 20
     while not condition():
-        assert time.monotonic() < give_up
+        assert time.monotonic() < deadline
         time.sleep(0.01)
 
 
@@ -163,12 +165,12 @@
     def read(request_id: str) -> list[dict[str, Any]]:
         path: Path = deployment.local.hosts[0].settings.trace_file
         lines = path.read_text().splitlines() if path.exists() else []
-        found = [json.loads(line) for line in lines if line.endswith("}}")]
+        recorded = [json.loads(line) for line in lines if line.endswith("}}")]
         traces = {
             span["trace"]
-            for span in found
+            for span in recorded
             if span["fields"].get("request_id") == request_id
         }
-        return [span for span in found if span["trace"] in traces]
+        return [span for span in recorded if span["trace"] in traces]
 
     return read
--- a/tests/daemon/test_shutdown.py
+++ b/tests/daemon/test_shutdown.py
@@ -1,4 +1,4 @@
-"""A graceful shutdown interrupts no request in flight."""
+"""A graceful shutdown does not interrupt requests in flight."""
 
 import asyncio
 import time
@@ -9,9 +9,9 @@
 
 
 async def _shut_down_under_load(local: Any) -> dict[str, Any]:
-    """Stop a host with a query and an order in flight; note all that is seen."""
-    like = local.hosts[1].settings
-    host = Host(like.model_copy(update={"host": "host-09"}))
+    """Stop a host with a query and an order in flight; return the observed results."""
+    template = local.hosts[1].settings
+    host = Host(template.model_copy(update={"host": "host-09"}))
     await host.start()
     base = f"http://{host.caller_address}"
     while (await _get_json(local, f"{base}/readyz"))[0] != 200:  # noqa: ASYNC110
@@ -19,10 +19,10 @@
     for server in local.servers:
         server.behaviour.service_time_ms = 300.0
     key = f"{time.time_ns() // 1_000_000}-{uuid.uuid4().hex}"
-    # The whole answer is asked for, so that patience with slow shards is no cause.
+    # Full coverage is required, so that no slow shard may be left out of the answer.
     query = {"body": key, "minimum_coverage": 1.0, "partition_key": "4711"}
     order = {"body": 1, "idempotency_key": key, "partition_key": "4711"}
-    running = [
+    in_flight = [
         asyncio.create_task(local.call("stock", "query", query, base)),
         asyncio.create_task(local.call("stock", "order", order, base)),
     ]
@@ -31,19 +31,19 @@
     stopping = asyncio.create_task(host.stop(grace_ms=150))
     while not host.lifecycle.draining:  # noqa: ASYNC110
         await asyncio.sleep(0)
-    seen: dict[str, Any] = {"ready": await _get_json(local, f"{base}/readyz")}
+    results: dict[str, Any] = {"ready": await _get_json(local, f"{base}/readyz")}
     late = asyncio.create_task(local.call("trims", "query", {"body": key}, base))
     while not host.lifecycle.closed:  # noqa: ASYNC110
         await asyncio.sleep(0.01)
-    seen["closed"] = await local.call("trims", "query", {"body": 2}, base)
-    seen["in_flight"] = [task.done() for task in running]
-    seen["query"], seen["order"] = await asyncio.gather(*running)
-    seen["late"] = await late
+    results["closed"] = await local.call("trims", "query", {"body": 2}, base)
+    results["in_flight"] = [task.done() for task in in_flight]
+    results["query"], results["order"] = await asyncio.gather(*in_flight)
+    results["late"] = await late
     await stopping
-    seen["runs"] = local.journal.orders[key]
+    results["runs"] = local.journal.orders[key]
     for server in local.servers:
         server.behaviour.service_time_ms = 2.0
-    return seen
+    return results
 
 
 async def _get_json(local: Any, url: str) -> tuple[int, Any]:
@@ -52,15 +52,15 @@
 
 
 def test_shutdown_finishes_requests_in_flight(deployment: Any):
-    """Guards against a deployment of a new version that loses answers."""
-    seen = deployment.run(_shut_down_under_load(deployment.local))
-    # First the load balancer is told; work that still comes is served.
-    assert seen["ready"] == (503, {"ready": False})
-    assert seen["late"][0] == 200
-    # Then new work is refused as not run, while the rest goes on.
-    assert seen["closed"][0] == 503
-    refusal = seen["closed"][1]["refusal"]
+    """Guards against a rolling upgrade that loses answers."""
+    results = deployment.run(_shut_down_under_load(deployment.local))
+    # First the readiness check fails; requests that still arrive are served.
+    assert results["ready"] == (503, {"ready": False})
+    assert results["late"][0] == 200
+    # Then new requests are refused as not run; those in flight go on.
+    assert results["closed"][0] == 503
+    refusal = results["closed"][1]["refusal"]
     assert (refusal["kind"], refusal["reason"]) == ("not_run", "shutting_down")
-    assert seen["in_flight"] == [False, False]
-    assert (seen["query"][0], seen["query"][1]["coverage"]) == (200, 1.0)
-    assert (seen["order"][0], seen["runs"]) == (200, 1)
+    assert results["in_flight"] == [False, False]
+    assert (results["query"][0], results["query"][1]["coverage"]) == (200, 1.0)
+    assert (results["order"][0], results["runs"]) == (200, 1)
--- a/tests/daemon/test_tls.py
+++ b/tests/daemon/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS and tokens on loopback, with certificates made here."""
+"""TLS and bearer tokens on loopback, with generated certificates."""
 
 import asyncio
 import json
@@ -39,12 +39,12 @@
 
 
 @pytest.fixture(scope="module")
-def stranger(folder: Path) -> CertificateAuthority:
-    return CertificateAuthority(folder, "stranger")
+def untrusted_authority(folder: Path) -> CertificateAuthority:
+    return CertificateAuthority(folder, "untrusted")
 
 
 @pytest.fixture(scope="module")
-def secure(
+def tls_deployment(
     folder: Path, authority: CertificateAuthority
 ) -> Iterator[RunningDeployment]:
     """Return a deployment in which everything uses TLS and tokens."""
@@ -59,51 +59,55 @@
 
 @pytest.fixture
 def operator(
-    secure: RunningDeployment, authority: CertificateAuthority, tmp_path: Path
+    tls_deployment: RunningDeployment, authority: CertificateAuthority, tmp_path: Path
 ) -> Any:
-    """Return a function that makes a client with a token and an authority."""
+    """Return a function that creates a client with a token and an authority."""
 
     def make(token: str = "operator-secret", ca: Path | None = authority.file) -> Any:
         path = tmp_path / "token"
         path.write_text(token)
         return OperatorClient(
-            Connection(host=secure.address(), token_file=path, ca_file=ca)
+            Connection(host=tls_deployment.address(), token_file=path, ca_file=ca)
         )
 
     return make
 
 
-def test_everything_runs_over_tls(secure: RunningDeployment, operator: Any):
-    """Guards against TLS settings that only a unit test ever used."""
-    status, answer = secure.call("stock", "query", {"body": {"band": "black"}})
+def test_everything_runs_over_tls(tls_deployment: RunningDeployment, operator: Any):
+    """Guards against TLS settings that work in no complete deployment."""
+    status, answer = tls_deployment.call("stock", "query", {"body": {"band": "black"}})
     assert (status, answer["coverage"]) == (200, 1.0)
     order = {
         "body": 1,
         "idempotency_key": f"{time.time_ns() // 1_000_000}-{uuid.uuid4().hex}",
         "partition_key": "4711",
     }
-    assert secure.call("stock", "order", order)[0] == 200
-    assert secure.run(_config.show(operator())).number == 1
+    assert tls_deployment.call("stock", "order", order)[0] == 200
+    assert tls_deployment.run(_config.show(operator())).number == 1
 
 
-def test_plain_text_requests_are_rejected(secure: RunningDeployment, operator: Any):
-    """Guards against a listener that falls back to plain text."""
+def test_plain_text_requests_are_rejected(
+    tls_deployment: RunningDeployment, operator: Any
+):
+    """Guards against a listener that accepts plain text."""
     with pytest.raises(aiohttp.ClientError):
-        secure.run(
-            secure.local.call(
-                "stock", "query", {"body": 1}, f"http://{secure.address()}"
+        tls_deployment.run(
+            tls_deployment.local.call(
+                "stock", "query", {"body": 1}, f"http://{tls_deployment.address()}"
             )
         )
     with pytest.raises(Unreachable):
-        secure.run(_config.show(operator(ca=None)))
+        tls_deployment.run(_config.show(operator(ca=None)))
 
 
 def test_operator_rejects_host_of_an_untrusted_authority(
-    operator: Any, secure: RunningDeployment, stranger: CertificateAuthority
+    operator: Any,
+    tls_deployment: RunningDeployment,
+    untrusted_authority: CertificateAuthority,
 ):
-    """Guards against sending the token to whoever took the address."""
+    """Guards against sending the token to another process at the host's address."""
     with pytest.raises(Unreachable):
-        secure.run(_config.show(operator(ca=stranger.file)))
+        tls_deployment.run(_config.show(operator(ca=untrusted_authority.file)))
 
 
 async def _request_identity(address: str, tls: TlsSettings | None) -> dict[str, Any]:
@@ -115,27 +119,29 @@
 
 
 def test_peers_need_a_certificate_of_the_authority(
-    secure: RunningDeployment,
+    tls_deployment: RunningDeployment,
     authority: CertificateAuthority,
-    stranger: CertificateAuthority,
+    untrusted_authority: CertificateAuthority,
 ):
-    """Guards against a log that anyone on the network may write."""
-    address = secure.local.hosts[0].peer_address
-    known = secure.run(_request_identity(address, authority.issue_identity()))
-    assert known["host"] == "host-01"
-    refused = stranger.issue_identity(trusted=authority.file)
+    """Guards against peers that write to the log without authentication."""
+    address = tls_deployment.local.hosts[0].peer_address
+    identity = tls_deployment.run(
+        _request_identity(address, authority.issue_identity())
+    )
+    assert identity["host"] == "host-01"
+    untrusted = untrusted_authority.issue_identity(trusted=authority.file)
     with pytest.raises(OSError):
-        secure.run(_request_identity(address, refused))
+        tls_deployment.run(_request_identity(address, untrusted))
     with pytest.raises(OSError):
-        secure.run(_request_identity(address, None))
+        tls_deployment.run(_request_identity(address, None))
     with pytest.raises(OSError):
-        secure.run(_post_without_certificate(address, authority))
+        tls_deployment.run(_post_without_certificate(address, authority))
 
 
 async def _post_without_certificate(
     address: str, authority: CertificateAuthority
 ) -> None:
-    """Call with the right authority and without a certificate."""
+    """Post with the trusted authority and without a client certificate."""
     context = ssl.create_default_context(cafile=str(authority.file))
     context.check_hostname = False
     async with (
@@ -148,14 +154,14 @@
 
 
 def test_peer_rejects_host_of_an_untrusted_authority(
-    secure: RunningDeployment,
+    tls_deployment: RunningDeployment,
     authority: CertificateAuthority,
-    stranger: CertificateAuthority,
+    untrusted_authority: CertificateAuthority,
 ):
-    """Guards against a session with an impostor of the control host."""
-    impostor = stranger.issue_identity(trusted=authority.file)
+    """Guards against a session with a process that impersonates a control host."""
+    impostor = untrusted_authority.issue_identity(trusted=authority.file)
     with pytest.raises(OSError):
-        secure.run(
+        tls_deployment.run(
             _call_with_listener(
                 impostor, lambda a: _request_identity(a, authority.issue_identity())
             )
@@ -184,11 +190,11 @@
 
 
 def test_sub_requests_need_a_server_of_the_authority(
-    secure: RunningDeployment,
+    tls_deployment: RunningDeployment,
     authority: CertificateAuthority,
-    stranger: CertificateAuthority,
+    untrusted_authority: CertificateAuthority,
 ):
-    """Guards against customers' data going to whoever took a server's address."""
+    """Guards against sending requests to another process at a server's address."""
     request = SubRequest("r", "a", "stock", "query", 1, 0, 1, 1_000, "normal", 1)
 
     async def send(address: str) -> None:
@@ -199,14 +205,16 @@
             await backend.close()
 
     with pytest.raises(ConnectFailed):
-        secure.run(
-            _call_with_listener(stranger.issue_identity(trusted=authority.file), send)
+        tls_deployment.run(
+            _call_with_listener(
+                untrusted_authority.issue_identity(trusted=authority.file), send
+            )
         )
 
 
 def _listener_certificate(address: str, tls: TlsSettings) -> str:
     host, _, port = address.rpartition(":")
-    # Certificate requests of the peer listener are answered with `tls`.
+    # The peer listener requires a client certificate; `tls` provides it.
     context = client_context(tls)
     assert context is not None
     with (
@@ -218,13 +226,13 @@
 
 @pytest.fixture
 def own_host(
-    secure: RunningDeployment, authority: CertificateAuthority, tmp_path: Path
+    tls_deployment: RunningDeployment, authority: CertificateAuthority, tmp_path: Path
 ) -> Iterator[Host]:
-    """Return an entry host with an identity and tokens of its own."""
+    """Return an entry host with a separate identity and separate tokens."""
     tls = authority.issue_identity()
     for name in ("operator", "announce"):
         (tmp_path / f"{name}-token").write_text(f"{name}-1\n")
-    settings = secure.local.hosts[1].settings.model_copy(
+    settings = tls_deployment.local.hosts[1].settings.model_copy(
         update={
             "host": "host-09",
             "caller_tls": tls,
@@ -240,9 +248,9 @@
         await host.start()
         return host
 
-    host = secure.run(start())
+    host = tls_deployment.run(start())
     yield host
-    secure.run(host.stop(grace_ms=0))
+    tls_deployment.run(host.stop(grace_ms=0))
 
 
 async def _reload(host: Host) -> None:
@@ -250,85 +258,94 @@
 
 
 async def _peer_client_certificate(host: Host, tls: TlsSettings) -> str:
-    """Return the certificate with which a host calls its peers."""
+    """Return the certificate that a host presents when it calls its peers."""
     context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH, cafile=tls.authority)
     context.load_cert_chain(tls.certificate, tls.private_key)
     context.verify_mode = ssl.CERT_REQUIRED
-    seen: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
+    presented: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
 
-    def connected(reader: Any, writer: asyncio.StreamWriter) -> None:
-        seen.set_result(writer.get_extra_info("ssl_object").getpeercert(True))
+    def on_connect(reader: Any, writer: asyncio.StreamWriter) -> None:
+        presented.set_result(writer.get_extra_info("ssl_object").getpeercert(True))
         writer.close()
 
-    server = await asyncio.start_server(connected, "127.0.0.1", 0, ssl=context)
+    server = await asyncio.start_server(on_connect, "127.0.0.1", 0, ssl=context)
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
     with pytest.raises(OSError):
         await host._peers.post(address, "/", {}, 2.0)
     server.close()
-    return ssl.DER_cert_to_PEM_cert(await seen)
+    return ssl.DER_cert_to_PEM_cert(await presented)
 
 
 def test_certificates_are_reloaded_without_a_restart(
-    secure: RunningDeployment, authority: CertificateAuthority, own_host: Host
+    tls_deployment: RunningDeployment, authority: CertificateAuthority, own_host: Host
 ):
     """Guards against an outage when the certificates of running hosts expire."""
     tls = own_host.settings.peer_tls
     assert tls is not None
-    other = authority.issue_identity()
+    peer_identity = authority.issue_identity()
     listeners = (own_host.caller_address, own_host.peer_address)
     before = tls.certificate.read_text()
     authority.renew_identity(tls)
     after = tls.certificate.read_text()
-    assert [_listener_certificate(a, other) for a in listeners] == [before, before]
-    secure.run(_reload(own_host))
-    assert [_listener_certificate(a, other) for a in listeners] == [after, after]
-    assert secure.run(_peer_client_certificate(own_host, other)) == after
+    assert [_listener_certificate(a, peer_identity) for a in listeners] == [
+        before,
+        before,
+    ]
+    tls_deployment.run(_reload(own_host))
+    assert [_listener_certificate(a, peer_identity) for a in listeners] == [
+        after,
+        after,
+    ]
+    assert (
+        tls_deployment.run(_peer_client_certificate(own_host, peer_identity)) == after
+    )
 
 
 def test_a_new_authority_is_accepted_beside_the_old_one(
-    secure: RunningDeployment,
+    tls_deployment: RunningDeployment,
     authority: CertificateAuthority,
     own_host: Host,
     folder: Path,
 ):
-    """Guards against an authority that can be changed only by an outage."""
+    """Guards against an authority that cannot be replaced without an outage."""
     tls = own_host.settings.peer_tls
     assert tls is not None
     successor = CertificateAuthority(folder, "successor")
-    newcomer = successor.issue_identity(trusted=authority.file)
+    successor_identity = successor.issue_identity(trusted=authority.file)
     address = own_host.peer_address
     with pytest.raises(OSError):
-        secure.run(_request_identity(address, newcomer))
+        tls_deployment.run(_request_identity(address, successor_identity))
     old = authority.file.read_bytes()
     try:
         authority.file.write_bytes(old + successor.file.read_bytes())
-        secure.run(_reload(own_host))
-        # A host without control role answers no peer; it is the 404 that counts.
+        tls_deployment.run(_reload(own_host))
+        # A host without the control role has no peer endpoints: the 404 response shows
+        # that the handshake succeeded.
         with pytest.raises(ConnectionError, match="no JSON"):
-            secure.run(_request_identity(address, newcomer))
+            tls_deployment.run(_request_identity(address, successor_identity))
         with pytest.raises(ConnectionError, match="no JSON"):
-            secure.run(_request_identity(address, authority.issue_identity()))
+            tls_deployment.run(_request_identity(address, authority.issue_identity()))
     finally:
         authority.file.write_bytes(old)
 
 
 def test_a_reload_of_unusable_files_changes_nothing(
-    secure: RunningDeployment, authority: CertificateAuthority, own_host: Host
+    tls_deployment: RunningDeployment, authority: CertificateAuthority, own_host: Host
 ):
-    """Guards against a host that a typing error during a renewal takes down."""
+    """Guards against an outage caused by a mistake during a renewal."""
     tls = own_host.settings.peer_tls
     assert tls is not None
     before = tls.certificate.read_text()
     authority.renew_identity(tls)
     tls.private_key.write_text("no key")
     own_host.settings.operator_token_file.write_text("\n")
-    secure.run(_reload(own_host))
+    tls_deployment.run(_reload(own_host))
     assert own_host.metrics.counts["reload.failed"] >= 4
     assert (
         _listener_certificate(own_host.caller_address, authority.issue_identity())
         == before
     )
-    status, _ = secure.run(_post(own_host, "operator/status", "operator-1"))
+    status, _ = tls_deployment.run(_post(own_host, "operator/status", "operator-1"))
     assert status == 200
 
 
@@ -351,47 +368,53 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "right"),
+    ("path", "valid_token"),
     [("operator/status", "operator-1"), ("servers/announce", "announce-1")],
 )
 def test_wrong_tokens_get_typed_refusals(
-    secure: RunningDeployment, own_host: Host, path: str, right: str
+    tls_deployment: RunningDeployment, own_host: Host, path: str, valid_token: str
 ):
-    """Guards against an interface that another interface's token opens."""
+    """Guards against an interface that accepts another interface's token."""
     for token in (None, "", "operator-2", "operator-1x", "announce-1x", "é"):
-        status, answer = secure.run(_post(own_host, path, token))
+        status, answer = tls_deployment.run(_post(own_host, path, token))
         assert (status, answer["error"]) == (401, "Refusal")
         assert answer["reason"] == "unauthenticated"
         assert answer["remedy"]
-    other = {"operator-1": "announce-1", "announce-1": "operator-1"}[right]
-    assert secure.run(_post(own_host, path, other))[0] == 401
-    assert secure.run(_post(own_host, path, right))[0] != 401
+    other_interface_token = {"operator-1": "announce-1", "announce-1": "operator-1"}[
+        valid_token
+    ]
+    assert tls_deployment.run(_post(own_host, path, other_interface_token))[0] == 401
+    assert tls_deployment.run(_post(own_host, path, valid_token))[0] != 401
 
 
-def test_tokens_are_reloaded_and_may_overlap(secure: RunningDeployment, own_host: Host):
-    """Guards against a token change that cuts off every operator at once."""
+def test_tokens_are_reloaded_and_may_overlap(
+    tls_deployment: RunningDeployment, own_host: Host
+):
+    """Guards against a token change that locks out operators until they switch."""
     path = own_host.settings.operator_token_file
 
     def statuses() -> list[int]:
         return [
-            secure.run(_post(own_host, "operator/status", token))[0]
+            tls_deployment.run(_post(own_host, "operator/status", token))[0]
             for token in ("operator-1", "operator-2")
         ]
 
     assert statuses() == [200, 401]
     path.write_text("operator-1\noperator-2\n")
-    secure.run(_reload(own_host))
+    tls_deployment.run(_reload(own_host))
     assert statuses() == [200, 200]
     path.write_text("operator-2\n")
-    secure.run(_reload(own_host))
+    tls_deployment.run(_reload(own_host))
     assert statuses() == [401, 200]
 
 
-def test_wrong_token_raises_command_refused(secure: RunningDeployment, operator: Any):
-    """Guards against a wrong token that looks like an unreachable host."""
-    with pytest.raises(CommandRefused) as refused:
-        secure.run(_config.show(operator(token="guess")))
-    assert refused.value.exit_code == 1
+def test_wrong_token_raises_command_refused(
+    tls_deployment: RunningDeployment, operator: Any
+):
+    """Guards against reporting a wrong token as an unreachable host."""
+    with pytest.raises(CommandRefused) as refusal:
+        tls_deployment.run(_config.show(operator(token="guess")))
+    assert refusal.value.exit_code == 1
 
 
 def _settings(folder: Path, **fields: Any) -> HostSettings:
@@ -410,41 +433,41 @@
 
 def test_unusable_files_are_reported_at_the_start(tmp_path: Path):
     """Guards against a host that starts and then refuses every connection."""
-    absent = {
+    missing_files = {
         name: tmp_path / name for name in ("certificate", "private_key", "authority")
     }
 
-    async def make(**fields: Any) -> None:
+    async def make_host(**fields: Any) -> None:
         Host(_settings(tmp_path, **fields))
 
     for fields in (
-        {"caller_tls": absent},
-        {"peer_tls": absent},
-        {"backend_tls": absent},
+        {"caller_tls": missing_files},
+        {"peer_tls": missing_files},
+        {"backend_tls": missing_files},
         {"operator_token_file": tmp_path / "absent"},
         {"announce_token_file": tmp_path / "absent"},
     ):
         with pytest.raises(SettingsInvalid, match=str(tmp_path)):
-            asyncio.run(make(**fields))
+            asyncio.run(make_host(**fields))
 
 
 def test_sighup_reloads_and_sigterm_stops(tmp_path: Path):
-    """Guards against signals that the program does not hear."""
+    """Guards against signals without a handler."""
     token = tmp_path / "token"
     token.write_text("first")
     settings = _settings(tmp_path, operator_token_file=token, shutdown_grace_ms=0)
-    seen: list[int] = []
+    statuses: list[int] = []
 
-    async def work() -> None:
+    async def send_signals() -> None:
         hosts: list[Host] = []
 
-        def make() -> Host:
+        def make_host() -> Host:
             hosts.append(Host(settings))
             return hosts[0]
 
-        running_host = asyncio.create_task(serve(make))
+        running_host = asyncio.create_task(serve(make_host))
         async with asyncio.timeout(10), aiohttp.ClientSession() as session:
-            # The last thing that a start does is accept connections.
+            # Accepting connections is the last step of the startup.
             while not hosts or not hosts[0]._caller_listener._server.started:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
             token.write_text("second")
@@ -453,12 +476,12 @@
             url = f"http://{hosts[0].caller_address}/v1/operator/status"
             headers = {"Authorization": "Bearer second"}
             async with session.post(url, json={}, headers=headers) as response:
-                seen.append(response.status)
+                statuses.append(response.status)
             os.kill(os.getpid(), signal.SIGTERM)
             await running_host
 
-    asyncio.run(work())
-    assert seen == [200]
+    asyncio.run(send_signals())
+    assert statuses == [200]
 
 
 def test_kingcuplugd_exits_with_2_on_invalid_settings(tmp_path: Path):
@@ -470,6 +493,6 @@
         )
     )
     path.write_text(json.dumps(fields))
-    with pytest.raises(SystemExit) as ended:
+    with pytest.raises(SystemExit) as exit_info:
         _main._run_host(str(path))
-    assert ended.value.code == 2
+    assert exit_info.value.code == 2
--- a/tests/daemon/test_tracing.py
+++ b/tests/daemon/test_tracing.py
@@ -1,4 +1,4 @@
-"""One request gives one trace, with a span per hop."""
+"""One request yields one trace, with one span per hop."""
 
 import time
 import uuid
@@ -20,7 +20,7 @@
 
 
 def test_a_query_is_one_trace(call: Any, spans: Any, wait_until: Any, request_id: str):
-    """Guards against a slow hop that no span shows."""
+    """Guards against a slow hop that has no span."""
     fields = {
         "request_id": request_id,
         "body": {"band": "black"},
@@ -38,8 +38,8 @@
     roots = [span for span in found if span["parent"] not in by_id]
     assert [span["name"] for span in roots] == ["query"]
     dependency = next(span for span in found if span["name"] == "dependency")
-    below = _count_names([s for s in found if s["parent"] == dependency["span"]])
-    assert below["sub-request"] >= 2
+    child_names = _count_names([s for s in found if s["parent"] == dependency["span"]])
+    assert child_names["sub-request"] >= 2
     for span in found:
         if span["name"] == "sub-request":
             fields = span["fields"]
@@ -50,7 +50,7 @@
 def test_an_order_is_one_trace_with_its_ledger_steps(
     call: Any, spans: Any, wait_until: Any, request_id: str
 ):
-    """Guards against orders whose time at the quorum is not seen."""
+    """Guards against orders whose time in the ledger is missing from the trace."""
     order = {
         "request_id": request_id,
         "body": {"embroider": "Maria N."},
@@ -87,7 +87,7 @@
 def test_request_continues_the_callers_trace(
     deployment: Any, call: Any, spans: Any, wait_until: Any, request_id: str
 ):
-    """Guards against a new trace at every tier."""
+    """Guards against a new trace at each host."""
     trace = uuid.uuid4().hex
 
     async def send() -> int:
@@ -107,30 +107,30 @@
 def test_unsampled_request_records_no_spans(
     deployment: Any, call: Any, spans: Any, raw_server: Any, wait_until: Any
 ):
-    """Guards against the cost of spans that nobody asked for."""
-    quiet, loud = uuid.uuid4().hex, uuid.uuid4().hex
+    """Guards against the cost of recording spans that were not sampled."""
+    unsampled_id, sampled_id = uuid.uuid4().hex, uuid.uuid4().hex
     trace = uuid.uuid4().hex
 
     async def send() -> int:
         url = f"http://{deployment.address()}/v1/services/raw/query"
         headers = {"traceparent": f"00-{trace}-{'1' * 16}-00"}
-        fields = {"body": 1, "request_id": quiet}
+        fields = {"body": 1, "request_id": unsampled_id}
         http = deployment.local.http
         async with http.post(url, json=fields, headers=headers) as response:
             return response.status
 
     assert deployment.run(send()) == 200
-    # The backend server learns the decision and the trace all the same.
-    parts = {h["traceparent"].split("-")[1] for _, h in raw_server.received}
-    assert parts == {trace}
+    # The backend server still receives the trace id and the sampling decision.
+    trace_ids = {h["traceparent"].split("-")[1] for _, h in raw_server.received}
+    assert trace_ids == {trace}
     assert all(h["traceparent"].endswith("-00") for _, h in raw_server.received)
-    assert call("trims", "query", {"body": 1, "request_id": loud})[0] == 200
-    wait_until(lambda: bool(spans(loud)))
-    assert spans(quiet) == []
+    assert call("trims", "query", {"body": 1, "request_id": sampled_id})[0] == 200
+    wait_until(lambda: bool(spans(sampled_id)))
+    assert spans(unsampled_id) == []
 
 
 def test_the_session_has_spans(deployment: Any, wait_until: Any):
-    """Guards against a lost session that leaves no trace."""
+    """Guards against lost sessions that no span explains."""
     path = deployment.local.hosts[0].settings.trace_file
     wait_until(lambda: '"name": "session"' in path.read_text())
     wait_until(lambda: '"name": "peer.session"' in path.read_text())
