--- a/tests/daemon/test_invalid_input.py
+++ b/tests/daemon/test_invalid_input.py
@@ -122,7 +122,7 @@
 
 @pytest.mark.parametrize("case", CALLER_REQUESTS)
 def test_bad_requests_get_a_typed_refusal(deployment: Any, case: str):
-    """Guards against a 500 without a receipt, and against failures of other requests."""
+    """Guards against a 500 without a receipt, and against harm to other requests."""
     request, status, reason = CALLER_REQUESTS[case]
     (actual_status, answer), query_result = deployment.run(
         _send_alongside_query(deployment, request)
