--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,7 +13,7 @@
 _T = TypeVar("_T")
 _CALL_TIMEOUT_S = 60.0
 
-SIZES = Sizes(
+DEPLOYMENT_SIZES = Sizes(
     ("zone-1", "zone-2"),
     0.0,
     0.0,
@@ -57,7 +57,7 @@
         """Start hosts and simulated servers; `options` go to `LocalDeployment`."""
 
         async def start_local() -> None:
-            self.local = LocalDeployment(SIZES, **options)
+            self.local = LocalDeployment(DEPLOYMENT_SIZES, **options)
             self.revision = await self.local.start(TEXT)
 
         self.run(start_local())
