--- a/packages/daemon/src/kingcuplug_daemon/_control_node.py
+++ b/packages/daemon/src/kingcuplug_daemon/_control_node.py
@@ -220,7 +220,7 @@
             identity = await self._fetch_identity(address)
         except (OSError, TimeoutError, PeerError) as error:
             raise HostNotAdded(
-                f"control host at {address} cannot be asked who it is: {error}",
+                f"control host at {address} did not return its identity: {error}",
                 "start it with the role 'control' and pass its peer_address",
             ) from error
         member = Member(identity["member"], identity["host"], address, role)
@@ -289,15 +289,15 @@
         try:
             async with asyncio.timeout(wait_s):
                 await self.sessions.wait_in_force(revision)
-            in_force, waiting = True, []
+            in_force, lagging_hosts = True, []
         except TimeoutError:
             # The list may be empty: leases of an earlier leader also delay a revision.
             in_force = False
-            waiting = self.sessions.barrier.lagging(revision)
+            lagging_hosts = self.sessions.barrier.lagging(revision)
         return {
             "revision": revision,
             "in_force": in_force,
-            "waiting_for": waiting,
+            "waiting_for": lagging_hosts,
             **_state_reads.live_entry_hosts(self.sessions),
         }
 
@@ -311,8 +311,8 @@
             identity = await self._fetch_identity(address)
         except (OSError, TimeoutError, PeerError) as error:
             raise BootstrapUnsafe(
-                f"control host at {address} cannot be asked whether a cluster exists:"
-                f" {error}",
+                f"control host at {address} did not return whether it belongs to a"
+                f" cluster: {error}",
                 "start all configured control hosts, then bootstrap one of them",
             ) from error
         if not identity["blank"]:
