--- a/packages/common/src/kingcuplug_common/__init__.py
+++ b/packages/common/src/kingcuplug_common/__init__.py
@@ -1,15 +1,15 @@
 """Errors, digests, settings, telemetry and receipts shared by all packages.
 
 Names whose modules import large libraries (validation, cryptography, tracing) are
-loaded on first use, so that a process pays at its start only for what it uses.
+imported on first use, so that a process loads only the libraries that it needs.
 """
 
 import importlib
 from typing import TYPE_CHECKING, Any
 
 from kingcuplug_common._clock import boot_time, wall_ms
-from kingcuplug_common._counters import Metrics, send_state_changes_to, state_change
-from kingcuplug_common._digest import canonical, digest, identifier
+from kingcuplug_common._condition import Signal
+from kingcuplug_common._digests import canonical, digest, identifier
 from kingcuplug_common._errors import (
     KingcuplugError,
     Refusal,
@@ -17,8 +17,8 @@
     RefusalReason,
     not_run,
 )
-from kingcuplug_common._events import EventLog
-from kingcuplug_common._signal import Signal
+from kingcuplug_common._event_log import EventLog
+from kingcuplug_common._metrics import Metrics, send_state_changes_to, state_change
 
 if TYPE_CHECKING:
     from kingcuplug_common._exposition import exposition
@@ -43,8 +43,8 @@
         traceparent,
     )
     from kingcuplug_common._telemetry import (
-        TraceFile,
-        log_to,
+        TraceFileExporter,
+        log_to_file,
         propagator,
         tracer,
     )
@@ -64,7 +64,7 @@
     "Signal",
     "Signer",
     "TlsSettings",
-    "TraceFile",
+    "TraceFileExporter",
     "Verifier",
     "boot_time",
     "canonical",
@@ -74,7 +74,7 @@
     "identifier",
     "key_id",
     "load_settings",
-    "log_to",
+    "log_to_file",
     "not_run",
     "propagator",
     "request_span",
@@ -86,21 +86,21 @@
     "wall_ms",
 ]
 
-_LOADED_ON_USE = {
+_LAZY_NAMES = {
     "_exposition": ("exposition",),
     "_receipts": ("Receipt", "ReceiptInvalid", "Signer", "Verifier", "key_id"),
     "_settings": ("HostSettings", "SettingsInvalid", "TlsSettings", "load_settings"),
     "_spans": ("Hop", "entering", "request_span", "start_hop", "traceparent"),
-    "_telemetry": ("TraceFile", "log_to", "propagator", "tracer"),
+    "_telemetry": ("TraceFileExporter", "log_to_file", "propagator", "tracer"),
 }
-_MODULE_OF = {
-    name: module for module, names in _LOADED_ON_USE.items() for name in names
+_LAZY_MODULES = {
+    name: module for module, names in _LAZY_NAMES.items() for name in names
 }
 
 
 def __getattr__(name: str) -> Any:
     """Import the module of a name at its first use."""
-    module = _MODULE_OF.get(name)
+    module = _LAZY_MODULES.get(name)
     if module is None:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     value = getattr(importlib.import_module(f"{__name__}.{module}"), name)
--- a/packages/common/src/kingcuplug_common/_exposition.py
+++ b/packages/common/src/kingcuplug_common/_exposition.py
@@ -1,13 +1,13 @@
-"""Counters and histograms as text, in the format that Prometheus reads.
+"""Metrics in the Prometheus text format.
 
-The library is imported when somebody asks for the text, so that a host which nobody
-examines does not pay for it.
+prometheus_client is imported on first use, so that a host that is never scraped does
+not load it.
 """
 
 from collections.abc import Iterable, Mapping
 from typing import TYPE_CHECKING, Any
 
-from kingcuplug_common._counters import Histogram, Metrics
+from kingcuplug_common._metrics import Histogram, Metrics
 
 if TYPE_CHECKING:
     from prometheus_client.core import Metric
@@ -18,12 +18,12 @@
 
 
 def exposition(metrics: Metrics, gauges: Mapping[str, float]) -> bytes:
-    """Return all figures as text.
+    """Return all metrics in the Prometheus text format.
 
     Parameters
     ----------
     gauges : mapping
-        Values of this moment, by name.
+        Current values, by name.
     """
     from prometheus_client import CollectorRegistry, generate_latest
 
@@ -33,12 +33,14 @@
 
 
 class _Collector:
+    """Collector in the sense of prometheus_client."""
+
     def __init__(self, metrics: Metrics, gauges: Mapping[str, float]) -> None:
         self._metrics = metrics
         self._gauges = gauges
 
     def collect(self) -> "Iterable[Metric]":
-        """Yield the families of figures."""
+        """Yield the metric families."""
         from prometheus_client.core import (
             CounterMetricFamily,
             GaugeMetricFamily,
@@ -60,14 +62,16 @@
                 labels=_LABELS[name],
             )
             for labels, histogram in by_labels.items():
-                family.add_metric(labels, _buckets(histogram), histogram.sum_s)
+                family.add_metric(
+                    labels, _cumulative_buckets(histogram), histogram.sum_s
+                )
             yield family
 
 
-def _buckets(histogram: Histogram) -> list[Any]:
-    total, buckets = 0, []
+def _cumulative_buckets(histogram: Histogram) -> list[Any]:
+    cumulative_count, buckets = 0, []
     bounds = [*map(str, Histogram.BOUNDS_S), "+Inf"]
     for bound, count in zip(bounds, histogram.counts, strict=True):
-        total += count
-        buckets.append((bound, total))
+        cumulative_count += count
+        buckets.append((bound, cumulative_count))
     return buckets
--- a/packages/common/src/kingcuplug_common/_counters.py
+++ b/packages/common/src/kingcuplug_common/_metrics.py
@@ -1,7 +1,7 @@
-"""Counters and state-change logs, without the libraries of traces.
+"""Counters, histograms and state-change logs.
 
-Hosts that only count and log start faster and smaller without the tracing and
-logging libraries, so eliot and statsd are imported on first use.
+eliot and statsd are imported on first use: hosts that need neither start faster and
+use less memory.
 """
 
 from collections import Counter
@@ -13,39 +13,39 @@
 
 PREFIX = "kingcuplug"
 
-StateSink = Callable[[str, str, dict[str, Any]], None]
+StateChangeSink = Callable[[str, str, dict[str, Any]], None]
 
 
-# Beyond so many combinations of labels, durations are counted together.
-_MOST_LABELS = 512
-_OTHER = "other"
+# Label sets beyond this number share one histogram, to bound memory.
+_MAX_LABEL_SETS = 512
+_OTHER_LABEL = "other"
 # Upper bounds of buckets: powers of two from 1/1024 s to 64 s.
-_SMALLEST_EXPONENT = -10
-_BUCKETS = 17
-_CLOCK_S = 1e-6  # Resolution of the clock; shorter durations count as this.
+_MIN_EXPONENT = -10
+_BUCKET_COUNT = 17
+_CLOCK_RESOLUTION_S = 1e-6  # Shorter durations are recorded as this.
 
 
 class Histogram:
-    """Durations in buckets whose bounds double.
+    """Histogram of durations; each bucket's bound is twice the one before.
 
     Attributes
     ----------
     counts : list of int
-        By bucket; the last one takes everything above its bound.
+        Counts by bucket; the last one holds all durations above the greatest bound.
     """
 
-    BOUNDS_S = tuple(2.0 ** (_SMALLEST_EXPONENT + i) for i in range(_BUCKETS))
+    BOUNDS_S = tuple(2.0 ** (_MIN_EXPONENT + i) for i in range(_BUCKET_COUNT))
 
     def __init__(self) -> None:
-        self.counts = [0] * (_BUCKETS + 1)
+        self.counts = [0] * (_BUCKET_COUNT + 1)
         self.sum_s = 0.0
 
     def record(self, duration_s: float) -> None:
-        """Count one duration."""
-        mantissa, exponent = frexp(max(duration_s, _CLOCK_S))
+        """Add one duration."""
+        mantissa, exponent = frexp(max(duration_s, _CLOCK_RESOLUTION_S))
         if mantissa == 0.5:
             exponent -= 1
-        bucket = min(max(exponent - _SMALLEST_EXPONENT, 0), _BUCKETS)
+        bucket = min(max(exponent - _MIN_EXPONENT, 0), _BUCKET_COUNT)
         self.counts[bucket] += 1
         self.sum_s += duration_s
 
@@ -76,43 +76,43 @@
             self._client.incr(name, value)
 
     def observe(self, name: str, labels: tuple[str, ...], duration_s: float) -> None:
-        """Record a duration in a histogram in memory.
+        """Record a duration in the histogram of its labels.
 
         Parameters
         ----------
         labels : tuple of str
-            From small sets: never an id of a request or a server.
+            Label values from small sets; never ids of requests or servers.
         """
         by_labels = self.durations.setdefault(name, {})
         histogram = by_labels.get(labels)
         if histogram is None:
-            if len(by_labels) >= _MOST_LABELS:
-                labels = (_OTHER,) * len(labels)
+            if len(by_labels) >= _MAX_LABEL_SETS:
+                labels = (_OTHER_LABEL,) * len(labels)
             histogram = by_labels.setdefault(labels, Histogram())
         histogram.record(duration_s)
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a gauge."""
+        """Send the value of a gauge to statsd."""
         if self._client is not None:
             self._client.gauge(name, value)
 
-    def time(self, name: str, duration_ms: float) -> None:
-        """Record a duration in milliseconds."""
+    def send_timing(self, name: str, duration_ms: float) -> None:
+        """Send a duration in milliseconds to statsd."""
         if self._client is not None:
             self._client.timing(name, duration_ms)
 
 
-def _to_eliot(subject: str, state: str, fields: dict[str, Any]) -> None:
+def _log_with_eliot(subject: str, state: str, fields: dict[str, Any]) -> None:
     import eliot
 
     eliot.log_message(f"{PREFIX}:{subject}", state=state, **fields)
 
 
-_sink: StateSink = _to_eliot
+_sink: StateChangeSink = _log_with_eliot
 
 
-def send_state_changes_to(sink: StateSink) -> None:
-    """Give state changes to `sink` in place of eliot."""
+def send_state_changes_to(sink: StateChangeSink) -> None:
+    """Send state changes to `sink` instead of eliot."""
     global _sink
     _sink = sink
 
--- a/packages/common/src/kingcuplug_common/_spans.py
+++ b/packages/common/src/kingcuplug_common/_spans.py
@@ -1,7 +1,7 @@
 """Spans of the hops of one request.
 
-The request's span decides once whether its trace is sampled; every hop below it
-then costs one look at a context variable when it is not.
+Sampling is decided once, at the request's span. In an unsampled trace each hop below
+it costs only one lookup of a context variable.
 """
 
 from collections.abc import Iterator, Mapping
@@ -19,7 +19,7 @@
 
 
 class Hop:
-    """A hop that is not sampled; it records nothing."""
+    """Span of one hop; this base class is for unsampled traces and records nothing."""
 
     __slots__ = ()
 
@@ -36,14 +36,14 @@
 
 
 class _SampledHop(Hop):
-    """A hop that is sampled.
+    """Span of one hop of a sampled trace.
 
     Parameters
     ----------
     tracer : Tracer
-        Makes the span.
+        Creates the span.
     parent : Span
-        Span of the hop above.
+        Parent of the new span.
     name : str
         Name of the hop.
     attributes : dict
@@ -58,25 +58,27 @@
         self._span = tracer.start_span(
             name, context=set_span_in_context(parent), attributes=attributes
         )
-        trace = _Trace(tracer, self._span, _traceparent(self._span.get_span_context()))
-        self._token: Token[_Trace | None] = _current.set(trace)
+        trace = _TraceContext(
+            tracer, self._span, _format_traceparent(self._span.get_span_context())
+        )
+        self._token: Token[_TraceContext | None] = _current_trace.set(trace)
 
     def end(self, **attributes: Any) -> None:
-        """End the hop with attributes that are known only now."""
+        """End the hop and add attributes to its span."""
         self._span.set_attributes(attributes)
         self._span.end()
-        _current.reset(self._token)
+        _current_trace.reset(self._token)
 
     def __exit__(self, *error: object) -> None:
-        """End the hop and note the error that ended it."""
+        """End the hop; an error's class name becomes its outcome."""
         if error[1] is not None:
             self.end(outcome=type(error[1]).__name__)
         else:
             self.end()
 
 
-class _Trace:
-    """The trace that runs in this context; without a tracer it is not sampled."""
+class _TraceContext:
+    """The current trace; `tracer` is ``None`` if the trace is not sampled."""
 
     __slots__ = ("header", "span", "tracer")
 
@@ -86,24 +88,24 @@
         self.header = header
 
 
-_current: ContextVar[_Trace | None] = ContextVar("trace", default=None)
-_NOT_SAMPLED = Hop()
+_current_trace: ContextVar[_TraceContext | None] = ContextVar("trace", default=None)
+_UNSAMPLED_HOP = Hop()
 
 
 @contextmanager
 def request_span(
     tracer: Tracer, name: str, headers: Mapping[str, str]
 ) -> Iterator[Span]:
-    """Run a request under a span; its sender's ``traceparent`` decides first."""
+    """Run a request in a span; a ``traceparent`` in `headers` decides on sampling."""
     parent = propagator.extract(headers)
     with tracer.start_as_current_span(name, context=parent) as span:
-        header = _traceparent(span.get_span_context())
-        trace = _Trace(tracer if span.is_recording() else None, span, header)
-        token = _current.set(trace)
+        header = _format_traceparent(span.get_span_context())
+        trace = _TraceContext(tracer if span.is_recording() else None, span, header)
+        token = _current_trace.set(trace)
         try:
             yield span
         finally:
-            _current.reset(token)
+            _current_trace.reset(token)
 
 
 def start_hop(name: str, **attributes: Any) -> Hop:
@@ -112,26 +114,26 @@
     It must be ended in the task that started it, by `Hop.end` or as a context
     manager.
     """
-    trace = _current.get()
+    trace = _current_trace.get()
     if trace is None or trace.tracer is None:
-        return _NOT_SAMPLED
+        return _UNSAMPLED_HOP
     return _SampledHop(trace.tracer, trace.span, name, attributes)
 
 
 def entering(
     name: str, manager: AbstractAsyncContextManager[_T]
 ) -> AbstractAsyncContextManager[_T]:
-    """Return `manager` with a hop around its entry, which may wait."""
-    trace = _current.get()
+    """Return `manager` with a hop that spans its ``__aenter__``, which may wait."""
+    trace = _current_trace.get()
     if trace is None or trace.tracer is None:
         return manager
-    return _entering(name, manager)
+    return _traced_entry(name, manager)
 
 
 @asynccontextmanager
-async def _entering(
+async def _traced_entry(
     name: str, manager: AbstractAsyncContextManager[_T]
-) -> Any:  # An asynchronous iterator of one value.
+) -> Any:  # An asynchronous iterator with one value.
     hop = start_hop(name)
     try:
         value = await manager.__aenter__()
@@ -150,10 +152,10 @@
 
 def traceparent() -> str | None:
     """Return the W3C header for the next hop; ``None`` outside of a request."""
-    trace = _current.get()
+    trace = _current_trace.get()
     return None if trace is None else trace.header
 
 
-def _traceparent(context: SpanContext) -> str:
+def _format_traceparent(context: SpanContext) -> str:
     flags = int(context.trace_flags)
     return f"00-{context.trace_id:032x}-{context.span_id:016x}-{flags:02x}"
--- a/packages/common/src/kingcuplug_common/_telemetry.py
+++ b/packages/common/src/kingcuplug_common/_telemetry.py
@@ -20,24 +20,24 @@
 from opentelemetry.trace import Tracer
 from opentelemetry.trace.propagation.tracecontext import TraceContextTextMapPropagator
 
-from kingcuplug_common._counters import PREFIX
+from kingcuplug_common._metrics import PREFIX
 
-__all__ = ["TraceFile", "log_to", "propagator", "tracer"]
+__all__ = ["TraceFileExporter", "log_to_file", "propagator", "tracer"]
 
-# An operator looks at the waterfall right after the request.
+# Short, since operators view a trace right after its request.
 _TRACE_FILE_DELAY_MS = 500.0
 _NANOSECONDS_PER_MICROSECOND = 1_000
 
 propagator = TraceContextTextMapPropagator()
 
 
-def log_to(path: Path) -> None:
+def log_to_file(path: Path) -> None:
     """Append eliot's log messages to a file, one JSON object per line."""
     eliot.to_file(path.open("a"))
 
 
-class TraceFile(SpanExporter):
-    """Writes spans to a file as JSON lines."""
+class TraceFileExporter(SpanExporter):
+    """Exports spans to a file as JSON lines."""
 
     def __init__(self, path: Path) -> None:
         self._file = path.open("a")
@@ -78,8 +78,8 @@
     path : Path or None
         JSON-lines file for spans.
     share : float
-        Share of traces that are recorded, 0 to 1; a caller's own decision in the
-        ``traceparent`` header goes first.
+        Share of traces that are sampled, 0 to 1; a caller's own decision in the
+        ``traceparent`` header takes precedence.
     """
     sampled_share = share if path is not None else 0.0
     provider = TracerProvider(
@@ -88,7 +88,7 @@
     if path is not None:
         provider.add_span_processor(
             BatchSpanProcessor(
-                TraceFile(path), schedule_delay_millis=_TRACE_FILE_DELAY_MS
+                TraceFileExporter(path), schedule_delay_millis=_TRACE_FILE_DELAY_MS
             )
         )
     try:
--- a/packages/daemon/src/kingcuplug_daemon/_entry_configuration.py
+++ b/packages/daemon/src/kingcuplug_daemon/_entry_configuration.py
@@ -1,7 +1,7 @@
 """The configuration in force at an entry host.
 
-A revision is put in force as one immutable view; requests keep the view with which
-they started.
+Each revision takes effect as one immutable view; a request keeps the view with which
+it started.
 """
 
 import random
@@ -21,20 +21,20 @@
 from kingcuplug_query import RevisionView, ServiceRuntime
 from kingcuplug_routing import Admission, Router, RoutingPolicy
 
-__all__ = ["EntryConfiguration", "PolicyOf"]
+__all__ = ["EntryConfiguration", "RoutingPolicyFactory"]
 
-PolicyOf = Callable[[Service], RoutingPolicy]
-_NOTHING_IN_FORCE = -1
+RoutingPolicyFactory = Callable[[Service], RoutingPolicy]
+_NO_REVISION = -1
 
 
 class EntryConfiguration:
-    """Revisions as they come from the home control host.
+    """Applies the revisions that the home control host sends.
 
     Parameters
     ----------
     services : tuple of str or None
         Routed services; ``None`` routes all of them.
-    policy_of : callable
+    policy_factory : callable
         Returns the routing policy of a service.
     random_source : random.Random
         Source of all random decisions of the routers.
@@ -50,25 +50,25 @@
     def __init__(
         self,
         services: tuple[str, ...] | None,
-        policy_of: PolicyOf,
+        policy_factory: RoutingPolicyFactory,
         random_source: random.Random,
     ) -> None:
-        self.view = RevisionView(_NOTHING_IN_FORCE, {})
+        self.view = RevisionView(_NO_REVISION, {})
         self.retention_days = 0
-        self._routed = services
-        self._policy_of = policy_of
+        self._routed_services = services
+        self._policy_factory = policy_factory
         self._random = random_source
         self._text = ConfigurationText()
-        self.changed: Callable[[], None] = lambda: None
+        self.on_change: Callable[[], None] = lambda: None
 
     def current(self) -> int:
         """Return the number of the revision in force; -1 for none."""
         return self.view.number
 
-    def services(self) -> tuple[str, ...]:
+    def routed_services(self) -> tuple[str, ...]:
         """Return the names of the routed services."""
-        if self._routed is not None:
-            return self._routed
+        if self._routed_services is not None:
+            return self._routed_services
         return tuple(self._text.services)
 
     def apply(
@@ -82,22 +82,24 @@
             If the resulting text has another digest; nothing changes then.
         """
         if deltas is not None:
-            new = replay(self._text, [Delta.from_json(value) for value in deltas])
+            new_text = replay(self._text, [Delta.from_json(value) for value in deltas])
         else:
-            new = parse(text or "")
-        found = text_digest(render(new))
-        if found != digest:
+            new_text = parse(text or "")
+        actual = text_digest(render(new_text))
+        if actual != digest:
             raise KingcuplugError(
-                f"revision {revision} has digest {found[:12]} here, not {digest[:12]}",
+                f"revision {revision} has digest {actual[:12]} here, not {digest[:12]}",
                 "the whole text is fetched",
             )
-        self._text = new
-        self.retention_days = new.retention_days
-        self.view = RevisionView(revision, self._runtimes(new))
-        self.changed()
+        self._text = new_text
+        self.retention_days = new_text.retention_days
+        self.view = RevisionView(revision, self._runtimes(new_text))
+        self.on_change()
 
     def _runtimes(self, text: ConfigurationText) -> dict[str, ServiceRuntime]:
-        routed = set(text.services if self._routed is None else self._routed)
+        routed = set(
+            text.services if self._routed_services is None else self._routed_services
+        )
         return {
             name: self._runtime(service)
             for name, service in text.services.items()
@@ -105,12 +107,12 @@
         }
 
     def _runtime(self, service: Service) -> ServiceRuntime:
-        known = self.view.services.get(service.name)
-        if known is not None and known.service == service:
-            return known
-        if known is not None and known.service.policy == service.policy:
-            return ServiceRuntime(service, known.router, known.admission)
-        # A changed policy starts with new statistics; requests in flight end under
-        # the router that they started with.
-        router = Router(service.name, self._policy_of(service), self._random)
+        former = self.view.services.get(service.name)
+        if former is not None and former.service == service:
+            return former
+        if former is not None and former.service.policy == service.policy:
+            return ServiceRuntime(service, former.router, former.admission)
+        # A changed policy starts with new statistics; requests in flight finish with
+        # the router with which they started.
+        router = Router(service.name, self._policy_factory(service), self._random)
         return ServiceRuntime(service, router, Admission(router))
--- a/packages/daemon/src/kingcuplug_daemon/_http.py
+++ b/packages/daemon/src/kingcuplug_daemon/_http.py
@@ -1,4 +1,4 @@
-"""Reading and writing of JSON over HTTP, with limits and typed refusals."""
+"""JSON request bodies and responses over HTTP, with limits and typed refusals."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, TypeVar
@@ -23,7 +23,12 @@
     "status_of",
 ]
 
-_SINGLE_HEADERS = (b"content-length", b"content-type", b"authorization", b"host")
+_NON_REPEATABLE_HEADERS = (
+    b"content-length",
+    b"content-type",
+    b"authorization",
+    b"host",
+)
 _MILLISECONDS = 1_000
 
 _STATUS_OF_REASON = {
@@ -68,7 +73,7 @@
 
 
 def error_fields(error: KingcuplugError) -> dict[str, Any]:
-    """Return any typed error as JSON value; a refusal with kind and reason."""
+    """Return a typed error as JSON value; a refusal has its kind and reason."""
     fields: dict[str, Any] = {"error": type(error).__name__}
     if isinstance(error, Refusal):
         return fields | refusal_fields(error)
@@ -83,7 +88,7 @@
     Refusal
         If a header is repeated, the body is too large or is not JSON.
     """
-    _require_single_headers(request)
+    _reject_repeated_headers(request)
     body = bytearray()
     async for chunk in request.stream():
         body += chunk
@@ -120,13 +125,13 @@
         ) from error
 
 
-def _require_single_headers(request: Request) -> None:
-    seen: set[bytes] = set()
+def _reject_repeated_headers(request: Request) -> None:
+    names: set[bytes] = set()
     for name, _ in request.headers.raw:
-        if name in _SINGLE_HEADERS and name in seen:
+        if name in _NON_REPEATABLE_HEADERS and name in names:
             raise not_run(
                 RefusalReason.INVALID_REQUEST,
                 f"the header {name.decode()!r} is given twice",
                 "send it once",
             )
-        seen.add(name)
+        names.add(name)
--- a/packages/daemon/src/kingcuplug_daemon/_key_registry.py
+++ b/packages/daemon/src/kingcuplug_daemon/_key_registry.py
@@ -1,7 +1,7 @@
-"""Public keys that check receipts, kept in the replicated log.
+"""Public keys for verifying receipts, kept in the replicated log.
 
-A receipt must stay checkable for as long as orders are kept, so a key outlives the
-host that signed with it.
+A receipt must stay verifiable for as long as orders are kept, so a key is kept beyond
+the life of the host that signed with it.
 """
 
 import dataclasses
@@ -12,7 +12,7 @@
 
 __all__ = ["KeyRegistry", "PublishKey", "PublishedKey"]
 
-_KEY_LIMIT = 100_000
+_MAX_KEYS = 100_000
 _RAW_KEY_BYTES = 32
 
 
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PublishedKey:
-    """A public key and since when it is known."""
+    """A public key and the time of its publication."""
 
     key_id: str
     host: str
@@ -62,22 +62,22 @@
         self._keys: dict[str, PublishedKey] = {}
 
     def apply(self, command: PublishKey) -> PublishedKey:
-        """Add a key and return what is recorded of it."""
+        """Add a key, unless it is known, and return its record."""
         identifier = key_id(bytes.fromhex(command.public_key))
-        known = self._keys.get(identifier)
-        if known is None:
-            known = PublishedKey(
+        published = self._keys.get(identifier)
+        if published is None:
+            published = PublishedKey(
                 identifier, command.host, command.public_key, command.time_ms
             )
-            self._keys[identifier] = known
-            self._forget_oldest()
-        return known
+            self._keys[identifier] = published
+            self._drop_oldest()
+        return published
 
     def keys(self) -> list[PublishedKey]:
         """Return all keys, the oldest first."""
         return list(self._keys.values())
 
-    def raw(self) -> dict[str, bytes]:
+    def raw_keys(self) -> dict[str, bytes]:
         """Return the raw public keys by key identifier."""
         return {
             identifier: bytes.fromhex(key.public_key)
@@ -89,10 +89,10 @@
         return {"keys": [dataclasses.asdict(key) for key in self._keys.values()]}
 
     def load(self, state: Mapping[str, Any]) -> None:
-        """Replace the state by a dump."""
+        """Replace the state by a former `dump`."""
         keys = [PublishedKey(**fields) for fields in state["keys"]]
         self._keys = {key.key_id: key for key in keys}
 
-    def _forget_oldest(self) -> None:
-        while len(self._keys) > _KEY_LIMIT:
+    def _drop_oldest(self) -> None:
+        while len(self._keys) > _MAX_KEYS:
             del self._keys[next(iter(self._keys))]
--- a/packages/daemon/src/kingcuplug_daemon/_peer_app.py
+++ b/packages/daemon/src/kingcuplug_daemon/_peer_app.py
@@ -11,13 +11,13 @@
 from starlette.responses import Response
 from starlette.routing import Route
 
-from kingcuplug_daemon._control import ControlNode, leader_of
+from kingcuplug_daemon._control_node import ControlNode, leader_address
 from kingcuplug_daemon._http import error_fields, json_response, read_json
 
 __all__ = ["peer_application"]
 
 _BODY_LIMIT_BYTES = 64 * 1024 * 1024
-_REFUSED = 409
+_CONFLICT = 409
 
 Handler = Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]
 
@@ -25,25 +25,25 @@
 def peer_application(
     control: ControlNode | None, metrics: Metrics, tracer: Tracer
 ) -> Starlette:
-    """Return the application; a host without control role answers nothing."""
+    """Return the application; a host without the control role has no endpoints."""
     if control is None:
         return Starlette()
 
-    async def barrier(message: dict[str, Any]) -> dict[str, Any]:
+    async def handle_barrier(message: dict[str, Any]) -> dict[str, Any]:
         return control.sessions.barrier.handle(message)
 
-    async def identity(message: dict[str, Any]) -> dict[str, Any]:
+    async def handle_identity(message: dict[str, Any]) -> dict[str, Any]:
         return control.identity()
 
     handlers: dict[str, Handler] = {
         "log": control.replica.handle,
         "session": control.sessions.handle,
         "mesh": control.mesh.handle,
-        "barrier": barrier,
-        "identity": identity,
+        "barrier": handle_barrier,
+        "identity": handle_identity,
         "submit": control.submit,
         "read": control.read,
-        "change": control.change,
+        "change": control.change_members,
     }
     return Starlette(
         routes=[
@@ -69,18 +69,18 @@
                     f"message is {type(message).__name__}, not an object",
                     "run one version on all hosts",
                 )
-            # Heartbeats and the like carry no trace and get no span.
+            # Periodic messages such as heartbeats carry no trace and get no span.
             if "traceparent" not in request.headers:
                 return json_response(await handler(message))
             with request_span(tracer, f"peer.{name}", request.headers):
                 return json_response(await handler(message))
         except NotLeader as error:
-            fields = error_fields(error) | {"leader": leader_of(error)}
-            return json_response(fields, _REFUSED)
+            fields = error_fields(error) | {"leader": leader_address(error)}
+            return json_response(fields, _CONFLICT)
         except KingcuplugError as error:
-            return json_response(error_fields(error), _REFUSED)
+            return json_response(error_fields(error), _CONFLICT)
         except ExceptionGroup as group:
-            return json_response(_group_fields(group), _REFUSED)
+            return json_response(_group_fields(group), _CONFLICT)
 
     return endpoint
 
--- a/packages/daemon/src/kingcuplug_daemon/_peers.py
+++ b/packages/daemon/src/kingcuplug_daemon/_peer_client.py
@@ -1,4 +1,4 @@
-"""Calls between the system's own processes: HTTP with JSON."""
+"""Client for calls to other hosts: JSON over HTTP."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -13,37 +13,37 @@
 __all__ = ["NotSent", "PeerClient", "PeerError"]
 
 _CONNECT_TIMEOUT_S = 0.5
-_POOL_PER_HOST = 8
-_KEEPALIVE_S = 30.0
+_MAX_CONNECTIONS_PER_HOST = 8
+_KEEPALIVE_TIMEOUT_S = 30.0
 _JSON_HEADERS = {"Content-Type": "application/json"}
 
 
 class NotSent(KingcuplugError, ConnectionError):
-    """No connection could be made, so the peer has not seen the message."""
+    """No connection could be made, so the peer has not received the message."""
 
 
 class PeerError(KingcuplugError):
-    """The peer answered with an error.
+    """The peer responded with an error.
 
     Attributes
     ----------
-    kind : str
+    error_name : str
         Name of the error's class at the peer.
     fields : Mapping[str, Any]
-        The whole answer.
+        The whole response.
     """
 
-    def __init__(self, kind: str, fields: Mapping[str, Any]) -> None:
+    def __init__(self, error_name: str, fields: Mapping[str, Any]) -> None:
         super().__init__(
             str(fields.get("message", "no message")),
-            str(fields.get("remedy", "look at the log of the peer")),
+            str(fields.get("remedy", "check the log of the peer")),
         )
-        self.kind = kind
+        self.error_name = error_name
         self.fields = fields
 
 
 class PeerClient:
-    """Calls other hosts at their peer addresses.
+    """Posts messages to the peer addresses of other hosts.
 
     Parameters
     ----------
@@ -58,7 +58,7 @@
         self._session: aiohttp.ClientSession | None = None
 
     def reload(self) -> None:
-        """Read the certificates again, for new connections."""
+        """Reload the certificates, for new connections."""
         reload_identity(self._context, self._tls)
 
     async def close(self) -> None:
@@ -66,11 +66,12 @@
         if self._session is not None:
             await self._session.close()
 
-    def path(self, path: str, timeout_s: float) -> Call:
+    def bind_path(self, path: str, timeout_s: float) -> Call:
         """Return a function that posts messages to one path of any peer.
 
-        It raises `NotSent` if the peer cannot have seen the message, `PeerError`
-        if it refused, and `OSError` or `TimeoutError` if nothing is known.
+        The function raises `NotSent` if the peer cannot have received the message,
+        `PeerError` if the peer responded with an error, and `OSError` or
+        `TimeoutError` if the outcome is unknown.
         """
 
         async def call(address: str, message: dict[str, Any]) -> dict[str, Any]:
@@ -81,12 +82,12 @@
     async def post(
         self, address: str, path: str, message: dict[str, Any], timeout_s: float
     ) -> dict[str, Any]:
-        """Post one message; see `path` for the errors."""
+        """Post one message; errors are as for `bind_path`."""
         try:
-            async with self._http().post(
+            async with self._open_session().post(
                 f"{self._scheme}://{address}{path}",
                 data=orjson.dumps(message),
-                headers=_headers(),
+                headers=_request_headers(),
                 timeout=aiohttp.ClientTimeout(
                     total=timeout_s, sock_connect=_CONNECT_TIMEOUT_S
                 ),
@@ -99,16 +100,16 @@
                 "check that the host runs and that the address is right",
             ) from error
         except aiohttp.ClientError as error:
-            raise ConnectionError(f"call of {address}{path} broke: {error}") from error
-        return _read(status, body)
+            raise ConnectionError(f"call to {address}{path} failed: {error}") from error
+        return _parse_reply(status, body)
 
-    def _http(self) -> aiohttp.ClientSession:
+    def _open_session(self) -> aiohttp.ClientSession:
         if self._session is None:
             self._session = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(
                     limit=0,
-                    limit_per_host=_POOL_PER_HOST,
-                    keepalive_timeout=_KEEPALIVE_S,
+                    limit_per_host=_MAX_CONNECTIONS_PER_HOST,
+                    keepalive_timeout=_KEEPALIVE_TIMEOUT_S,
                     ssl=self._context if self._context is not None else True,
                 ),
                 cookie_jar=aiohttp.DummyCookieJar(),
@@ -116,12 +117,12 @@
         return self._session
 
 
-def _headers() -> dict[str, str]:
-    trace = traceparent()
-    return _JSON_HEADERS if trace is None else {**_JSON_HEADERS, "traceparent": trace}
+def _request_headers() -> dict[str, str]:
+    header = traceparent()
+    return _JSON_HEADERS if header is None else {**_JSON_HEADERS, "traceparent": header}
 
 
-def _read(status: int, body: bytes) -> dict[str, Any]:
+def _parse_reply(status: int, body: bytes) -> dict[str, Any]:
     try:
         value = orjson.loads(body)
     except orjson.JSONDecodeError as error:
--- a/packages/daemon/src/kingcuplug_daemon/_requests.py
+++ b/packages/daemon/src/kingcuplug_daemon/_request_models.py
@@ -9,7 +9,7 @@
 
 _Identifier = Annotated[str, StringConstraints(pattern=r"^[!-~]{1,128}$")]
 _Key = Annotated[str, StringConstraints(min_length=1, max_length=512)]
-_DEADLINE_LIMIT_MS = 3_600_000
+_MAX_DEADLINE_MS = 3_600_000
 
 
 class _RequestModel(BaseModel):
@@ -17,7 +17,7 @@
 
     body: Any
     request_id: _Identifier | None = None
-    deadline_ms: int | None = Field(default=None, le=_DEADLINE_LIMIT_MS)
+    deadline_ms: int | None = Field(default=None, le=_MAX_DEADLINE_MS)
     priority: Priority = Priority.NORMAL
 
 
@@ -27,10 +27,11 @@
     Attributes
     ----------
     deadline_ms : int or None
-        Time until the answer must be there; at most, and by default, the
-        service's ``deadline_ms``.
+        Time within which the answer is due; at most, and by default, the service's
+        ``deadline_ms``.
     minimum_coverage : float or None
-        Least served share of the wanted shards; by default the service's.
+        Least share of the requested shards that must be served; by default the
+        service's.
     partition_key : str or None
         Restricts the query to the shard that holds this key.
     """
@@ -46,11 +47,11 @@
     Attributes
     ----------
     idempotency_key : str
-        ``<issue time in ms since the epoch>-<random text>``; the same for every
-        resend of the same order.
+        ``<issue time in ms since the epoch>-<random text>``; every resend of the
+        order carries the same key.
     resend : bool
-        Whether the caller may have sent this order before. A refusal then says
-        ``outcome_unknown`` unless the ledger knows better.
+        Whether the caller may have sent this order before. A refusal is then of kind
+        ``outcome_unknown`` unless the ledger holds the outcome.
     """
 
     idempotency_key: _Identifier
--- a/packages/daemon/src/kingcuplug_daemon/_questions.py
+++ b/packages/daemon/src/kingcuplug_daemon/_state_reads.py
@@ -1,6 +1,6 @@
-"""Answers to questions about the shared state.
+"""Results of read requests about the replicated state.
 
-The caller has confirmed the state with the quorum before it asks.
+The control node confirms the state with a quorum before it calls these functions.
 """
 
 from collections.abc import Mapping
@@ -8,41 +8,48 @@
 
 from kingcuplug_membership import ServerEntry, SessionServer
 
-from kingcuplug_daemon._machine import SystemMachine
+from kingcuplug_daemon._state_machine import SystemStateMachine
 
-__all__ = ["configuration", "history", "hosts", "keys", "order", "servers"]
+__all__ = [
+    "configuration_history",
+    "current_configuration",
+    "known_servers",
+    "live_entry_hosts",
+    "order_state",
+    "public_keys",
+]
 
-_HISTORY_LIMIT = 1_000
+_MAX_HISTORY_CHANGES = 1_000
 
 
-def configuration(machine: SystemMachine) -> dict[str, Any]:
+def current_configuration(state_machine: SystemStateMachine) -> dict[str, Any]:
     """Return the revision in force."""
-    return machine.configuration.current._asdict()
+    return state_machine.configuration.current._asdict()
 
 
-def history(machine: SystemMachine) -> dict[str, Any]:
-    """Return the remembered changes, the newest first."""
-    changes = machine.configuration.recent(_HISTORY_LIMIT)
+def configuration_history(state_machine: SystemStateMachine) -> dict[str, Any]:
+    """Return the recorded changes, the newest first."""
+    changes = state_machine.configuration.recent(_MAX_HISTORY_CHANGES)
     return {"revisions": [change._asdict() for change in changes]}
 
 
-def order(machine: SystemMachine, key: str) -> dict[str, Any]:
-    """Return what happened to an order."""
-    record = machine.ledger.lookup(key)
+def order_state(state_machine: SystemStateMachine, key: str) -> dict[str, Any]:
+    """Return the ledger's state and explanation of an order."""
+    record = state_machine.ledger.lookup(key)
     return {
         "key": key,
-        "explanation": machine.ledger.explain(key),
+        "explanation": state_machine.ledger.explain(key),
         "state": None if record is None else record.state,
     }
 
 
-def keys(machine: SystemMachine) -> dict[str, Any]:
-    """Return the public keys that check receipts."""
-    return machine.keys.dump()
+def public_keys(state_machine: SystemStateMachine) -> dict[str, Any]:
+    """Return the public keys for verifying receipts."""
+    return state_machine.keys.dump()
 
 
-def hosts(sessions: SessionServer) -> dict[str, Any]:
-    """Return the entry hosts with a running lease."""
+def live_entry_hosts(sessions: SessionServer) -> dict[str, Any]:
+    """Return the entry hosts with a valid lease."""
     return {
         "hosts": [
             {
@@ -57,7 +64,7 @@
     }
 
 
-def servers(sessions: SessionServer) -> dict[str, Any]:
+def known_servers(sessions: SessionServer) -> dict[str, Any]:
     """Return all known backend servers."""
     directory = sessions.directory
     return {
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures shared by the tests that use whole deployments."""
+"""Deployments of whole hosts, for the tests of several folders."""
 
 import asyncio
 import contextlib
@@ -11,9 +11,9 @@
 from kingcuplug_cli._local import Group, LocalDeployment, Sizes
 
 _T = TypeVar("_T")
-_STEP_TIMEOUT_S = 60.0
+_CALL_TIMEOUT_S = 60.0
 
-SIZES = Sizes(
+DEPLOYMENT_SIZES = Sizes(
     ("zone-1", "zone-2"),
     0.0,
     0.0,
@@ -35,9 +35,9 @@
 
 
 class RunningDeployment:
-    """A deployment whose event loop runs in a thread of its own.
+    """A deployment whose event loop runs in a separate thread.
 
-    Tests then call the program like a person does, while the hosts answer it.
+    The hosts thus keep serving while a test calls the command line synchronously.
     """
 
     def __init__(self) -> None:
@@ -47,26 +47,26 @@
         self.local: LocalDeployment
         self.revision = 0
 
-    def run(self, work: Coroutine[Any, Any, _T]) -> _T:
+    def run(self, coroutine: Coroutine[Any, Any, _T]) -> _T:
         """Run a coroutine on the deployment's loop and return its result."""
-        return asyncio.run_coroutine_threadsafe(work, self._loop).result(
-            _STEP_TIMEOUT_S
+        return asyncio.run_coroutine_threadsafe(coroutine, self._loop).result(
+            _CALL_TIMEOUT_S
         )
 
     def start(self, **options: Any) -> None:
-        """Start hosts and stand-ins; `options` go to `LocalDeployment`."""
+        """Start hosts and simulated servers; `options` go to `LocalDeployment`."""
 
-        async def begin() -> None:
-            self.local = LocalDeployment(SIZES, **options)
+        async def start_local() -> None:
+            self.local = LocalDeployment(DEPLOYMENT_SIZES, **options)
             self.revision = await self.local.start(TEXT)
 
-        self.run(begin())
+        self.run(start_local())
 
     def stop(self) -> None:
-        """Stop everything."""
+        """Stop the hosts, the event loop and its thread."""
         self.run(self.local.stop())
         self._loop.call_soon_threadsafe(self._loop.stop)
-        self._thread.join(_STEP_TIMEOUT_S)
+        self._thread.join(_CALL_TIMEOUT_S)
         self._loop.close()
 
     def address(self, number: int = 0) -> str:
@@ -79,8 +79,8 @@
 
 
 @contextlib.contextmanager
-def running(**options: Any) -> Iterator[RunningDeployment]:
-    """Run a deployment."""
+def running_deployment(**options: Any) -> Iterator[RunningDeployment]:
+    """Run a deployment for the duration of the context."""
     deployment = RunningDeployment()
     deployment.start(**options)
     try:
@@ -91,12 +91,12 @@
 
 @contextlib.contextmanager
 def shared(folder: Path) -> Iterator[RunningDeployment]:
-    """Run the deployment that the tests of one folder share and leave as it was.
+    """Run the deployment that the tests of one folder share.
 
-    The fixture that calls this belongs to the folder's own conftest, so that no
-    host runs during the tests of other folders.
+    Tests must restore whatever they change. The fixture that calls this belongs to the
+    folder's own conftest, so that no host runs during the tests of other folders.
     """
-    with running(
+    with running_deployment(
         entry_hosts=2,
         control_hosts=1,
         operator_token="operator-secret",
--- a/tests/daemon/_certificates.py
+++ b/tests/daemon/_certificates.py
@@ -1,4 +1,4 @@
-"""Certificates of throw-away authorities."""
+"""Certificates of temporary certificate authorities."""
 
 import datetime
 import ipaddress
@@ -13,31 +13,31 @@
 _DAY = datetime.timedelta(days=1)
 
 
-class Authority:
+class CertificateAuthority:
     """Signs certificates for 127.0.0.1.
 
     Parameters
     ----------
     folder : Path
-        Gets the files.
+        Where all files are written.
     name : str
-        Common name and start of all file names.
+        Common name and prefix of all file names.
     """
 
     def __init__(self, folder: Path, name: str) -> None:
         self._folder = folder
         self._name = name
         self._key = ec.generate_private_key(ec.SECP256R1())
-        self._count = 0
-        certificate = self._builder(name, self._key.public_key(), None)
+        self._identity_count = 0
+        certificate = self._sign_certificate(name, self._key.public_key(), None)
         self.file = folder / f"{name}.pem"
         self.file.write_bytes(certificate)
 
-    def identity(self, trusted: Path | None = None) -> TlsSettings:
+    def issue_identity(self, trusted: Path | None = None) -> TlsSettings:
         """Return a new identity that trusts `trusted`, by default this authority."""
-        self._count += 1
-        stem = f"{self._name}-{self._count}"
-        return self.renew(
+        self._identity_count += 1
+        stem = f"{self._name}-{self._identity_count}"
+        return self.renew_identity(
             TlsSettings(
                 certificate=self._folder / f"{stem}.crt",
                 private_key=self._folder / f"{stem}.key",
@@ -45,8 +45,8 @@
             )
         )
 
-    def renew(self, tls: TlsSettings) -> TlsSettings:
-        """Write a new key and certificate into the files of an identity."""
+    def renew_identity(self, tls: TlsSettings) -> TlsSettings:
+        """Replace the key and certificate files of an identity by new ones."""
         key = ec.generate_private_key(ec.SECP256R1())
         tls.private_key.write_bytes(
             key.private_bytes(
@@ -56,11 +56,13 @@
             )
         )
         tls.certificate.write_bytes(
-            self._builder("host", key.public_key(), ipaddress.ip_address("127.0.0.1"))
+            self._sign_certificate(
+                "host", key.public_key(), ipaddress.ip_address("127.0.0.1")
+            )
         )
         return tls
 
-    def _builder(
+    def _sign_certificate(
         self,
         name: str,
         key: ec.EllipticCurvePublicKey,
@@ -80,7 +82,7 @@
             .add_extension(x509.BasicConstraints(address is None, None), critical=True)
         )
         if address is not None:
-            names = x509.SubjectAlternativeName([x509.IPAddress(address)])
-            builder = builder.add_extension(names, critical=False)
+            alternative_names = x509.SubjectAlternativeName([x509.IPAddress(address)])
+            builder = builder.add_extension(alternative_names, critical=False)
         certificate = builder.sign(self._key, hashes.SHA256())
         return certificate.public_bytes(serialization.Encoding.PEM)
