--- a/packages/testkit/src/kingcuplug_testkit/__init__.py
+++ b/packages/testkit/src/kingcuplug_testkit/__init__.py
@@ -7,7 +7,7 @@
 from kingcuplug_testkit._matrix import Cell, CellResult, run_cell
 from kingcuplug_testkit._network import FakeNetwork, LinkFaults
 from kingcuplug_testkit._processes import HostProcess, ProcessSet
-from kingcuplug_testkit._query_world import (
+from kingcuplug_testkit._query_harness import (
     KEY,
     NOW_MS,
     World,
