--- a/models/run.py
+++ b/models/run.py
@@ -19,15 +19,15 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-FOLDER = Path(__file__).parent
+MODELS_FOLDER = Path(__file__).parent
 MEMORY_LIMIT_MB = 1300  # Per verifier; three at once stay under 4 GB.
 LARGE_MEMORY_LIMIT_MB = 10_000
-DEPTH_LIMIT = 1_000_000  # Steps of the longest path; a longer one is reported.
-HASH_BITS = 24  # Size of the state table; affects speed only.
-MUTANT_HASH_BITS = 20
-LARGE_HASH_BITS = 26
-JOBS = 3
-FIRST_ASSERTION = 7700  # Numbers that occur nowhere else in the models.
+MAX_SEARCH_DEPTH = 1_000_000  # Steps of the longest path; a longer one is reported.
+HASH_TABLE_BITS = 24  # Size of the state table; affects speed only.
+MUTANT_HASH_TABLE_BITS = 20
+LARGE_HASH_TABLE_BITS = 26
+DEFAULT_JOBS = 3
+FIRST_ASSERTION_NUMBER = 7700  # Numbers that occur nowhere else in the models.
 
 
 @dataclass(frozen=True)
@@ -57,37 +57,37 @@
 
 
 @dataclass(frozen=True)
-class Result:
+class VerifierResult:
     """What the verifier reported for a case."""
 
-    found: str
+    outcome: str
     states: int
     depth: int
     memory_mb: float
     seconds: float
 
 
-def holds(model: str, variant: str, *defines: str, large: bool = False) -> Case:
+def expect_holds(model: str, variant: str, *defines: str, large: bool = False) -> Case:
     """Return a case in which every property holds in the whole state space."""
     return Case(model, variant, "holds", defines, large)
 
 
-def mutant(model: str, macro: str, violated: str, *defines: str) -> Case:
+def expect_violation(model: str, macro: str, violated: str, *defines: str) -> Case:
     """Return a case with a seeded fault that must violate the named property."""
-    return Case(model, _title(macro, defines), violated, (macro, *defines))
+    return Case(model, _variant_name(macro, defines), violated, (macro, *defines))
 
 
-def _title(macro: str, defines: tuple[str, ...]) -> str:
+def _variant_name(macro: str, defines: tuple[str, ...]) -> str:
     """Return the macro with the other mutants that are switched on beside it."""
-    return ", ".join([macro, *(name for name in defines if name in MUTANTS_BESIDE)])
+    return ", ".join([macro, *(name for name in defines if name in EXTRA_MUTANTS)])
 
 
-def reachable(model: str, macro: str, name: str, *defines: str) -> Case:
+def expect_reachable(model: str, macro: str, name: str, *defines: str) -> Case:
     """Return a case in which a wanted situation must be found."""
     return Case(model, macro, name, (macro, *defines))
 
 
-def finding(model: str, macro: str, violated: str, *defines: str) -> Case:
+def expect_finding(model: str, macro: str, violated: str, *defines: str) -> Case:
     """Return a case with a reading of the design that violates the property."""
     return Case(model, f"finding {macro}", violated, (macro, *defines))
 
@@ -98,110 +98,152 @@
 THREE_ENTRIES = ("MAX_TERM=2", "MAX_LOG=3")
 CLOCKS = ("ELECTION_TIMEOUT=12",)
 ONE_CHANGE = ("MAX_REVISION=1",)
-MUTANTS_BESIDE = ("EQUAL_REVISIONS_ACCEPTED", "OLDER_BARRIER")
+EXTRA_MUTANTS = ("EQUAL_REVISIONS_ACCEPTED", "OLDER_BARRIER")
 THREE_ATTEMPTS = ("MAX_ATTEMPTS=3", "MAX_TOKENS=4", "SLOTS=3")
 OLDER_BARRIER = ("OLDER_BARRIER", "RESTART_MAY_REVERT", *ONE_CHANGE)
 
 CASES = [
-    holds("replication", "3 terms, 2 entries", *TWO_ENTRIES),
-    holds("replication", "4 terms, 1 entry", *FOUR_TERMS),
-    mutant("replication", "VOTE_NOT_DURABLE", "one-leader-per-term"),
-    mutant("replication", "EMPTY_DISK_VOTES", "one-leader-per-term"),
-    mutant("replication", "ACK_BEFORE_FSYNC", "accepted-entry-kept"),
-    mutant("replication", "LEADER_COUNTS_UNSYNCED", "accepted-entry-kept"),
-    mutant("replication", "VOTE_IGNORES_LOG", "accepted-entry-kept"),
-    mutant("replication", "COMMIT_OLDER_TERM", "accepted-entry-kept", *FOUR_TERMS),
-    reachable("replication", "REACH_LEADER", "leader-elected"),
-    reachable("replication", "REACH_LATER_LEADER", "leader-after-accepted-entry"),
-    reachable("replication", "REACH_COMMIT", "entry-committed"),
-    reachable("replication", "REACH_COMMIT_BY_TWO_LEADERS", "committed-by-two-leaders"),
-    holds("voters", "3 terms, 2 entries", "MAX_LOSSES=0", *TWO_ENTRIES),
-    holds("voters", "4 voters, 2 terms, 2 entries", *FOUR_VOTERS, "MAX_TERM=2"),
-    holds("voters", "2 terms, 3 entries, lost disk", *THREE_ENTRIES),
-    mutant("voters", "EMPTY_DISK_VOTES", "one-leader-per-term", "MAX_TERM=2"),
-    mutant("voters", "TWO_CHANGES_AT_ONCE", "accepted-entry-kept", *THREE_ENTRIES),
-    mutant("voters", "REPLACE_IN_ONE_STEP", "one-leader-per-term", *THREE_ENTRIES),
-    mutant("voters", "COUNT_LEARNERS", "accepted-entry-kept"),
-    mutant(
+    expect_holds("replication", "3 terms, 2 entries", *TWO_ENTRIES),
+    expect_holds("replication", "4 terms, 1 entry", *FOUR_TERMS),
+    expect_violation("replication", "VOTE_NOT_DURABLE", "one-leader-per-term"),
+    expect_violation("replication", "EMPTY_DISK_VOTES", "one-leader-per-term"),
+    expect_violation("replication", "ACK_BEFORE_FSYNC", "accepted-entry-kept"),
+    expect_violation("replication", "LEADER_COUNTS_UNSYNCED", "accepted-entry-kept"),
+    expect_violation("replication", "VOTE_IGNORES_LOG", "accepted-entry-kept"),
+    expect_violation(
+        "replication", "COMMIT_OLDER_TERM", "accepted-entry-kept", *FOUR_TERMS
+    ),
+    expect_reachable("replication", "REACH_LEADER", "leader-elected"),
+    expect_reachable(
+        "replication", "REACH_LATER_LEADER", "leader-after-accepted-entry"
+    ),
+    expect_reachable("replication", "REACH_COMMIT", "entry-committed"),
+    expect_reachable(
+        "replication", "REACH_COMMIT_BY_TWO_LEADERS", "committed-by-two-leaders"
+    ),
+    expect_holds("voters", "3 terms, 2 entries", "MAX_LOSSES=0", *TWO_ENTRIES),
+    expect_holds("voters", "4 voters, 2 terms, 2 entries", *FOUR_VOTERS, "MAX_TERM=2"),
+    expect_holds("voters", "2 terms, 3 entries, lost disk", *THREE_ENTRIES),
+    expect_violation("voters", "EMPTY_DISK_VOTES", "one-leader-per-term", "MAX_TERM=2"),
+    expect_violation(
+        "voters", "TWO_CHANGES_AT_ONCE", "accepted-entry-kept", *THREE_ENTRIES
+    ),
+    expect_violation(
+        "voters", "REPLACE_IN_ONE_STEP", "one-leader-per-term", *THREE_ENTRIES
+    ),
+    expect_violation("voters", "COUNT_LEARNERS", "accepted-entry-kept"),
+    expect_violation(
         "voters",
         "CHANGE_BEFORE_OWN_COMMIT",
         "one-leader-per-term",
         *FOUR_VOTERS,
         "MAX_LOG=1",
     ),
-    reachable("voters", "REACH_LEARNER_VOTES", "learner-became-voter"),
-    reachable("voters", "REACH_LEARNER_LEADS", "new-identity-leads"),
-    reachable("voters", "REACH_REPAIR", "voter-replaced", *THREE_ENTRIES),
-    holds("formation", "three seeds, one lost disk"),
-    mutant("formation", "FOUND_AT_ANY_START", "one-group"),
-    mutant("formation", "ANY_SEED_FOUNDS", "one-group"),
-    mutant("formation", "ACK_WHILE_FORMING", "acknowledged-document-kept"),
-    holds("formation", "most of the seeds", "FORMATION_TIMES_OUT"),
-    reachable("formation", "REACH_FORMED", "all-seeds-joined"),
-    reachable("formation", "REACH_ACK", "document-acknowledged"),
-    holds("lease", "timeout of 6 units"),
-    finding("lease", "DRIFT_PER_CLOCK", "no-superseded-read", *CLOCKS),
-    mutant("lease", "LEASE_IGNORES_DRIFT", "no-superseded-read"),
-    mutant("lease", "LEASE_FROM_RECEIPT", "no-superseded-read"),
-    mutant("lease", "VOTE_AFTER_RESTART", "no-superseded-read"),
-    mutant("lease", "NO_STICKINESS", "no-superseded-read"),
-    mutant("lease", "STANDS_DESPITE_PROMISE", "no-superseded-read"),
-    finding("lease", "READ_BEFORE_OWN_COMMIT", "no-superseded-read"),
-    reachable("lease", "REACH_READ_BY_LATER_LEADER", "read-by-later-leader"),
-    reachable("lease", "REACH_READ_BESIDE_LATER_LEADER", "read-beside-later-term"),
-    holds("sessions", "1 relay, 1 change", *ONE_CHANGE),
-    holds("sessions", "OLDER_BARRIER, no revert check", *OLDER_BARRIER),
-    finding("sessions", "OLDER_BARRIER", "never-reverts", *ONE_CHANGE),
-    finding("sessions", "REPORTED_SESSIONS_ONLY", "in-force-everywhere", *ONE_CHANGE),
-    finding("sessions", "RELAY_FORGETS_SESSIONS", "in-force-everywhere", *ONE_CHANGE),
-    mutant("sessions", "ENTRY_IGNORES_DRIFT", "in-force-everywhere", *ONE_CHANGE),
-    mutant("sessions", "RELAY_IGNORES_DRIFT", "in-force-everywhere", *OLDER_BARRIER),
-    mutant(
+    expect_reachable("voters", "REACH_LEARNER_VOTES", "learner-became-voter"),
+    expect_reachable("voters", "REACH_LEARNER_LEADS", "new-identity-leads"),
+    expect_reachable("voters", "REACH_REPAIR", "voter-replaced", *THREE_ENTRIES),
+    expect_holds("formation", "three seeds, one lost disk"),
+    expect_violation("formation", "FOUND_AT_ANY_START", "one-group"),
+    expect_violation("formation", "ANY_SEED_FOUNDS", "one-group"),
+    expect_violation("formation", "ACK_WHILE_FORMING", "acknowledged-document-kept"),
+    expect_holds("formation", "most of the seeds", "FORMATION_TIMES_OUT"),
+    expect_reachable("formation", "REACH_FORMED", "all-seeds-joined"),
+    expect_reachable("formation", "REACH_ACK", "document-acknowledged"),
+    expect_holds("lease", "timeout of 6 units"),
+    expect_finding("lease", "DRIFT_PER_CLOCK", "no-superseded-read", *CLOCKS),
+    expect_violation("lease", "LEASE_IGNORES_DRIFT", "no-superseded-read"),
+    expect_violation("lease", "LEASE_FROM_RECEIPT", "no-superseded-read"),
+    expect_violation("lease", "VOTE_AFTER_RESTART", "no-superseded-read"),
+    expect_violation("lease", "NO_STICKINESS", "no-superseded-read"),
+    expect_violation("lease", "STANDS_DESPITE_PROMISE", "no-superseded-read"),
+    expect_finding("lease", "READ_BEFORE_OWN_COMMIT", "no-superseded-read"),
+    expect_reachable("lease", "REACH_READ_BY_LATER_LEADER", "read-by-later-leader"),
+    expect_reachable(
+        "lease", "REACH_READ_BESIDE_LATER_LEADER", "read-beside-later-term"
+    ),
+    expect_holds("sessions", "1 relay, 1 change", *ONE_CHANGE),
+    expect_holds("sessions", "OLDER_BARRIER, no revert check", *OLDER_BARRIER),
+    expect_finding("sessions", "OLDER_BARRIER", "never-reverts", *ONE_CHANGE),
+    expect_finding(
+        "sessions", "REPORTED_SESSIONS_ONLY", "in-force-everywhere", *ONE_CHANGE
+    ),
+    expect_finding(
+        "sessions", "RELAY_FORGETS_SESSIONS", "in-force-everywhere", *ONE_CHANGE
+    ),
+    expect_violation(
+        "sessions", "ENTRY_IGNORES_DRIFT", "in-force-everywhere", *ONE_CHANGE
+    ),
+    expect_violation(
+        "sessions", "RELAY_IGNORES_DRIFT", "in-force-everywhere", *OLDER_BARRIER
+    ),
+    expect_violation(
         "sessions", "RELAY_GRANTS_FULL_LEASE", "in-force-everywhere", *OLDER_BARRIER
     ),
-    mutant("sessions", "LEASE_FROM_RECEIPT", "in-force-everywhere", *ONE_CHANGE),
-    mutant("sessions", "NEW_LEADER_DOES_NOT_WAIT", "in-force-everywhere", *ONE_CHANGE),
-    mutant("sessions", "CONFIRMED_BY_SENDING", "in-force-everywhere", *ONE_CHANGE),
-    reachable("sessions", "REACH_IN_FORCE", "in-force", *ONE_CHANGE),
-    reachable("sessions", "REACH_IN_FORCE_BY_RELAY", "in-force-by-relay", *ONE_CHANGE),
-    reachable("sessions", "REACH_LEASE_BY_RELAY", "lease-by-relay", *ONE_CHANGE),
-    holds("orders", "3 attempts", *THREE_ATTEMPTS),
-    mutant("orders", "DISPATCH_WITHOUT_TOKEN", "one-dispatch", *THREE_ATTEMPTS),
-    mutant("orders", "TAKEOVER_AFTER_DISPATCH", "one-dispatch", *THREE_ATTEMPTS),
-    mutant("orders", "SEND_BEFORE_DISPATCH", "one-dispatch", *THREE_ATTEMPTS),
-    mutant("orders", "SEND_WITHOUT_ANSWER", "one-dispatch", *THREE_ATTEMPTS),
-    mutant("orders", "NOT_DURABLE=CLAIM", "claim-kept", *THREE_ATTEMPTS),
-    mutant("orders", "NOT_DURABLE=DISPATCH", "one-dispatch", *THREE_ATTEMPTS),
-    mutant("orders", "NOT_DURABLE=RELEASE", "not-run-is-true", *THREE_ATTEMPTS),
-    mutant("orders", "NOT_RUN_AFTER_LOST_ANSWER", "not-run-is-true", *THREE_ATTEMPTS),
-    finding("orders", "RELEASE_FREES", "not-run-is-true", *THREE_ATTEMPTS),
-    finding("orders", "EARLY_NOT_RUN", "not-run-is-true", *THREE_ATTEMPTS),
-    reachable("orders", "REACH_DONE", "done", *THREE_ATTEMPTS),
-    reachable("orders", "REACH_DONE_BY_RESEND", "done-by-resend", *THREE_ATTEMPTS),
-    reachable(
+    expect_violation(
+        "sessions", "LEASE_FROM_RECEIPT", "in-force-everywhere", *ONE_CHANGE
+    ),
+    expect_violation(
+        "sessions", "NEW_LEADER_DOES_NOT_WAIT", "in-force-everywhere", *ONE_CHANGE
+    ),
+    expect_violation(
+        "sessions", "CONFIRMED_BY_SENDING", "in-force-everywhere", *ONE_CHANGE
+    ),
+    expect_reachable("sessions", "REACH_IN_FORCE", "in-force", *ONE_CHANGE),
+    expect_reachable(
+        "sessions", "REACH_IN_FORCE_BY_RELAY", "in-force-by-relay", *ONE_CHANGE
+    ),
+    expect_reachable("sessions", "REACH_LEASE_BY_RELAY", "lease-by-relay", *ONE_CHANGE),
+    expect_holds("orders", "3 attempts", *THREE_ATTEMPTS),
+    expect_violation(
+        "orders", "DISPATCH_WITHOUT_TOKEN", "one-dispatch", *THREE_ATTEMPTS
+    ),
+    expect_violation(
+        "orders", "TAKEOVER_AFTER_DISPATCH", "one-dispatch", *THREE_ATTEMPTS
+    ),
+    expect_violation("orders", "SEND_BEFORE_DISPATCH", "one-dispatch", *THREE_ATTEMPTS),
+    expect_violation("orders", "SEND_WITHOUT_ANSWER", "one-dispatch", *THREE_ATTEMPTS),
+    expect_violation("orders", "NOT_DURABLE=CLAIM", "claim-kept", *THREE_ATTEMPTS),
+    expect_violation("orders", "NOT_DURABLE=DISPATCH", "one-dispatch", *THREE_ATTEMPTS),
+    expect_violation(
+        "orders", "NOT_DURABLE=RELEASE", "not-run-is-true", *THREE_ATTEMPTS
+    ),
+    expect_violation(
+        "orders", "NOT_RUN_AFTER_LOST_ANSWER", "not-run-is-true", *THREE_ATTEMPTS
+    ),
+    expect_finding("orders", "RELEASE_FREES", "not-run-is-true", *THREE_ATTEMPTS),
+    expect_finding("orders", "EARLY_NOT_RUN", "not-run-is-true", *THREE_ATTEMPTS),
+    expect_reachable("orders", "REACH_DONE", "done", *THREE_ATTEMPTS),
+    expect_reachable(
+        "orders", "REACH_DONE_BY_RESEND", "done-by-resend", *THREE_ATTEMPTS
+    ),
+    expect_reachable(
         "orders", "REACH_DONE_AFTER_TAKEOVER", "done-after-takeover", *THREE_ATTEMPTS
     ),
-    reachable("orders", "REACH_NOT_RUN", "not-run", *THREE_ATTEMPTS),
-    holds("history", "2 operators"),
-    holds("history", "3 operators", "OPERATORS=3"),
-    mutant("history", "EQUAL_REVISIONS_ACCEPTED", "one-winner-per-base"),
-    mutant("history", "RESEND_IS_NEW", "conflict-is-true"),
-    mutant(
+    expect_reachable("orders", "REACH_NOT_RUN", "not-run", *THREE_ATTEMPTS),
+    expect_holds("history", "2 operators"),
+    expect_holds("history", "3 operators", "OPERATORS=3"),
+    expect_violation("history", "EQUAL_REVISIONS_ACCEPTED", "one-winner-per-base"),
+    expect_violation("history", "RESEND_IS_NEW", "conflict-is-true"),
+    expect_violation(
         "history",
         "RESEND_IS_NEW",
         "change-applied-once",
         "EQUAL_REVISIONS_ACCEPTED",
     ),
-    reachable("history", "REACH_CONFLICT", "conflict"),
-    reachable("history", "REACH_ACCEPTED_BY_RESEND", "accepted-by-resend"),
-    holds("retention", "retention changes"),
-    holds("retention", "fixed, no floor", "FIXED_RETENTION", "NO_PURGE_FLOOR"),
-    finding("retention", "NO_PURGE_FLOOR", "claimed-once"),
-    mutant("retention", "LEDGER_TIME_GOES_BACK", "claimed-once", "FIXED_RETENTION"),
-    mutant("retention", "PURGE_BEFORE_EXPIRY", "claimed-once", "FIXED_RETENTION"),
-    reachable("retention", "REACH_PURGE", "purge"),
-    reachable("retention", "REACH_EXPIRED", "key-expired"),
-    holds(
+    expect_reachable("history", "REACH_CONFLICT", "conflict"),
+    expect_reachable("history", "REACH_ACCEPTED_BY_RESEND", "accepted-by-resend"),
+    expect_holds("retention", "retention changes"),
+    expect_holds("retention", "fixed, no floor", "FIXED_RETENTION", "NO_PURGE_FLOOR"),
+    expect_finding("retention", "NO_PURGE_FLOOR", "claimed-once"),
+    expect_violation(
+        "retention", "LEDGER_TIME_GOES_BACK", "claimed-once", "FIXED_RETENTION"
+    ),
+    expect_violation(
+        "retention", "PURGE_BEFORE_EXPIRY", "claimed-once", "FIXED_RETENTION"
+    ),
+    expect_reachable("retention", "REACH_PURGE", "purge"),
+    expect_reachable("retention", "REACH_EXPIRED", "key-expired"),
+    expect_holds(
         "orders",
         "4 attempts",
         "MAX_ATTEMPTS=4",
@@ -209,9 +251,9 @@
         "SLOTS=3",
         large=True,
     ),
-    holds("voters", "3 terms, 2 entries, lost disk", *TWO_ENTRIES, large=True),
-    holds("lease", "timeout of 12 units", *CLOCKS, large=True),
-    holds(
+    expect_holds("voters", "3 terms, 2 entries, lost disk", *TWO_ENTRIES, large=True),
+    expect_holds("lease", "timeout of 12 units", *CLOCKS, large=True),
+    expect_holds(
         "lease",
         "LEASE_FOR_BOTH_CLOCKS",
         "DRIFT_PER_CLOCK",
@@ -219,55 +261,64 @@
         *CLOCKS,
         large=True,
     ),
-    holds(
+    expect_holds(
         "voters",
         "4 voters, 3 terms, 2 entries",
         *FOUR_VOTERS,
         *TWO_ENTRIES,
         large=True,
     ),
-    holds("sessions", "1 relay, 2 changes", "MAX_REVISION=2", large=True),
-    holds("sessions", "2 relays, 1 change", "RELAYS=2", *ONE_CHANGE, large=True),
-    holds("replication", "4 terms, 2 entries", "MAX_TERM=4", "MAX_LOG=2", large=True),
+    expect_holds("sessions", "1 relay, 2 changes", "MAX_REVISION=2", large=True),
+    expect_holds("sessions", "2 relays, 1 change", "RELAYS=2", *ONE_CHANGE, large=True),
+    expect_holds(
+        "replication", "4 terms, 2 entries", "MAX_TERM=4", "MAX_LOG=2", large=True
+    ),
 ]
 
 
-def verify(case: Case) -> Result:
+def verify(case: Case) -> VerifierResult:
     """Generate, compile and run the verifier of a case in a temporary folder."""
     started = time.monotonic()
     with tempfile.TemporaryDirectory(prefix="kingcuplug-models-") as name:
         folder = Path(name)
-        source, names = _number_assertions((FOLDER / f"{case.model}.pml").read_text())
+        source, names = _number_assertions(
+            (MODELS_FOLDER / f"{case.model}.pml").read_text()
+        )
         (folder / "model.pml").write_text(source)
         macros = [f"-D{macro}" for macro in case.defines]
-        _command(folder, "spin", *macros, "-a", "model.pml")
+        _run_command(folder, "spin", *macros, "-a", "model.pml")
         memory_mb = LARGE_MEMORY_LIMIT_MB if case.large else MEMORY_LIMIT_MB
         # Mutants and reachability checks end early, so compile time dominates.
         optimise = "-O2" if case.expected == "holds" else "-O0"
         options = [optimise, "-w", "-DSAFETY", f"-DMEMLIM={memory_mb}"]
         if case.large:
             options.append("-DCOLLAPSE")  # Less memory, about half the speed.
-        _command(folder, "gcc", *options, "-o", "verifier", "pan.c")
-        bits = HASH_BITS if case.expected == "holds" else MUTANT_HASH_BITS
+        _run_command(folder, "gcc", *options, "-o", "verifier", "pan.c")
+        bits = HASH_TABLE_BITS if case.expected == "holds" else MUTANT_HASH_TABLE_BITS
         if case.large:
-            bits = LARGE_HASH_BITS
-        report = _command(
-            folder, "./verifier", f"-m{DEPTH_LIMIT}", f"-w{bits}", "-n", check=False
+            bits = LARGE_HASH_TABLE_BITS
+        report = _run_command(
+            folder,
+            "./verifier",
+            f"-m{MAX_SEARCH_DEPTH}",
+            f"-w{bits}",
+            "-n",
+            check=False,
         )
     violated = re.search(
-        rf"assertion violated \D*({FIRST_ASSERTION // 100}\d\d)", report
+        rf"assertion violated \D*({FIRST_ASSERTION_NUMBER // 100}\d\d)", report
     )
-    found = names[int(violated[1])] if violated else _verdict(report)
-    return Result(
+    found = names[int(violated[1])] if violated else _search_verdict(report)
+    return VerifierResult(
         found,
-        int(_number(r"(\d+) states, stored", report)),
-        int(_number(r"depth reached (\d+)", report)),
-        _number(r"([\d.]+)\s+total actual memory usage", report),
+        int(_parse_number(r"(\d+) states, stored", report)),
+        int(_parse_number(r"depth reached (\d+)", report)),
+        _parse_number(r"([\d.]+)\s+total actual memory usage", report),
         time.monotonic() - started,
     )
 
 
-def _command(folder: Path, *command: str, check: bool = True) -> str:
+def _run_command(folder: Path, *command: str, check: bool = True) -> str:
     """Return the output of a command; a failure raises with that output."""
     done = subprocess.run(
         command,
@@ -296,13 +347,13 @@
         above = re.findall(
             r"/\* (?:Property|Reachable) ([a-z0-9-]+)", parts[position - 1]
         )
-        number = FIRST_ASSERTION + len(names)
+        number = FIRST_ASSERTION_NUMBER + len(names)
         names[number] = above[-1] if above else "assertion without a name"
         parts[position] = f"assert(!{number} || "
     return "".join(parts), names
 
 
-def _verdict(report: str) -> str:
+def _search_verdict(report: str) -> str:
     """Return ``holds`` or the reason why the search gives no verdict."""
     if "pan:1:" in report:
         return "error: " + report.split("pan:1:")[1].splitlines()[0].strip()
@@ -315,7 +366,7 @@
     return "holds"
 
 
-def _number(pattern: str, report: str) -> float:
+def _parse_number(pattern: str, report: str) -> float:
     """Return the number that a pattern finds in the report, or 0."""
     match = re.search(pattern, report)
     return float(match[1]) if match else 0
@@ -326,7 +377,9 @@
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--size", choices=["ci", "large"], default="ci")
     parser.add_argument("--model", help="run this model only")
-    parser.add_argument("--jobs", type=int, default=min(JOBS, os.cpu_count() or 1))
+    parser.add_argument(
+        "--jobs", type=int, default=min(DEFAULT_JOBS, os.cpu_count() or 1)
+    )
     arguments = parser.parse_args()
     large = arguments.size == "large"
     cases = [
@@ -360,7 +413,7 @@
                     case.model,
                     case.variant,
                     case.expected,
-                    result.found,
+                    result.outcome,
                     result.states,
                     result.depth,
                     f"{result.memory_mb:.0f}",
@@ -368,7 +421,7 @@
                 ),
                 flush=True,
             )
-            failed += result.found != case.expected
+            failed += result.outcome != case.expected
     print(f"{len(cases) - failed} passed, {failed} failed")
     return 1 if failed or not cases else 0
 
--- a/packages/testkit/src/kingcuplug_testkit/__init__.py
+++ b/packages/testkit/src/kingcuplug_testkit/__init__.py
@@ -1,10 +1,10 @@
 """Test support: virtual-time event loop and fakes for network and disk."""
 
-from kingcuplug_testkit._disk import Crashed, FakeDisk, FakeFileSystem, Trap
+from kingcuplug_testkit._disk import FakeDisk, FakeFileSystem, HostCrashed, Trap
 from kingcuplug_testkit._faults import FAULTS, Fault
-from kingcuplug_testkit._invariants import Invariants, InvariantViolated
-from kingcuplug_testkit._log_group import Host, LogGroup, RecordingMachine
-from kingcuplug_testkit._matrix import Cell, CellResult, run_cell
+from kingcuplug_testkit._invariants import InvariantChecker, InvariantViolated
+from kingcuplug_testkit._log_group import Host, LogGroup, RecordingStateMachine
+from kingcuplug_testkit._matrix import CellResult, MatrixCell, run_cell
 from kingcuplug_testkit._network import FakeNetwork, LinkFaults
 from kingcuplug_testkit._processes import HostProcess, ProcessSet
 from kingcuplug_testkit._query_harness import (
@@ -15,7 +15,7 @@
     order,
     query,
 )
-from kingcuplug_testkit._steps import STEPS, Step
+from kingcuplug_testkit._steps import STEPS, ProtocolStep
 from kingcuplug_testkit._virtual_time import VirtualTimeLoop, run_virtual
 
 __all__ = [
@@ -23,22 +23,22 @@
     "KEY",
     "NOW_MS",
     "STEPS",
-    "Cell",
     "CellResult",
-    "Crashed",
     "FakeDisk",
     "FakeFileSystem",
     "FakeNetwork",
     "Fault",
     "Host",
+    "HostCrashed",
     "HostProcess",
+    "InvariantChecker",
     "InvariantViolated",
-    "Invariants",
     "LinkFaults",
     "LogGroup",
+    "MatrixCell",
     "ProcessSet",
-    "RecordingMachine",
-    "Step",
+    "ProtocolStep",
+    "RecordingStateMachine",
     "Trap",
     "VirtualTimeLoop",
     "World",
--- a/packages/testkit/src/kingcuplug_testkit/_disk.py
+++ b/packages/testkit/src/kingcuplug_testkit/_disk.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass, field
 from random import Random
 
-__all__ = ["Crashed", "FakeDisk", "FakeFileSystem", "Trap"]
+__all__ = ["FakeDisk", "FakeFileSystem", "HostCrashed", "Trap"]
 
-_SYNC_S = 0.001
-_GARBLED_SHARE = 0.3
-_TORN_BYTES = 14  # The header of a record and a part of its payload.
+_SYNC_DURATION_S = 0.001
+_CORRUPT_TAIL_PROBABILITY = 0.3
+_TORN_RECORD_BYTES = 14  # The header of a record and a part of its payload.
 
 
-class Crashed(OSError):
+class HostCrashed(OSError):
     """The host has crashed; its process does nothing more."""
 
 
@@ -40,38 +40,42 @@
         The call, as (method, file name), that must have come directly before.
     """
 
-    call: str = "*"
-    name: str = "*"
-    moment: str = "before"
+    method: str = "*"
+    file_name: str = "*"
+    timing: str = "before"
     error: int | None = None
-    follows: tuple[str, str] | None = None
+    preceding_call: tuple[str, str] | None = None
 
-    def matches(self, call: str, name: str, before: tuple[str, str] | None) -> bool:
+    def matches(
+        self, method: str, file_name: str, preceding_call: tuple[str, str] | None
+    ) -> bool:
         """Return whether this call is meant."""
-        if self.call not in ("*", call) or self.name not in ("*", name):
+        if self.method not in ("*", method) or self.file_name not in ("*", file_name):
             return False
-        return self.follows in (None, before)
+        return self.preceding_call in (None, preceding_call)
 
 
 @dataclass
 class _File:
     durable: bytes = b""
     current: bytearray = field(default_factory=bytearray)
-    dropped: bool = False
+    sync_failed: bool = False
 
     def crash(self, random: Random) -> None:
         if self.current[: len(self.durable)] != self.durable:
             kept = random.choice([self.durable, bytes(self.current)])
         else:
-            kept = self.durable + _torn(self.current[len(self.durable) :], random)
+            kept = self.durable + _torn_prefix(
+                self.current[len(self.durable) :], random
+            )
         self.durable = kept
         self.current = bytearray(kept)
-        self.dropped = False
+        self.sync_failed = False
 
 
-def _torn(extra: bytearray, random: Random) -> bytes:
-    kept = bytearray(extra[: random.randint(0, len(extra))])
-    if kept and random.random() < _GARBLED_SHARE:
+def _torn_prefix(unsynced: bytearray, random: Random) -> bytes:
+    kept = bytearray(unsynced[: random.randint(0, len(unsynced))])
+    if kept and random.random() < _CORRUPT_TAIL_PROBABILITY:
         kept[-1] ^= 0xFF
     return bytes(kept)
 
@@ -91,18 +95,18 @@
         Number of calls after which the host crashes.
     """
 
-    def __init__(self, random: Random, sync_s: float = _SYNC_S) -> None:
+    def __init__(self, random: Random, sync_s: float = _SYNC_DURATION_S) -> None:
         self.random = random
         self.sync_s = sync_s
         self.generation = 0
         self.traps: list[Trap] = []
-        self.sprung: list[Trap] = []
+        self.triggered: list[Trap] = []
         self.on_crash: Callable[[], None] = lambda: None
         self.calls: list[tuple[str, str]] = []
         self.crash_at: int | None = None
         self.names: dict[str, _File] = {}
-        self.durable_names: dict[str, _File] = {}
-        self.pending: list[tuple[str, str | None, _File | None]] = []
+        self.durable_files: dict[str, _File] = {}
+        self.unsynced_name_changes: list[tuple[str, str | None, _File | None]] = []
 
     def mount(self) -> "FakeFileSystem":
         """Return the file system for one run of the host's process."""
@@ -111,47 +115,51 @@
     def crash(self) -> None:
         """Lose a random part of what was not synced and end the process."""
         self.generation += 1
-        for change in self.pending[: self.random.randint(0, len(self.pending))]:
-            self._rename_durably(change)
-        self.pending.clear()
-        self.names = dict(self.durable_names)
+        for change in self.unsynced_name_changes[
+            : self.random.randint(0, len(self.unsynced_name_changes))
+        ]:
+            self._apply_name_change(change)
+        self.unsynced_name_changes.clear()
+        self.names = dict(self.durable_files)
         for name in sorted(self.names):
             self.names[name].crash(self.random)
         self.on_crash()
 
-    def kill(self) -> None:
+    def kill_process(self) -> None:
         """End the process only; the system keeps what was not synced."""
         self.generation += 1
         self.on_crash()
 
     def lose(self) -> None:
         """Lose everything; an empty disk takes its place."""
-        self.pending.clear()
-        self.names, self.durable_names = {}, {}
+        self.unsynced_name_changes.clear()
+        self.names, self.durable_files = {}, {}
         self.generation += 1
         self.on_crash()
 
     def sync_names(self) -> None:
         """Make all changes of names durable."""
-        for change in self.pending:
-            self._rename_durably(change)
-        self.pending.clear()
+        for change in self.unsynced_name_changes:
+            self._apply_name_change(change)
+        self.unsynced_name_changes.clear()
 
-    def meet(self, call: str, name: str, moment: str) -> Trap | None:
+    def trigger_failpoint(
+        self, method: str, file_name: str, timing: str
+    ) -> Trap | None:
         """Return the trap that this call springs, if any, and disarm it."""
-        position = -1 if moment == "before" else -2
+        position = -1 if timing == "before" else -2
         before = self.calls[position] if len(self.calls) >= -position else None
         for trap in self.traps:
-            if trap.moment == moment and trap.matches(call, name, before):
+            if trap.timing == timing and trap.matches(method, file_name, before):
                 self.traps.remove(trap)
-                self.sprung.append(trap)
+                self.triggered.append(trap)
                 return trap
         return None
 
     def tear(self, name: str) -> None:
         """Leave half a record at the end of a file, as a crash in a write can."""
         file = self.names.get(name, _File())
-        file.durable += file.durable[:_TORN_BYTES]
+        file.durable += file.durable[:_TORN_RECORD_BYTES]
         file.current = bytearray(file.durable)
 
     def damage(self, name: str, offset: int) -> None:
@@ -160,14 +168,14 @@
         file.current[offset] ^= 0xFF
         file.durable = bytes(file.current)
 
-    def _rename_durably(self, change: tuple[str, str | None, _File | None]) -> None:
+    def _apply_name_change(self, change: tuple[str, str | None, _File | None]) -> None:
         new, old, file = change
         if old is not None:
-            self.durable_names.pop(old, None)
+            self.durable_files.pop(old, None)
         if file is None:
-            self.durable_names.pop(new, None)
+            self.durable_files.pop(new, None)
         else:
-            self.durable_names[new] = file
+            self.durable_files[new] = file
 
 
 class FakeFileSystem:
@@ -176,116 +184,118 @@
     def __init__(self, disk: FakeDisk, generation: int) -> None:
         self._disk = disk
         self._generation = generation
-        self._open: dict[int, tuple[str, _File]] = {}
+        self._open_files: dict[int, tuple[str, _File]] = {}
         self._next_handle = 1
 
     def open_append(self, name: str) -> int:
         """Open a file for appending, create it if absent; return its handle."""
-        self._enter("open_append", name)
+        self._before_call("open_append", name)
         if name not in self._disk.names:
             self._disk.names[name] = _File()
-            self._disk.pending.append((name, None, self._disk.names[name]))
+            self._disk.unsynced_name_changes.append(
+                (name, None, self._disk.names[name])
+            )
         handle, self._next_handle = self._next_handle, self._next_handle + 1
-        self._open[handle] = (name, self._disk.names[name])
-        self._leave("open_append", name)
+        self._open_files[handle] = (name, self._disk.names[name])
+        self._after_call("open_append", name)
         return handle
 
     def write(self, handle: int, data: bytes) -> None:
         """Append all of `data`; a failing write appends a part of it."""
-        name, file = self._open[handle]
+        name, file = self._open_files[handle]
         try:
-            self._enter("write", name)
+            self._before_call("write", name)
         except OSError as error:
-            if not isinstance(error, Crashed):
+            if not isinstance(error, HostCrashed):
                 file.current += data[: self._disk.random.randint(0, len(data))]
             raise
         file.current += data
-        self._leave("write", name)
+        self._after_call("write", name)
 
     async def sync(self, handle: int) -> None:
         """Make the content durable; a failing sync drops it for ever."""
-        name, file = self._open[handle]
+        name, file = self._open_files[handle]
         try:
-            self._enter("sync", name)
+            self._before_call("sync", name)
         except OSError as error:
-            file.dropped = not isinstance(error, Crashed)
+            file.sync_failed = not isinstance(error, HostCrashed)
             raise
         content = bytes(file.current)
         await asyncio.sleep(self._disk.sync_s)
-        self._check()
-        if not file.dropped:
+        self._raise_if_crashed()
+        if not file.sync_failed:
             file.durable = content
-        self._leave("sync", name)
+        self._after_call("sync", name)
 
     def close(self, handle: int) -> None:
         """Close a handle."""
-        del self._open[handle]
+        del self._open_files[handle]
 
     def rename(self, old: str, new: str) -> None:
         """Rename a file and replace any file that has the new name."""
-        self._enter("rename", new)
+        self._before_call("rename", new)
         file = self._disk.names.pop(old)
         self._disk.names[new] = file
-        self._disk.pending.append((new, old, file))
-        for handle, (name, opened) in self._open.items():
+        self._disk.unsynced_name_changes.append((new, old, file))
+        for handle, (name, opened) in self._open_files.items():
             if name == old:
-                self._open[handle] = (new, opened)
-        self._leave("rename", new)
+                self._open_files[handle] = (new, opened)
+        self._after_call("rename", new)
 
     async def sync_folder(self) -> None:
         """Make created, renamed and removed names durable."""
-        self._enter("sync_folder", "")
+        self._before_call("sync_folder", "")
         await asyncio.sleep(self._disk.sync_s)
-        self._check()
+        self._raise_if_crashed()
         self._disk.sync_names()
-        self._leave("sync_folder", "")
+        self._after_call("sync_folder", "")
 
     def truncate(self, handle: int, size: int) -> None:
         """Cut a file to `size` bytes."""
-        name, file = self._open[handle]
-        self._enter("truncate", name)
+        name, file = self._open_files[handle]
+        self._before_call("truncate", name)
         del file.current[size:]
-        self._leave("truncate", name)
+        self._after_call("truncate", name)
 
     def read(self, name: str) -> bytes:
         """Return the content of a file."""
-        self._enter("read", name)
+        self._before_call("read", name)
         if name not in self._disk.names:
             raise FileNotFoundError(errno.ENOENT, "no such file", name)
         return bytes(self._disk.names[name].current)
 
     def list(self) -> list[str]:
         """Return the names of all files."""
-        self._enter("list", "")
+        self._before_call("list", "")
         return sorted(self._disk.names)
 
     def remove(self, name: str) -> None:
         """Remove a file."""
-        self._enter("remove", name)
+        self._before_call("remove", name)
         del self._disk.names[name]
-        self._disk.pending.append((name, None, None))
-        self._leave("remove", name)
+        self._disk.unsynced_name_changes.append((name, None, None))
+        self._after_call("remove", name)
 
-    def _check(self) -> None:
+    def _raise_if_crashed(self) -> None:
         if self._generation != self._disk.generation:
-            raise Crashed(errno.EIO, "the host has crashed")
+            raise HostCrashed(errno.EIO, "the host has crashed")
 
-    def _enter(self, call: str, name: str) -> None:
-        self._check()
-        self._spring(call, name, "before")
+    def _before_call(self, method: str, name: str) -> None:
+        self._raise_if_crashed()
+        self._trigger_failpoint(method, name, "before")
 
-    def _leave(self, call: str, name: str) -> None:
-        self._disk.calls.append((call, name))
+    def _after_call(self, method: str, name: str) -> None:
+        self._disk.calls.append((method, name))
         if len(self._disk.calls) == self._disk.crash_at:
             self._disk.crash()
-            raise Crashed(errno.EIO, "the host has crashed")
-        self._spring(call, name, "after")
+            raise HostCrashed(errno.EIO, "the host has crashed")
+        self._trigger_failpoint(method, name, "after")
 
-    def _spring(self, call: str, name: str, moment: str) -> None:
-        trap = self._disk.meet(call, name, moment)
+    def _trigger_failpoint(self, method: str, name: str, timing: str) -> None:
+        trap = self._disk.trigger_failpoint(method, name, timing)
         if trap is None:
             return
         if trap.error is not None:
             raise OSError(trap.error, "injected failure", name)
         self._disk.crash()
-        raise Crashed(errno.EIO, "the host has crashed")
+        raise HostCrashed(errno.EIO, "the host has crashed")
--- a/packages/testkit/src/kingcuplug_testkit/_faults.py
+++ b/packages/testkit/src/kingcuplug_testkit/_faults.py
@@ -16,19 +16,19 @@
 from kingcuplug_testkit._network import LinkFaults
 
 if TYPE_CHECKING:
-    from kingcuplug_testkit._matrix import Cell
+    from kingcuplug_testkit._matrix import MatrixCell
 
 __all__ = ["FAULTS", "Fault"]
 
-_DRIFT_BOUND = 0.01
+_CLOCK_DRIFT_BOUND = 0.01
 _FAR_BEHIND_COMMANDS = 60
-_RESTART_S = 0.1
+_RESTART_DELAY_S = 0.1
 
-Strike = Callable[["Cell", Host, Host], None]
-Continue = Callable[["Cell", Host, Host], Awaitable[None]]
+InjectFault = Callable[["MatrixCell", Host, Host], None]
+FollowUp = Callable[["MatrixCell", Host, Host], Awaitable[None]]
 
 
-async def _nothing(cell: "Cell", leading: Host, following: Host) -> None:
+async def _no_follow_up(cell: "MatrixCell", leading: Host, following: Host) -> None:
     del cell, leading, following
 
 
@@ -47,47 +47,47 @@
     """
 
     name: str
-    strike: Strike
-    follow_up: Continue = _nothing
+    inject: InjectFault
+    follow_up: FollowUp = _no_follow_up
     loses_disk: bool = False
 
 
-def _links(name: str, faults: LinkFaults) -> Fault:
-    def strike(cell: "Cell", leading: Host, following: Host) -> None:
+def _link_fault(name: str, faults: LinkFaults) -> Fault:
+    def strike(cell: "MatrixCell", leading: Host, following: Host) -> None:
         del leading, following
         cell.group.network.faults = replace(faults)
 
     return Fault(name, strike)
 
 
-def _cut(
-    name: str, *, follower: bool = False, out: bool = True, into: bool = True
+def _partition(
+    name: str, *, follower: bool = False, outgoing: bool = True, incoming: bool = True
 ) -> Fault:
-    def strike(cell: "Cell", leading: Host, following: Host) -> None:
+    def strike(cell: "MatrixCell", leading: Host, following: Host) -> None:
         victim = following if follower else leading
         for other in cell.group.hosts:
-            if other != victim.name and out:
-                cell.group.network.cut(victim.name, other)
-            if other != victim.name and into:
-                cell.group.network.cut(other, victim.name)
+            if other != victim.name and outgoing:
+                cell.group.network.block_link(victim.name, other)
+            if other != victim.name and incoming:
+                cell.group.network.block_link(other, victim.name)
 
     return Fault(name, strike)
 
 
-def _trap(name: str, trap: Trap, *, follower: bool) -> Fault:
+def _disk_failpoint(name: str, failpoint: Trap, *, follower: bool) -> Fault:
     victim_name = "following" if follower else "leading"
 
-    def strike(cell: "Cell", leading: Host, following: Host) -> None:
-        cell.set_trap(following if follower else leading, replace(trap))
+    def strike(cell: "MatrixCell", leading: Host, following: Host) -> None:
+        cell.set_failpoint(following if follower else leading, replace(failpoint))
 
-    async def follow_up(cell: "Cell", leading: Host, following: Host) -> None:
+    async def follow_up(cell: "MatrixCell", leading: Host, following: Host) -> None:
         del leading, following
-        await cell.spring_traps()
+        await cell.provoke_failpoints()
 
     return Fault(f"{name}, {victim_name}", strike, follow_up)
 
 
-def _replacement_crashes(file: str, follower: bool) -> list[Fault]:
+def _file_replacement_crashes(file: str, follower: bool) -> list[Fault]:
     """Crash at each step of replacing a file by rename."""
     new = f"{file}.new"
     points = {
@@ -95,29 +95,31 @@
         f"crash after sync of {new}": Trap("sync", new, "after"),
         f"crash after rename to {file}": Trap("rename", file, "after"),
         f"crash after folder sync for {file}": Trap(
-            "sync_folder", "", "after", follows=("rename", file)
+            "sync_folder", "", "after", preceding_call=("rename", file)
         ),
     }
-    return [_trap(name, trap, follower=follower) for name, trap in points.items()]
+    return [
+        _disk_failpoint(name, trap, follower=follower) for name, trap in points.items()
+    ]
 
 
-def _truncate_crash(moment: str) -> Fault:
-    def strike(cell: "Cell", leading: Host, following: Host) -> None:
+def _truncate_crash(timing: str) -> Fault:
+    def strike(cell: "MatrixCell", leading: Host, following: Host) -> None:
         del leading
         following.disk.crash()
         following.disk.tear("log")
-        cell.set_trap(following, Trap("truncate", "log", moment))
+        cell.set_failpoint(following, Trap("truncate", "log", timing))
 
-    async def follow_up(cell: "Cell", leading: Host, following: Host) -> None:
+    async def follow_up(cell: "MatrixCell", leading: Host, following: Host) -> None:
         del cell, leading
-        await asyncio.sleep(_RESTART_S)
+        await asyncio.sleep(_RESTART_DELAY_S)
         await following.start()
 
-    return Fault(f"crash {moment} truncate of a torn tail", strike, follow_up)
+    return Fault(f"crash {timing} truncate of a torn tail", strike, follow_up)
 
 
-def _crash(name: str, *, follower: bool) -> Fault:
-    def strike(cell: "Cell", leading: Host, following: Host) -> None:
+def _host_crash(name: str, *, follower: bool) -> Fault:
+    def strike(cell: "MatrixCell", leading: Host, following: Host) -> None:
         del cell
         (following if follower else leading).disk.crash()
 
@@ -127,7 +129,7 @@
 def _power_failure() -> Fault:
     """Crash all hosts at the moment when a client is told of a commit."""
 
-    def strike(cell: "Cell", leading: Host, following: Host) -> None:
+    def strike(cell: "MatrixCell", leading: Host, following: Host) -> None:
         del leading, following
 
         def crash() -> None:
@@ -141,24 +143,24 @@
 
 
 def _lost_disk(name: str, *, follower: bool) -> Fault:
-    def strike(cell: "Cell", leading: Host, following: Host) -> None:
+    def strike(cell: "MatrixCell", leading: Host, following: Host) -> None:
         del cell
         (following if follower else leading).disk.lose()
 
-    async def follow_up(cell: "Cell", leading: Host, following: Host) -> None:
+    async def follow_up(cell: "MatrixCell", leading: Host, following: Host) -> None:
         del cell
-        await asyncio.sleep(_RESTART_S)
+        await asyncio.sleep(_RESTART_DELAY_S)
         await (following if follower else leading).start()
 
     return Fault(name, strike, follow_up, loses_disk=True)
 
 
-def _far_behind() -> Fault:
-    def strike(cell: "Cell", leading: Host, following: Host) -> None:
+def _restart_far_behind() -> Fault:
+    def strike(cell: "MatrixCell", leading: Host, following: Host) -> None:
         del cell, leading
         following.disk.crash()
 
-    async def follow_up(cell: "Cell", leading: Host, following: Host) -> None:
+    async def follow_up(cell: "MatrixCell", leading: Host, following: Host) -> None:
         del leading
         await cell.write(_FAR_BEHIND_COMMANDS)
         await following.start()
@@ -166,15 +168,15 @@
     return Fault("restart far behind", strike, follow_up)
 
 
-def _second_loss() -> Fault:
-    def strike(cell: "Cell", leading: Host, following: Host) -> None:
+def _second_disk_loss() -> Fault:
+    def strike(cell: "MatrixCell", leading: Host, following: Host) -> None:
         del cell, leading
         following.disk.lose()
 
-    async def follow_up(cell: "Cell", leading: Host, following: Host) -> None:
-        await asyncio.sleep(_RESTART_S)
+    async def follow_up(cell: "MatrixCell", leading: Host, following: Host) -> None:
+        await asyncio.sleep(_RESTART_DELAY_S)
         await cell.repair()
-        await cell.wait_safe()
+        await cell.wait_until_safe_to_lose_one()
         lost = leading if not leading.gone else cell.group.running()[0]
         lost.gone = True
         lost.disk.lose()
@@ -182,32 +184,38 @@
     return Fault("second loss after repair", strike, follow_up, loses_disk=True)
 
 
-def _drift() -> Fault:
-    cut = _cut("", follower=False)
+def _clock_drift() -> Fault:
+    cut = _partition("", follower=False)
 
-    def strike(cell: "Cell", leading: Host, following: Host) -> None:
+    def strike(cell: "MatrixCell", leading: Host, following: Host) -> None:
         # The bound is on the ratio of two hosts' clock rates.
-        leading.clock.drift(1 - _DRIFT_BOUND)
-        cut.strike(cell, leading, following)
+        leading.clock.drift(1 - _CLOCK_DRIFT_BOUND)
+        cut.inject(cell, leading, following)
 
     return Fault("clock drift at the bound, leading cut off", strike)
 
 
-def _make() -> dict[str, Fault]:
+def _make_faults() -> dict[str, Fault]:
     faults = [
-        _links("drop", LinkFaults(drop=0.4)),
-        _links("delay", LinkFaults(delay_s=(0.0, 0.2))),
-        _links("duplicate", LinkFaults(duplicate=0.7, delay_s=(0.0, 0.01))),
-        _links("reorder", LinkFaults(duplicate=0.2, delay_s=(0.0, 0.06))),
-        _cut("silent partition, leading"),
-        _cut("silent partition, following", follower=True),
-        _cut("leading cannot send", into=False),
-        _cut("leading cannot receive", out=False),
-        _crash("crash, leading", follower=False),
-        _crash("crash, following", follower=True),
+        _link_fault("drop", LinkFaults(drop_probability=0.4)),
+        _link_fault("delay", LinkFaults(delay_s=(0.0, 0.2))),
+        _link_fault(
+            "duplicate", LinkFaults(duplicate_probability=0.7, delay_s=(0.0, 0.01))
+        ),
+        _link_fault(
+            "reorder", LinkFaults(duplicate_probability=0.2, delay_s=(0.0, 0.06))
+        ),
+        _partition("silent partition, leading"),
+        _partition("silent partition, following", follower=True),
+        _partition("leading cannot send", incoming=False),
+        _partition("leading cannot receive", outgoing=False),
+        _host_crash("crash, leading", follower=False),
+        _host_crash("crash, following", follower=True),
         _power_failure(),
         *(
-            _trap(f"crash {moment} fsync", Trap("sync", "*", moment), follower=follower)
+            _disk_failpoint(
+                f"crash {moment} fsync", Trap("sync", "*", moment), follower=follower
+            )
             for moment in ("before", "after")
             for follower in (False, True)
         ),
@@ -215,17 +223,19 @@
             fault
             for file in ("snapshot", "log", "state")
             for follower in (False, True)
-            for fault in _replacement_crashes(file, follower)
+            for fault in _file_replacement_crashes(file, follower)
         ),
         _truncate_crash("before"),
         _truncate_crash("after"),
         _lost_disk("lost disk, leading", follower=False),
         _lost_disk("lost disk, following", follower=True),
-        _far_behind(),
-        _second_loss(),
-        _drift(),
+        _restart_far_behind(),
+        _second_disk_loss(),
+        _clock_drift(),
         *(
-            _trap(f"{name}", Trap(call, "log", "before", code), follower=follower)
+            _disk_failpoint(
+                f"{name}", Trap(call, "log", "before", code), follower=follower
+            )
             for name, call, code in (
                 ("fsync EIO", "sync", errno.EIO),
                 ("write ENOSPC", "write", errno.ENOSPC),
@@ -236,4 +246,4 @@
     return {fault.name: fault for fault in faults}
 
 
-FAULTS = _make()
+FAULTS = _make_faults()
--- a/packages/testkit/src/kingcuplug_testkit/_log_group.py
+++ b/packages/testkit/src/kingcuplug_testkit/_log_group.py
@@ -20,16 +20,16 @@
 )
 
 from kingcuplug_testkit._disk import FakeDisk
-from kingcuplug_testkit._invariants import Invariants
+from kingcuplug_testkit._invariants import InvariantChecker
 from kingcuplug_testkit._network import FakeNetwork
 
-__all__ = ["Host", "LogGroup", "RecordingMachine"]
+__all__ = ["Host", "LogGroup", "RecordingStateMachine"]
 
-_CLUSTER = "test"
-_POLL_S = 0.02
+_CLUSTER_NAME = "test"
+_POLL_INTERVAL_S = 0.02
 
 
-class RecordingMachine:
+class RecordingStateMachine:
     """State machine whose state tells the whole sequence of commands.
 
     Attributes
@@ -42,7 +42,7 @@
         All commands in order.
     """
 
-    def __init__(self, host: str, invariants: Invariants) -> None:
+    def __init__(self, host: str, invariants: InvariantChecker) -> None:
         self.index = 0
         self.chain = ""
         self.values: list[Any] = []
@@ -51,7 +51,7 @@
 
     def apply(self, index: int, command: Any) -> Any:
         """Add a command and return its index."""
-        self._invariants.applied(self._host, index, self.index, command)
+        self._invariants.check_applied(self._host, index, self.index, command)
         self.index = index
         self.chain = hashlib.sha256(
             f"{self.chain}{index}{command}".encode()
@@ -74,17 +74,17 @@
 
     def __init__(self, start: float) -> None:
         self._loop = asyncio.get_running_loop()
-        self._base = start
-        self._since = self._loop.time()
+        self._base_time = start
+        self._base_loop_time = self._loop.time()
         self._rate = 1.0
 
     def __call__(self) -> float:
         """Return the host's time in seconds."""
-        return self._base + (self._loop.time() - self._since) * self._rate
+        return self._base_time + (self._loop.time() - self._base_loop_time) * self._rate
 
     def drift(self, rate: float) -> None:
         """Run at another rate from now on."""
-        self._base, self._since = self(), self._loop.time()
+        self._base_time, self._base_loop_time = self(), self._loop.time()
         self._rate = rate
 
 
@@ -103,29 +103,29 @@
         self.name = name
         self.clock = DriftingClock(group.random.uniform(0, 1_000))
         self.gone = False
-        self._starting = asyncio.Lock()
+        self._start_lock = asyncio.Lock()
         self.disk = FakeDisk(Random(f"{group.seed}/{name}"))
-        self.disk.on_crash = self._ended
+        self.disk.on_crash = self._on_process_end
         self.replica: Replica | None = None
         self.member = Member("", name, name)
-        self.machine = RecordingMachine(name, group.invariants)
+        self.machine = RecordingStateMachine(name, group.invariants)
         self._group = group
-        self._ends: list[asyncio.Task[None]] = []
+        self._stop_tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
         """Start the process, unless it runs or its disk fails on the way."""
-        async with self._starting:
+        async with self._start_lock:
             if self.replica is None and not self.gone:
                 with contextlib.suppress(StorageFailed):
-                    await self._start()
+                    await self._start_replica()
 
-    async def _start(self) -> None:
+    async def _start_replica(self) -> None:
         group = self._group
         storage = Storage(self.disk.mount())
         await storage.open()
         identity = member_id(self.name, storage.disk_id)
         self.member = Member(identity, self.name, self.name, MemberRole.VOTER)
-        self.machine = RecordingMachine(self.name, group.invariants)
+        self.machine = RecordingStateMachine(self.name, group.invariants)
         self.replica = Replica(
             self.member,
             storage,
@@ -144,18 +144,18 @@
         self._group.network.detach(self.name)
         if replica is not None:
             await replica.stop()
-        await asyncio.gather(*self._ends)
+        await asyncio.gather(*self._stop_tasks)
 
-    async def retire(self) -> None:
+    async def decommission(self) -> None:
         """Stop the process for ever."""
         self.gone = True
         await self.stop()
 
-    def _ended(self) -> None:
+    def _on_process_end(self) -> None:
         replica, self.replica = self.replica, None
         self._group.network.detach(self.name)
         if replica is not None:
-            self._ends.append(asyncio.create_task(replica.stop()))
+            self._stop_tasks.append(asyncio.create_task(replica.stop()))
 
 
 class LogGroup:
@@ -171,9 +171,9 @@
         self.seed = seed
         self.random = Random(seed)
         self.settings = settings or LogSettings()
-        self.invariants = Invariants()
+        self.invariants = InvariantChecker()
         self.network = FakeNetwork(self.random)
-        self.network.observers.append(self.invariants.observe)
+        self.network.observers.append(self.invariants.check_message)
         self.hosts: dict[str, Host] = {}
 
     async def start(self, *names: str) -> None:
@@ -181,7 +181,7 @@
         first, *others = names
         await self.add_host(first)
         assert self.hosts[first].replica is not None
-        await self.replica(first).bootstrap(_CLUSTER)
+        await self.replica(first).bootstrap(_CLUSTER_NAME)
         await self.wait_leader()
         for name in others:
             await self.add_host(name)
@@ -202,7 +202,7 @@
         self, add: Member | None = None, remove: str | None = None
     ) -> None:
         """Change the members, trying again as an operator would."""
-        while not self._changed(add, remove):
+        while not self._is_change_applied(add, remove):
             leader = await self.wait_leader()
             try:
                 await self.replica(leader.name).change(add=add, remove=remove)
@@ -237,23 +237,23 @@
         leader = self.leader()
         return [host for host in self.running() if host is not leader]
 
-    def is_voter(self, identifier: str) -> bool:
+    def is_voter(self, member_id: str) -> bool:
         """Return whether the leader counts this member as a voter, committed."""
         leader = self.leader()
         if leader is None:
             return False
         status = self.replica(leader.name).status()
-        wanted = [m for m in status.members if m.id == identifier]
+        wanted = [m for m in status.members if m.id == member_id]
         return bool(wanted) and wanted[0].role is MemberRole.VOTER
 
-    async def wait_leader(self, timeout: float = 10) -> Host:
+    async def wait_leader(self, timeout_s: float = 10) -> Host:
         """Wait for a leader with a valid lease."""
 
         def leads() -> bool:
             host = self.leader()
             return host is not None and self.replica(host.name).status().lease_valid
 
-        await self.until(leads, timeout)
+        await self.until(leads, timeout_s)
         leader = self.leader()
         assert leader is not None
         return leader
@@ -261,35 +261,35 @@
     async def until(
         self,
         condition: Callable[[], bool],
-        timeout: float = 10,
-        poll_s: float = _POLL_S,
+        timeout_s: float = 10,
+        poll_s: float = _POLL_INTERVAL_S,
     ) -> None:
         """Wait for a condition; raises `TimeoutError`."""
-        async with asyncio.timeout(timeout):
+        async with asyncio.timeout(timeout_s):
             while True:
                 if condition():
                     return
                 await asyncio.sleep(poll_s)
 
-    async def propose(self, command: dict[str, Any], timeout: float = 10) -> Any:
+    async def propose(self, command: dict[str, Any], timeout_s: float = 10) -> Any:
         """Propose at the leader until it succeeds.
 
         After an unknown outcome the command may be in the log already, so the next
         attempt is a command of its own, with the field ``attempt``.
         """
         attempt = 0
-        async with asyncio.timeout(timeout):
+        async with asyncio.timeout(timeout_s):
             while True:
-                leader = await self.wait_leader(timeout)
+                leader = await self.wait_leader(timeout_s)
                 numbered = command | {"attempt": attempt} if attempt else command
                 try:
                     return await self.replica(leader.name).propose(numbered)
                 except LostLeadership:
                     attempt += 1
                 except (NotLeader, StorageFailed):
-                    await asyncio.sleep(_POLL_S)
+                    await asyncio.sleep(_POLL_INTERVAL_S)
 
-    async def converge(self, timeout: float = 10) -> None:
+    async def converge(self, timeout_s: float = 10) -> None:
         """Wait until all running hosts have applied the same sequence."""
 
         def same() -> bool:
@@ -298,7 +298,7 @@
             }
             return len(states) == 1
 
-        await self.until(same, timeout)
+        await self.until(same, timeout_s)
 
     async def stop(self) -> None:
         """Stop all hosts."""
@@ -306,7 +306,7 @@
             await host.stop()
         self.network.close()
 
-    def _changed(self, add: Member | None, remove: str | None) -> bool:
+    def _is_change_applied(self, add: Member | None, remove: str | None) -> bool:
         leader = self.leader()
         if leader is None:
             return False
--- a/packages/testkit/src/kingcuplug_testkit/_matrix.py
+++ b/packages/testkit/src/kingcuplug_testkit/_matrix.py
@@ -17,10 +17,10 @@
 from kingcuplug_testkit._disk import Trap
 from kingcuplug_testkit._faults import FAULTS, Fault
 from kingcuplug_testkit._log_group import Host, LogGroup
-from kingcuplug_testkit._steps import STEPS, Step
+from kingcuplug_testkit._steps import STEPS, ProtocolStep
 from kingcuplug_testkit._virtual_time import run_virtual
 
-__all__ = ["Cell", "CellResult", "run_cell"]
+__all__ = ["CellResult", "MatrixCell", "run_cell"]
 
 # Small, so that every cell takes snapshots and needs them.
 _SETTINGS = LogSettings(
@@ -31,28 +31,30 @@
     install_chunk_bytes=512,
 )
 _WARM_UP_COMMANDS = 5
-_FAULT_S = 0.7  # More than two election timeouts.
-_LAST_S = 3.0  # A second fault can keep the first from going on until it is healed.
-_RECOVERY_S = 20.0
-_TRAP_S = 0.3
-_ELECTION_S = 0.7
-_CLIENT_PAUSE_S = 0.04
-_PROPOSE_S = 0.5
+_FAULT_DURATION_S = 0.7  # More than two election timeouts.
+_FOLLOW_UP_TIMEOUT_S = (
+    3.0  # A second fault can keep the first from going on until it is healed.
+)
+_RECOVERY_TIMEOUT_S = 20.0
+_FAILPOINT_TIMEOUT_S = 0.3
+_ISOLATION_DURATION_S = 0.7
+_CLIENT_INTERVAL_S = 0.04
+_REQUEST_TIMEOUT_S = 0.5
 
-_Refused = (NotLeader, LostLeadership, StorageFailed, TimeoutError)
+_REFUSAL_ERRORS = (NotLeader, LostLeadership, StorageFailed, TimeoutError)
 
 
 @dataclass(frozen=True)
 class CellResult:
     """What happened in a cell that kept all invariants."""
 
-    acknowledged: int
+    acknowledged_commands: int
     reads: int
     terms: int
     sprung: bool
 
 
-class Cell:
+class MatrixCell:
     """A group under load to which faults happen at one protocol step.
 
     Attributes
@@ -65,33 +67,36 @@
         Hosts that the faults name.
     """
 
-    def __init__(self, faults: Sequence[Fault], step: Step, seed: str) -> None:
+    def __init__(self, faults: Sequence[Fault], step: ProtocolStep, seed: str) -> None:
         self.group = LogGroup(seed, _SETTINGS)
-        self.before_strike: Callable[[], None] = lambda: None
+        self.before_injection: Callable[[], None] = lambda: None
         self.on_acknowledged: Callable[[], None] = lambda: None
         self._faults = faults
         self._step = step
-        self._armed = False
-        self._struck: asyncio.Future[tuple[Host, Host]] | None = None
-        self._trapped: list[tuple[Host, Trap]] = []
-        self.victims: set[str] = set()
-        self._numbers = itertools.count()
-        self._sprung = True
-        self.group.network.observers.append(self._observe)
+        self._is_armed = False
+        self._injected: asyncio.Future[tuple[Host, Host]] | None = None
+        self._failpoints: list[tuple[Host, Trap]] = []
+        self.faulty_hosts: set[str] = set()
+        self._command_numbers = itertools.count()
+        self._all_failpoints_triggered = True
+        self.group.network.observers.append(self._observe_message)
 
     async def run(self) -> CellResult:
         """Run the cell; raises `InvariantViolated` or `TimeoutError`."""
-        self._struck = asyncio.get_running_loop().create_future()
+        self._injected = asyncio.get_running_loop().create_future()
         await self.group.start("a", "b", "c")
         await self.write(_WARM_UP_COMMANDS)
-        clients = [asyncio.create_task(c()) for c in (self._propose, self._read_all)]
-        drive = asyncio.create_task(self._drive())
+        clients = [
+            asyncio.create_task(c())
+            for c in (self._propose_repeatedly, self._read_repeatedly)
+        ]
+        drive = asyncio.create_task(self._run_step())
         followers: list[asyncio.Task[None]] = []
         try:
-            async with asyncio.timeout(_RECOVERY_S):
-                leading, following = await self._struck
-                followers = self._follow_up(leading, following)
-                await asyncio.wait(followers, timeout=_LAST_S)
+            async with asyncio.timeout(_RECOVERY_TIMEOUT_S):
+                leading, following = await self._injected
+                followers = self._start_follow_ups(leading, following)
+                await asyncio.wait(followers, timeout=_FOLLOW_UP_TIMEOUT_S)
                 await self._recover([*followers, drive])
         finally:
             tasks = (drive, *clients, *followers)
@@ -100,34 +105,34 @@
             await asyncio.gather(*tasks, return_exceptions=True)
         return await self._finish()
 
-    def arm(self) -> None:
+    def arm_faults(self) -> None:
         """Let the faults strike at the next message of the step."""
-        self._armed = True
+        self._is_armed = True
 
-    def strike(self, leading: Host, following: Host) -> None:
+    def inject_faults(self, leading: Host, following: Host) -> None:
         """Let the faults strike now."""
-        if not self._armed or self._struck is None or self._struck.done():
+        if not self._is_armed or self._injected is None or self._injected.done():
             return
-        self._struck.set_result((leading, following))
-        self.victims = {leading.name, following.name}
-        self.before_strike()
+        self._injected.set_result((leading, following))
+        self.faulty_hosts = {leading.name, following.name}
+        self.before_injection()
         for fault in self._faults:
-            fault.strike(self, leading, following)
+            fault.inject(self, leading, following)
 
-    def set_trap(self, host: Host, trap: Trap) -> None:
+    def set_failpoint(self, host: Host, failpoint: Trap) -> None:
         """Set a trap that must spring while the fault lasts."""
-        host.disk.traps.append(trap)
-        self._trapped.append((host, trap))
+        host.disk.traps.append(failpoint)
+        self._failpoints.append((host, failpoint))
 
-    async def spring_traps(self) -> None:
+    async def provoke_failpoints(self) -> None:
         """Make the group write until all traps have sprung, by elections at last."""
         with contextlib.suppress(TimeoutError):
-            await self.group.until(self._all_sprung, _TRAP_S)
+            await self.group.until(self._are_all_triggered, _FAILPOINT_TIMEOUT_S)
             return
         for _ in range(3):
-            if self._all_sprung():
+            if self._are_all_triggered():
                 return
-            await self._provoke_election()
+            await self._force_election()
 
     async def write(self, count: int) -> None:
         """Write commands until `count` have been acknowledged."""
@@ -135,18 +140,18 @@
             while True:
                 if await self._propose_once():
                     break
-                await asyncio.sleep(_CLIENT_PAUSE_S)
+                await asyncio.sleep(_CLIENT_INTERVAL_S)
 
     async def read(self, host: Host) -> None:
         """Read at a host and check the answer, unless it refuses."""
         if host.replica is None:
             return
-        floor = self.group.invariants.newest_acknowledged
+        floor = self.group.invariants.newest_acknowledged_index
         machine = host.machine
-        with contextlib.suppress(*_Refused):
-            async with asyncio.timeout(_PROPOSE_S):
+        with contextlib.suppress(*_REFUSAL_ERRORS):
+            async with asyncio.timeout(_REQUEST_TIMEOUT_S):
                 await host.replica.read_barrier()
-            self.group.invariants.read(host.name, floor, machine.index)
+            self.group.invariants.check_read(host.name, floor, machine.index)
 
     async def join(self, host: Host) -> None:
         """Make a host with a new identity a voter, through restarts of it."""
@@ -168,7 +173,7 @@
             if member.id not in current:
                 await self.group.change(remove=member.id)
 
-    async def wait_safe(self) -> None:
+    async def wait_until_safe_to_lose_one(self) -> None:
         """Wait until any one voter may be lost."""
 
         def safe() -> bool:
@@ -179,28 +184,32 @@
 
         await self.group.until(safe)
 
-    def _observe(self, source: str, destination: str, message: dict[str, Any]) -> None:
-        if not self._armed or not self._step.is_moment(message):
+    def _observe_message(
+        self, source: str, destination: str, message: dict[str, Any]
+    ) -> None:
+        if not self._is_armed or not self._step.is_fault_point(message):
             return
         hosts = self.group.hosts
         if message["kind"].endswith("_reply"):
             source, destination = destination, source
-        self.strike(hosts[source], hosts[destination])
+        self.inject_faults(hosts[source], hosts[destination])
 
-    async def _drive(self) -> None:
-        await self._step.drive(self)
+    async def _run_step(self) -> None:
+        await self._step.run(self)
 
-    def _follow_up(self, leading: Host, following: Host) -> list[asyncio.Task[None]]:
+    def _start_follow_ups(
+        self, leading: Host, following: Host
+    ) -> list[asyncio.Task[None]]:
         """Let the faults go on."""
         actions = [
-            asyncio.sleep(_FAULT_S),
+            asyncio.sleep(_FAULT_DURATION_S),
             *(fault.follow_up(self, leading, following) for fault in self._faults),
         ]
         return [asyncio.ensure_future(action) for action in actions]
 
     async def _recover(self, unfinished: list[asyncio.Task[None]]) -> None:
         """End the faults and wait until the group makes progress again."""
-        self._sprung = self._all_sprung()
+        self._all_failpoints_triggered = self._are_all_triggered()
         for host in self.group.hosts.values():
             host.disk.traps.clear()
         self.on_acknowledged = lambda: None
@@ -215,18 +224,18 @@
         await self.group.converge()
         invariants = self.group.invariants
         for host in self.group.running():
-            invariants.holds(host.name, host.machine.values)
+            invariants.check_acknowledged_kept(host.name, host.machine.values)
         await self.group.stop()
         invariants.check()
         return CellResult(
-            acknowledged=len(invariants.acknowledged),
+            acknowledged_commands=len(invariants.acknowledged),
             reads=invariants.reads,
-            terms=len(invariants.leaders),
-            sprung=self._sprung,
+            terms=len(invariants.leader_by_term),
+            sprung=self._all_failpoints_triggered,
         )
 
-    def _all_sprung(self) -> bool:
-        return all(trap in host.disk.sprung for host, trap in self._trapped)
+    def _are_all_triggered(self) -> bool:
+        return all(trap in host.disk.triggered for host, trap in self._failpoints)
 
     def _is_removed(self, host: Host) -> bool:
         return host.name == "d" and self._step.name != "member change"
@@ -240,40 +249,40 @@
                 return
             await host.start()
 
-    async def _provoke_election(self) -> None:
+    async def _force_election(self) -> None:
         leader = self.group.leader()
         if leader is not None:
             self.group.network.isolate(leader.name, list(self.group.hosts))
-            await asyncio.sleep(_ELECTION_S)
+            await asyncio.sleep(_ISOLATION_DURATION_S)
             self.group.network.heal()
-        await asyncio.sleep(_TRAP_S)
+        await asyncio.sleep(_FAILPOINT_TIMEOUT_S)
 
-    async def _propose(self) -> None:
+    async def _propose_repeatedly(self) -> None:
         while True:
             await self._propose_once()
-            await asyncio.sleep(_CLIENT_PAUSE_S)
+            await asyncio.sleep(_CLIENT_INTERVAL_S)
 
     async def _propose_once(self) -> bool:
-        leaders = self._claimants()
+        leaders = self._presumed_leaders()
         if not leaders:
             return False
         replica = self.group.random.choice(leaders).replica
         assert replica is not None
-        command = {"number": next(self._numbers)}
-        with contextlib.suppress(*_Refused):
-            async with asyncio.timeout(_PROPOSE_S):
+        command = {"number": next(self._command_numbers)}
+        with contextlib.suppress(*_REFUSAL_ERRORS):
+            async with asyncio.timeout(_REQUEST_TIMEOUT_S):
                 result = await replica.propose(command)
-            self.group.invariants.answered(result["index"], command)
+            self.group.invariants.record_acknowledged(result["index"], command)
             self.on_acknowledged()
             return True
         return False
 
-    async def _read_all(self) -> None:
+    async def _read_repeatedly(self) -> None:
         while True:
-            await asyncio.gather(*map(self.read, self._claimants()))
-            await asyncio.sleep(_CLIENT_PAUSE_S)
+            await asyncio.gather(*map(self.read, self._presumed_leaders()))
+            await asyncio.sleep(_CLIENT_INTERVAL_S)
 
-    def _claimants(self) -> list[Host]:
+    def _presumed_leaders(self) -> list[Host]:
         """Return all hosts that take themselves for the leader."""
         running = self.group.running()
         return [host for host in running if host.replica and host.replica.leading]
@@ -289,7 +298,7 @@
     TimeoutError
         If the group made no progress after the faults had ended.
     """
-    cell = Cell(
+    cell = MatrixCell(
         [FAULTS[name] for name in faults],
         STEPS[step],
         f"{seed}/{step}/{'+'.join(faults)}",
--- a/packages/testkit/src/kingcuplug_testkit/_network.py
+++ b/packages/testkit/src/kingcuplug_testkit/_network.py
@@ -27,8 +27,8 @@
     """
 
     delay_s: tuple[float, float] = (0.0004, 0.0006)
-    drop: float = 0.0
-    duplicate: float = 0.0
+    drop_probability: float = 0.0
+    duplicate_probability: float = 0.0
 
 
 class FakeNetwork:
@@ -48,7 +48,7 @@
         self.observers: list[Observer] = []
         self._random = random
         self._handlers: dict[str, Handler] = {}
-        self._cuts: set[tuple[str, str]] = set()
+        self._blocked_links: set[tuple[str, str]] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
     def attach(self, host: str, handler: Handler) -> None:
@@ -59,20 +59,20 @@
         """End a host's process; replies that it has not sent are lost."""
         self._handlers.pop(host, None)
 
-    def cut(self, source: str, destination: str) -> None:
+    def block_link(self, source: str, destination: str) -> None:
         """Lose everything from one host to another, silently."""
-        self._cuts.add((source, destination))
+        self._blocked_links.add((source, destination))
 
     def isolate(self, host: str, others: list[str]) -> None:
         """Cut a host off from all others, both ways."""
         for other in others:
             if other != host:
-                self.cut(host, other)
-                self.cut(other, host)
+                self.block_link(host, other)
+                self.block_link(other, host)
 
     def heal(self) -> None:
         """End all cuts and faults."""
-        self._cuts.clear()
+        self._blocked_links.clear()
         self.faults = LinkFaults()
 
     def transport(
@@ -88,7 +88,7 @@
             answer = asyncio.get_running_loop().create_future()
             text = orjson.dumps(message)
             self._spawn(self._deliver(source, destination, text, answer))
-            if self._random.random() < self.faults.duplicate:
+            if self._random.random() < self.faults.duplicate_probability:
                 self._spawn(self._deliver(source, destination, text, None))
             reply: dict[str, Any] = orjson.loads(await answer)
             return reply
@@ -109,42 +109,44 @@
         self,
         source: str,
         destination: str,
-        text: bytes,
-        answer: asyncio.Future[bytes] | None,
+        payload: bytes,
+        reply_future: asyncio.Future[bytes] | None,
     ) -> None:
-        message = orjson.loads(text)
+        message = orjson.loads(payload)
         self._observe(source, destination, message)
-        if not await self._travel(source, destination):
+        if not await self._transmit(source, destination):
             return
         handler = self._handlers.get(destination)
         if handler is None:
-            _resolve(answer, ConnectionRefusedError(f"{destination} is down"))
+            _resolve_reply(
+                reply_future, ConnectionRefusedError(f"{destination} is down")
+            )
             return
         reply = await handler(message)
         if self._handlers.get(destination) != handler:
             return
         self._observe(destination, source, reply)
-        if await self._travel(destination, source):
-            _resolve(answer, orjson.dumps(reply))
+        if await self._transmit(destination, source):
+            _resolve_reply(reply_future, orjson.dumps(reply))
 
     def _observe(self, source: str, destination: str, message: dict[str, Any]) -> None:
         for observer in list(self.observers):
             observer(source, destination, message)
 
-    async def _travel(self, source: str, destination: str) -> bool:
+    async def _transmit(self, source: str, destination: str) -> bool:
         """Return whether the message arrives, after its delay."""
         faults = self.faults
-        lost = self._random.random() < faults.drop
+        lost = self._random.random() < faults.drop_probability
         await asyncio.sleep(self._random.uniform(*faults.delay_s))
-        return not lost and (source, destination) not in self._cuts
+        return not lost and (source, destination) not in self._blocked_links
 
 
-def _resolve(
-    answer: asyncio.Future[bytes] | None, outcome: bytes | ConnectionError
+def _resolve_reply(
+    reply_future: asyncio.Future[bytes] | None, outcome: bytes | ConnectionError
 ) -> None:
-    if answer is None or answer.done():
+    if reply_future is None or reply_future.done():
         return
     if isinstance(outcome, bytes):
-        answer.set_result(outcome)
+        reply_future.set_result(outcome)
     else:
-        answer.set_exception(outcome)
+        reply_future.set_exception(outcome)
--- a/packages/testkit/src/kingcuplug_testkit/_processes.py
+++ b/packages/testkit/src/kingcuplug_testkit/_processes.py
@@ -16,10 +16,10 @@
 
 __all__ = ["HostProcess", "ProcessSet"]
 
-_PROGRAM = "from kingcuplug_daemon import main; main()"
-_POLL_S = 0.05
-_READY_S = 30.0
-_REQUEST_S = 3.0
+_DAEMON_CODE = "from kingcuplug_daemon import main; main()"
+_POLL_INTERVAL_S = 0.05
+_READY_TIMEOUT_S = 30.0
+_REQUEST_TIMEOUT_S = 3.0
 
 
 class HostProcess:
@@ -38,23 +38,23 @@
         self.caller_address = str(settings["caller_address"])
         self.peer_address = str(settings["peer_address"])
         self.data_folder = folder / self.name
-        self._file = folder / f"{self.name}.json"
-        self._file.write_text(
+        self._settings_file = folder / f"{self.name}.json"
+        self._settings_file.write_text(
             json.dumps(settings | {"data_folder": str(self.data_folder)})
         )
         self._process: subprocess.Popen[bytes] | None = None
 
     @property
-    def running(self) -> bool:
+    def is_running(self) -> bool:
         """Whether the process lives."""
         return self._process is not None and self._process.poll() is None
 
     def start(self) -> None:
         """Start the process."""
-        log = self._file.with_suffix(".log").open("ab")
+        log = self._settings_file.with_suffix(".log").open("ab")
         with log:
             self._process = subprocess.Popen(
-                [sys.executable, "-c", _PROGRAM, str(self._file)],
+                [sys.executable, "-c", _DAEMON_CODE, str(self._settings_file)],
                 env=os.environ | {"PYTHONPATH": os.pathsep.join(sys.path)},
                 stdin=subprocess.DEVNULL,
                 stdout=log,
@@ -67,25 +67,25 @@
             self._process.kill()
             self._process.wait()
 
-    def freeze(self) -> None:
+    def suspend(self) -> None:
         """Stop the process's execution, as a long pause or a silent cut does."""
-        self._signal(signal.SIGSTOP)
+        self._send_signal(signal.SIGSTOP)
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Let a frozen process go on."""
-        self._signal(signal.SIGCONT)
+        self._send_signal(signal.SIGCONT)
 
     async def terminate(self) -> int:
         """Ask the process to stop and return its exit code."""
-        self._signal(signal.SIGTERM)
+        self._send_signal(signal.SIGTERM)
         assert self._process is not None
         return await asyncio.to_thread(self._process.wait)
 
-    def lose_disk(self) -> None:
+    def delete_data_folder(self) -> None:
         """Remove the data folder of a process that is not running."""
         shutil.rmtree(self.data_folder, ignore_errors=True)
 
-    def _signal(self, number: int) -> None:
+    def _send_signal(self, number: int) -> None:
         if self._process is not None:
             self._process.send_signal(number)
 
@@ -119,9 +119,9 @@
             )
             for number in range(count)
         ]
-        self._turn = 0
-        self._http = aiohttp.ClientSession(
-            timeout=aiohttp.ClientTimeout(total=_REQUEST_S)
+        self._request_count = 0
+        self._session = aiohttp.ClientSession(
+            timeout=aiohttp.ClientTimeout(total=_REQUEST_TIMEOUT_S)
         )
 
     async def start(self) -> None:
@@ -129,98 +129,98 @@
         for host in self.hosts:
             host.start()
         for host in self.hosts:
-            await self.until_live(host)
+            await self.wait_until_live(host)
         first = self.hosts[0]
-        await self.operate(first, "control/bootstrap", {})
+        await self.call_operator(first, "control/bootstrap", {})
         for host in self.hosts[1:]:
-            await self.add(first, host)
+            await self.add_voter(first, host)
 
     async def stop(self) -> None:
         """Kill all processes."""
         for host in self.hosts:
-            host.thaw() if host.running else None
+            host.resume() if host.is_running else None
             host.kill()
-        await self._http.close()
+        await self._session.close()
 
-    async def add(self, through: HostProcess, host: HostProcess) -> None:
+    async def add_voter(self, via: HostProcess, host: HostProcess) -> None:
         """Add a host as voter; an earlier try may have succeeded."""
-        async with asyncio.timeout(_READY_S):
+        async with asyncio.timeout(_READY_TIMEOUT_S):
             while True:
-                status, answer = await self._try(
-                    through, "operator/control/add", {"address": host.peer_address}
+                status, answer = await self._post_once(
+                    via, "operator/control/add", {"address": host.peer_address}
                 )
                 if status == 200 or "already" in str(answer):
                     return
-                await asyncio.sleep(_POLL_S)
+                await asyncio.sleep(_POLL_INTERVAL_S)
 
-    async def until_live(self, host: HostProcess) -> None:
+    async def wait_until_live(self, host: HostProcess) -> None:
         """Wait until a host answers."""
-        async with asyncio.timeout(_READY_S):
-            while not await self._answers(host, "healthz"):  # noqa: ASYNC110
-                await asyncio.sleep(_POLL_S)
+        async with asyncio.timeout(_READY_TIMEOUT_S):
+            while not await self._returns_ok(host, "healthz"):  # noqa: ASYNC110
+                await asyncio.sleep(_POLL_INTERVAL_S)
 
-    async def until_ready(self, hosts: list[HostProcess] | None = None) -> None:
+    async def wait_until_ready(self, hosts: list[HostProcess] | None = None) -> None:
         """Wait until hosts are ready; by default all that run."""
-        async with asyncio.timeout(_READY_S):
-            for host in hosts or [h for h in self.hosts if h.running]:
-                while not await self._answers(host, "readyz"):  # noqa: ASYNC110
-                    await asyncio.sleep(_POLL_S)
+        async with asyncio.timeout(_READY_TIMEOUT_S):
+            for host in hosts or [h for h in self.hosts if h.is_running]:
+                while not await self._returns_ok(host, "readyz"):  # noqa: ASYNC110
+                    await asyncio.sleep(_POLL_INTERVAL_S)
 
-    def next_host(self) -> HostProcess:
+    def next_running_host(self) -> HostProcess:
         """Return the hosts in turn, as the load balancer does."""
-        running = [host for host in self.hosts if host.running]
-        self._turn += 1
-        return running[self._turn % len(running)]
+        running = [host for host in self.hosts if host.is_running]
+        self._request_count += 1
+        return running[self._request_count % len(running)]
 
-    def balancer(self) -> str:
+    def next_base_url(self) -> str:
         """Return the base URL of the next running host."""
-        return f"http://{self.next_host().caller_address}"
+        return f"http://{self.next_running_host().caller_address}"
 
     async def leader(self) -> HostProcess:
         """Return the leader of the log."""
-        async with asyncio.timeout(_READY_S):
+        async with asyncio.timeout(_READY_TIMEOUT_S):
             while True:
                 for host in self.hosts:
-                    status, answer = await self._try(
+                    status, answer = await self._post_once(
                         host, "operator/control/status", {}
                     )
                     if status == 200 and answer.get("lease_valid"):
                         return host
-                await asyncio.sleep(_POLL_S)
+                await asyncio.sleep(_POLL_INTERVAL_S)
 
-    async def operate(
+    async def call_operator(
         self, host: HostProcess, path: str, fields: dict[str, Any]
     ) -> dict[str, Any]:
         """Call an operator's endpoint until it succeeds."""
-        async with asyncio.timeout(_READY_S):
+        async with asyncio.timeout(_READY_TIMEOUT_S):
             while True:
-                status, answer = await self._try(host, f"operator/{path}", fields)
+                status, answer = await self._post_once(host, f"operator/{path}", fields)
                 if status == 200:
                     return answer
-                await asyncio.sleep(_POLL_S)
+                await asyncio.sleep(_POLL_INTERVAL_S)
 
-    async def call(
+    async def post(
         self, path: str, fields: dict[str, Any], host: HostProcess | None = None
     ) -> tuple[int, dict[str, Any]]:
         """Post to ``/v1/<path>`` of a host; status 0 means that no answer came."""
-        return await self._try(host or self.next_host(), path, fields)
+        return await self._post_once(host or self.next_running_host(), path, fields)
 
-    async def _try(
+    async def _post_once(
         self, host: HostProcess, path: str, fields: dict[str, Any]
     ) -> tuple[int, dict[str, Any]]:
-        if not host.running:
+        if not host.is_running:
             return 0, {}
         url = f"http://{host.caller_address}/v1/{path}"
         try:
-            async with self._http.post(url, json=fields) as response:
+            async with self._session.post(url, json=fields) as response:
                 return response.status, await response.json()
         except (aiohttp.ClientError, TimeoutError, OSError):
             return 0, {}
 
-    async def _answers(self, host: HostProcess, path: str) -> bool:
+    async def _returns_ok(self, host: HostProcess, path: str) -> bool:
         with contextlib.suppress(aiohttp.ClientError, TimeoutError, OSError):
             url = f"http://{host.caller_address}/{path}"
-            async with self._http.get(url) as response:
+            async with self._session.get(url) as response:
                 return response.status == 200
         return False
 
--- a/packages/testkit/src/kingcuplug_testkit/_query_harness.py
+++ b/packages/testkit/src/kingcuplug_testkit/_query_harness.py
@@ -52,15 +52,15 @@
     } | fields
 
 
-def _no_fault(command: dict[str, Any]) -> Exception | None:
+def _no_ledger_fault(command: dict[str, Any]) -> Exception | None:
     return None
 
 
-def _answer_arrives(command: dict[str, Any]) -> bool:
+def _reply_arrives(command: dict[str, Any]) -> bool:
     return False
 
 
-def _holder_lives(host: str, incarnation: int) -> bool:
+def _holder_is_alive(host: str, incarnation: int) -> bool:
     return False
 
 
@@ -76,16 +76,18 @@
     cancelled: list[str] = dataclasses.field(default_factory=list)
     metrics: Metrics = dataclasses.field(default_factory=Metrics)
     background: Background = dataclasses.field(default_factory=Background)
-    guard: CrashGuard = dataclasses.field(default_factory=CrashGuard)
+    crash_guard: CrashGuard = dataclasses.field(default_factory=CrashGuard)
     ledger: OrderLedger = dataclasses.field(default_factory=OrderLedger)
     commands: Counter[str] = dataclasses.field(default_factory=Counter)
     ledger_fault: Callable[[dict[str, Any]], Exception | None] = dataclasses.field(
-        default=_no_fault
+        default=_no_ledger_fault
     )
     ledger_lost: Callable[[dict[str, Any]], bool] = dataclasses.field(
-        default=_answer_arrives
+        default=_reply_arrives
+    )
+    holder_lost: Callable[[str, int], bool] = dataclasses.field(
+        default=_holder_is_alive
     )
-    holder_lost: Callable[[str, int], bool] = dataclasses.field(default=_holder_lives)
 
     def add(
         self,
@@ -138,14 +140,14 @@
         """Pass a sub-request to the server's handler, as `Send`."""
         self.sent.append((ticket.server, request))
         async with asyncio.timeout(timeout_s):
-            handler: Handler = self.handlers.get(ticket.server, _answer)
+            handler: Handler = self.handlers.get(ticket.server, _default_handler)
             return parse_reply(request, await handler(request))
 
     async def cancel(self, ticket: Ticket, attempt_id: str) -> None:
         """Note a cancellation, as `Cancel`."""
         self.cancelled.append(attempt_id)
 
-    async def reachable(self, ticket: Ticket) -> bool:
+    async def is_reachable(self, ticket: Ticket) -> bool:
         """Return whether a server is up, as `Reachable`."""
         await asyncio.sleep(0.0005)
         return ticket.server not in self.down
@@ -165,7 +167,12 @@
     def queries(self) -> QueryExecutor:
         """Return a query executor over the fakes."""
         return QueryExecutor(
-            self.send, self.cancel, self.guard, self.metrics, self.background, "zone-0"
+            self.send,
+            self.cancel,
+            self.crash_guard,
+            self.metrics,
+            self.background,
+            "zone-0",
         )
 
     def orders(self, host: str = "entry-1") -> OrderExecutor:
@@ -173,16 +180,16 @@
         return OrderExecutor(
             LedgerClient(self.submit, host, 1, lambda: NOW_MS),
             self.send,
-            self.guard,
+            self.crash_guard,
             self.metrics,
             self.background,
             "zone-0",
             lambda name, incarnation: self.holder_lost(name, incarnation),
-            self.reachable,
+            self.is_reachable,
         )
 
 
-async def _answer(request: SubRequest) -> dict[str, Any]:
+async def _default_handler(request: SubRequest) -> dict[str, Any]:
     await asyncio.sleep(0.005)
     return echo(request)
 
--- a/packages/testkit/src/kingcuplug_testkit/_steps.py
+++ b/packages/testkit/src/kingcuplug_testkit/_steps.py
@@ -9,17 +9,17 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from kingcuplug_testkit._matrix import Cell
+    from kingcuplug_testkit._matrix import MatrixCell
 
-__all__ = ["STEPS", "Step"]
+__all__ = ["STEPS", "ProtocolStep"]
 
-_BEHIND_COMMANDS = 40
+_SNAPSHOT_LAG_COMMANDS = 40
 
 Message = dict[str, Any]
 
 
 @dataclass(frozen=True)
-class Step:
+class ProtocolStep:
     """One protocol step.
 
     Attributes
@@ -31,24 +31,24 @@
     """
 
     name: str
-    is_moment: Callable[[Message], bool]
-    drive: Callable[["Cell"], Awaitable[None]]
+    is_fault_point: Callable[[Message], bool]
+    run: Callable[["MatrixCell"], Awaitable[None]]
 
 
-def _kind(kind: str) -> Callable[[Message], bool]:
+def _has_kind(kind: str) -> Callable[[Message], bool]:
     return lambda message: message["kind"] == kind
 
 
-def _appends(kind: str) -> Callable[[Message], bool]:
+def _appends_entry(entry_kind: str) -> Callable[[Message], bool]:
     def is_moment(message: Message) -> bool:
         if message["kind"] != "append":
             return False
-        return any(entry[2] == kind for entry in message["entries"])
+        return any(entry[2] == entry_kind for entry in message["entries"])
 
     return is_moment
 
 
-def _acknowledges(message: Message) -> bool:
+def _is_append_acknowledged(message: Message) -> bool:
     return message["kind"] == "append_reply" and bool(message["success"])
 
 
@@ -57,59 +57,59 @@
     return False
 
 
-async def _elect(cell: "Cell") -> None:
+async def _run_election(cell: "MatrixCell") -> None:
     leader = await cell.group.wait_leader()
-    cell.arm()
+    cell.arm_faults()
     cell.group.network.isolate(leader.name, list(cell.group.hosts))
     # The old leader comes back at the moment of the faults.
-    cell.before_strike = cell.group.network.heal
+    cell.before_injection = cell.group.network.heal
 
 
-async def _write(cell: "Cell") -> None:
+async def _run_write(cell: "MatrixCell") -> None:
     await cell.group.wait_leader()
-    cell.arm()
+    cell.arm_faults()
     await cell.write(1)
 
 
-async def _install(cell: "Cell") -> None:
+async def _run_snapshot_install(cell: "MatrixCell") -> None:
     await cell.group.wait_leader()
     behind = cell.group.followers()[0]
     behind.disk.crash()
-    await cell.write(_BEHIND_COMMANDS)
-    cell.arm()
+    await cell.write(_SNAPSHOT_LAG_COMMANDS)
+    cell.arm_faults()
     await behind.start()
 
 
-async def _change_members(cell: "Cell") -> None:
+async def _run_member_change(cell: "MatrixCell") -> None:
     group = cell.group
     added = await group.add_host("d")
-    cell.arm()
+    cell.arm_faults()
     await cell.join(added)
     await group.wait_leader()
     removed = next(
         host
         for host in group.followers()
-        if group.is_voter(host.member.id) and host.name not in cell.victims
+        if group.is_voter(host.member.id) and host.name not in cell.faulty_hosts
     )
     await group.change(remove=removed.member.id)
-    await removed.retire()
+    await removed.decommission()
 
 
-async def _read(cell: "Cell") -> None:
+async def _run_read(cell: "MatrixCell") -> None:
     leader = await cell.group.wait_leader()
-    cell.arm()
-    cell.strike(leader, cell.group.followers()[0])
+    cell.arm_faults()
+    cell.inject_faults(leader, cell.group.followers()[0])
     await cell.read(leader)
 
 
-_ALL = [
-    Step("pre-vote", _kind("pre_vote"), _elect),
-    Step("vote", _kind("vote"), _elect),
-    Step("append", _appends("command"), _write),
-    Step("commit", _acknowledges, _write),
-    Step("snapshot install", _kind("install"), _install),
-    Step("member change", _appends("members"), _change_members),
-    Step("read", _never, _read),
+_STEP_LIST = [
+    ProtocolStep("pre-vote", _has_kind("pre_vote"), _run_election),
+    ProtocolStep("vote", _has_kind("vote"), _run_election),
+    ProtocolStep("append", _appends_entry("command"), _run_write),
+    ProtocolStep("commit", _is_append_acknowledged, _run_write),
+    ProtocolStep("snapshot install", _has_kind("install"), _run_snapshot_install),
+    ProtocolStep("member change", _appends_entry("members"), _run_member_change),
+    ProtocolStep("read", _never, _run_read),
 ]
 
-STEPS = {step.name: step for step in _ALL}
+STEPS = {step.name: step for step in _STEP_LIST}
--- a/packages/testkit/src/kingcuplug_testkit/_virtual_time.py
+++ b/packages/testkit/src/kingcuplug_testkit/_virtual_time.py
@@ -14,7 +14,7 @@
 _Result = TypeVar("_Result")
 
 
-class _JumpingSelector(selectors.SelectSelector):
+class _VirtualTimeSelector(selectors.SelectSelector):
     """Advances the loop's clock in place of waiting."""
 
     def __init__(self) -> None:
@@ -35,12 +35,12 @@
     """Event loop with a virtual monotonic clock that starts at 0 s."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._time_selector = _VirtualTimeSelector()
+        super().__init__(self._time_selector)
 
     def time(self) -> float:
         """Return the virtual time in seconds."""
-        return self._jumping.now
+        return self._time_selector.now
 
 
 def run_virtual(main: Coroutine[Any, Any, _Result]) -> _Result:
--- a/tests/system/test_processes.py
+++ b/tests/system/test_processes.py
@@ -20,63 +20,65 @@
 pytestmark = pytest.mark.system
 
 _SERVICE = "counter-01"
-_HOSTS = 5
-_ORDER_TRIES = 40
+_HOST_COUNT = 5
+_MAX_ORDER_ATTEMPTS = 40
 
 Fault = Callable[[ProcessSet], Awaitable[None]]
 
 
-def _text(number: int) -> str:
-    policy = {"deadline_ms": 1_000 + number, "canary": "off"}
+def _configuration_text(revision: int) -> str:
+    policy = {"deadline_ms": 1_000 + revision, "canary": "off"}
     return json.dumps({"services": {_SERVICE: {"policy": policy}}})
 
 
 @dataclasses.dataclass
-class History:
+class ClientHistory:
     """What operators and callers were told."""
 
-    accepted: list[int] = dataclasses.field(default_factory=list)
-    orders: dict[str, list[str]] = dataclasses.field(default_factory=dict)
+    accepted_revisions: list[int] = dataclasses.field(default_factory=list)
+    order_outcomes: dict[str, list[str]] = dataclasses.field(default_factory=dict)
 
 
-async def _change_configuration(hosts: ProcessSet, history: History) -> None:
+async def _change_configuration(hosts: ProcessSet, history: ClientHistory) -> None:
     """Apply one change after the other, each until its fate is known."""
-    revision = (await hosts.operate(hosts.hosts[0], "configuration/show", {}))["number"]
+    revision = (await hosts.call_operator(hosts.hosts[0], "configuration/show", {}))[
+        "number"
+    ]
     while True:
         change = {
             "change_id": identifier(),
             "base_revision": revision,
-            "text": _text(revision + 1),
+            "text": _configuration_text(revision + 1),
             "author": "test",
         }
         status = 0
         while status != 200:
-            status, answer = await hosts.call("operator/configuration", change)
+            status, answer = await hosts.post("operator/configuration", change)
             await asyncio.sleep(0.02)
         assert answer["type"] == "accepted", answer
         revision = int(answer["revision"])
-        history.accepted.append(revision)
+        history.accepted_revisions.append(revision)
 
 
 async def _place_orders(
-    hosts: ProcessSet, history: History, randomness: random.Random
+    hosts: ProcessSet, history: ClientHistory, rng: random.Random
 ) -> None:
     while True:
-        key = f"{time.time_ns() // 1_000_000}-{randomness.randrange(16**12):012x}"
+        key = f"{time.time_ns() // 1_000_000}-{rng.randrange(16**12):012x}"
         await _place_order(hosts, history, key)
 
 
-async def _place_order(hosts: ProcessSet, history: History, key: str) -> None:
+async def _place_order(hosts: ProcessSet, history: ClientHistory, key: str) -> None:
     """Send an order until its outcome is known, to another host each time."""
-    told = history.orders.setdefault(key, [])
+    told = history.order_outcomes.setdefault(key, [])
     fields = {
         "body": {"embroider": key},
         "idempotency_key": key,
         "partition_key": key,
     }
-    for number in range(_ORDER_TRIES):
+    for number in range(_MAX_ORDER_ATTEMPTS):
         resend = {"resend": number > 0}
-        status, answer = await hosts.call(f"services/{_SERVICE}/order", fields | resend)
+        status, answer = await hosts.post(f"services/{_SERVICE}/order", fields | resend)
         if status == 200:
             told.append("done")
             return
@@ -87,8 +89,8 @@
         await asyncio.sleep(0.05)
 
 
-def _check_orders(history: History, journal: Journal) -> None:
-    for key, told in history.orders.items():
+def _check_orders(history: ClientHistory, journal: Journal) -> None:
+    for key, told in history.order_outcomes.items():
         runs = journal.orders[key]
         assert runs <= 1, f"order {key} ran {runs} times: {told}"
         if "done" in told:
@@ -97,14 +99,14 @@
             assert runs == 0, f"order {key} ran, and the last word was not_run: {told}"
 
 
-async def _check_configuration(hosts: ProcessSet, history: History) -> None:
-    assert history.accepted == sorted(set(history.accepted))
-    host = next(host for host in hosts.hosts if host.running)
-    shown = await hosts.operate(host, "history/show", {})
+async def _check_configuration(hosts: ProcessSet, history: ClientHistory) -> None:
+    assert history.accepted_revisions == sorted(set(history.accepted_revisions))
+    host = next(host for host in hosts.hosts if host.is_running)
+    shown = await hosts.call_operator(host, "history/show", {})
     numbers = {change["revision"] for change in shown["revisions"]}
-    assert set(history.accepted) <= numbers
-    current = await hosts.operate(host, "configuration/show", {})
-    assert current["number"] >= history.accepted[-1]
+    assert set(history.accepted_revisions) <= numbers
+    current = await hosts.call_operator(host, "configuration/show", {})
+    assert current["number"] >= history.accepted_revisions[-1]
 
 
 async def _kill_leader_twice(hosts: ProcessSet) -> None:
@@ -113,7 +115,7 @@
         leader.kill()
         await asyncio.sleep(1.0)
         leader.start()
-        await hosts.until_ready([leader])
+        await hosts.wait_until_ready([leader])
 
 
 async def _kill_each_in_turn(hosts: ProcessSet) -> None:
@@ -121,43 +123,43 @@
         host.kill()
         await asyncio.sleep(0.3)
         host.start()
-        await hosts.until_ready([host])
+        await hosts.wait_until_ready([host])
 
 
-async def _freeze_leader(hosts: ProcessSet) -> None:
+async def _suspend_leader(hosts: ProcessSet) -> None:
     """Cut the leader off in silence for longer than every lease."""
     leader = await hosts.leader()
-    leader.freeze()
+    leader.suspend()
     await asyncio.sleep(4.5)
-    leader.thaw()
+    leader.resume()
     # The process that was frozen must not answer from before the pause.
-    status, answer = await hosts.call("operator/configuration/show", {}, leader)
+    status, answer = await hosts.post("operator/configuration/show", {}, leader)
     if status == 200:
         other = next(host for host in hosts.hosts if host is not leader)
-        later = await hosts.operate(other, "configuration/show", {})
+        later = await hosts.call_operator(other, "configuration/show", {})
         assert answer["number"] <= later["number"]
-    await hosts.until_ready([leader])
+    await hosts.wait_until_ready([leader])
 
 
 async def _replace_disk_and_lose_a_second_host(hosts: ProcessSet) -> None:
     victim = hosts.hosts[-1]
     victim.kill()
-    victim.lose_disk()
+    victim.delete_data_folder()
     victim.start()
-    await hosts.until_live(victim)
+    await hosts.wait_until_live(victim)
     leader = await hosts.leader()
-    old = await _member_of(hosts, leader, victim)
-    await hosts.operate(leader, "control/remove", {"member": old})
-    await hosts.add(leader, victim)
-    await _until_voter(hosts, victim)
+    old = await _member_id(hosts, leader, victim)
+    await hosts.call_operator(leader, "control/remove", {"member": old})
+    await hosts.add_voter(leader, victim)
+    await _wait_until_voter(hosts, victim)
     second = next(h for h in hosts.hosts if h is not victim and h is not leader)
     second.kill()
-    second.lose_disk()
+    second.delete_data_folder()
     await asyncio.sleep(1.0)
 
 
-async def _member_of(hosts: ProcessSet, leader: HostProcess, host: HostProcess) -> str:
-    status = await hosts.operate(leader, "control/status", {})
+async def _member_id(hosts: ProcessSet, leader: HostProcess, host: HostProcess) -> str:
+    status = await hosts.call_operator(leader, "control/status", {})
     return next(
         str(member["id"])
         for member in status["members"]
@@ -165,18 +167,18 @@
     )
 
 
-async def _until_voter(hosts: ProcessSet, host: HostProcess) -> None:
+async def _wait_until_voter(hosts: ProcessSet, host: HostProcess) -> None:
     async with asyncio.timeout(20):
         while True:
             leader = await hosts.leader()
-            status = await hosts.operate(leader, "control/status", {})
+            status = await hosts.call_operator(leader, "control/status", {})
             roles = {m["address"]: m["role"] for m in status["members"]}
             if roles.get(host.peer_address) == "voter":
                 return
             await asyncio.sleep(0.1)
 
 
-def _servers(hosts: ProcessSet, journal: Journal) -> list[StandIn]:
+def _make_servers(hosts: ProcessSet, journal: Journal) -> list[StandIn]:
     service = StandInService(_SERVICE, slots=3, connections=30, connection_cost_ms=1.0)
     return [
         StandIn(
@@ -185,32 +187,32 @@
             f"zone-{number + 1}",
             {1: (4, (0, 1, 2, 3))},
             journal,
-            hosts.balancer,
+            hosts.next_base_url,
             seed=number,
         )
         for number in range(3)
     ]
 
 
-async def _scenario(folder: Path, fault: Fault) -> None:
-    hosts = ProcessSet(_HOSTS, folder)
-    journal, history = Journal(), History()
-    servers = _servers(hosts, journal)
+async def _run_scenario(folder: Path, fault: Fault) -> None:
+    hosts = ProcessSet(_HOST_COUNT, folder)
+    journal, history = Journal(), ClientHistory()
+    servers = _make_servers(hosts, journal)
     load: list[asyncio.Task[Any]] = []
     try:
         await hosts.start()
-        await hosts.operate(
+        await hosts.call_operator(
             hosts.hosts[0],
             "configuration",
             {
                 "change_id": identifier(),
                 "base_revision": 0,
-                "text": _text(0),
+                "text": _configuration_text(0),
                 "author": "test",
             },
         )
         await asyncio.gather(*(server.start() for server in servers))
-        await hosts.until_ready()
+        await hosts.wait_until_ready()
         load.append(asyncio.create_task(_change_configuration(hosts, history)))
         for number in range(4):
             work = _place_orders(hosts, history, random.Random(number))
@@ -224,8 +226,8 @@
             task.cancel()
         await asyncio.gather(*load, return_exceptions=True)
         await asyncio.sleep(1.0)
-        assert history.accepted
-        assert any("done" in told for told in history.orders.values())
+        assert history.accepted_revisions
+        assert any("done" in told for told in history.order_outcomes.values())
         _check_orders(history, journal)
         await _check_configuration(hosts, history)
     finally:
@@ -240,14 +242,14 @@
     [
         _kill_leader_twice,
         _kill_each_in_turn,
-        _freeze_leader,
+        _suspend_leader,
         _replace_disk_and_lose_a_second_host,
     ],
 )
 def test_acknowledged_work_survives(tmp_path: Path, fault: Fault) -> None:
     # Guards against losing an acknowledged change or order, and against running an
     # order twice, when processes of a five-host set are killed under load.
-    asyncio.run(_scenario(tmp_path, fault))
+    asyncio.run(_run_scenario(tmp_path, fault))
 
 
 def test_terminated_host_exits_cleanly(tmp_path: Path) -> None:
--- a/tools/_routing_model.py
+++ b/tools/_routing_model.py
@@ -22,18 +22,18 @@
     Ticket,
 )
 
-TIMER_EARLY_S = 1e-6  # timers fire up to the clock's resolution early
-NETWORK_S = 0.0005  # one way
-BASE_S = 0.002
-SPREAD_S = 0.008
-MEAN_SERVICE_S = BASE_S + SPREAD_S
+TIMER_TOLERANCE_S = 1e-6  # timers fire up to the clock's resolution early
+NETWORK_DELAY_S = 0.0005  # one way
+MIN_SERVICE_S = 0.002
+MEAN_EXTRA_SERVICE_S = 0.008
+MEAN_SERVICE_S = MIN_SERVICE_S + MEAN_EXTRA_SERVICE_S
 SNAPSHOT = 1
 ENTRY_HOSTS = 10
 ZONES = 3
 
 
 @dataclass
-class Layout:
+class ServiceLayout:
     """Sizes of one service."""
 
     servers: int = 15
@@ -41,9 +41,9 @@
     connections: int = 120
     shards: int = 15
     replicas: int = 3
-    queue: int = 2  # waiting places of a server; beyond them it sheds
+    max_queued: int = 2  # waiting places of a server; beyond them it sheds
 
-    def capacity(self) -> float:
+    def capacity_qps(self) -> float:
         """Return the queries per second that keep every slot busy."""
         return self.servers * self.slots / (self.shards * MEAN_SERVICE_S)
 
@@ -54,7 +54,7 @@
 
     name: str
     zone: str
-    layout: Layout
+    layout: ServiceLayout
     random: Random
     shards: tuple[int, ...]
     slowdown: float = 1.0
@@ -84,8 +84,8 @@
         if self.lost:
             reply.set_result(AttemptOutcome.CONNECTION_LOST)
         elif len(self.running) < self.layout.slots:
-            self._run(reply)
-        elif len(self.queue) < self.layout.queue:
+            self._start(reply)
+        elif len(self.queue) < self.layout.max_queued:
             self.queue.append(reply)
         else:
             reply.set_result(AttemptOutcome.SHED)
@@ -95,11 +95,11 @@
         timer = self.running.pop(reply, None)
         if timer is not None:
             timer.cancel()
-            self._next()
+            self._start_queued()
         elif reply in self.queue:
             self.queue.remove(reply)
 
-    def lose(self) -> None:
+    def disconnect(self) -> None:
         """Break all connections and accept none."""
         self.lost = True
         for reply in [*self.running, *self.queue]:
@@ -108,33 +108,33 @@
         self.running.clear()
         self.queue.clear()
 
-    def _run(self, reply: asyncio.Future) -> None:
+    def _start(self, reply: asyncio.Future) -> None:
         self.executed += 1
-        duration = BASE_S + self.random.expovariate(1 / SPREAD_S)
+        duration = MIN_SERVICE_S + self.random.expovariate(1 / MEAN_EXTRA_SERVICE_S)
         loop = asyncio.get_running_loop()
         self.running[reply] = loop.call_later(
-            duration * self.slowdown, self._done, reply
+            duration * self.slowdown, self._complete, reply
         )
 
-    def _done(self, reply: asyncio.Future) -> None:
+    def _complete(self, reply: asyncio.Future) -> None:
         if self.running.pop(reply, None) is not None:
             if not reply.done():
                 reply.set_result(AttemptOutcome.OK)
-            self._next()
+            self._start_queued()
 
-    def _next(self) -> None:
+    def _start_queued(self) -> None:
         while self.queue and len(self.running) < self.layout.slots:
-            self._run(self.queue.popleft())
+            self._start(self.queue.popleft())
 
 
 @dataclass
-class Result:
+class QueryResult:
     """What one query came to."""
 
-    arrived: float
+    arrived_at: float
     priority: Priority
     duration_s: float
-    whole: bool
+    complete: bool
     coverage: float
     refused: bool
 
@@ -145,7 +145,7 @@
     def __init__(
         self,
         zone: str,
-        layout: Layout,
+        layout: ServiceLayout,
         servers: dict[str, BackendServer],
         policy: RoutingPolicy,
         random: Random,
@@ -155,12 +155,12 @@
         self.servers = servers
         self.router = Router("modelled", policy, random)
         self.admission = Admission(self.router)
-        self.avoided: int | None = None
-        self.sent = 0
-        self.wanted = 0
-        self.hedged = 0
-        self.retried = 0
-        self.results: list[Result] = []
+        self.excluded_zone: int | None = None
+        self.sent_attempts = 0
+        self.requested_shards = 0
+        self.hedged_attempts = 0
+        self.retried_attempts = 0
+        self.results: list[QueryResult] = []
 
     async def query(self, priority: Priority, deadline_s: float) -> None:
         """Run one query and keep its result."""
@@ -172,10 +172,13 @@
         refused = False
         try:
             async with self.admission.admit(priority, deadline, shards):
-                self.wanted += shards
+                self.requested_shards += shards
                 covered = sum(
                     await asyncio.gather(
-                        *(self._shard(i, priority, deadline) for i in range(shards))
+                        *(
+                            self._query_shard(i, priority, deadline)
+                            for i in range(shards)
+                        )
                     )
                 )
         except Refusal:
@@ -183,22 +186,24 @@
         took = loop.time() - arrived
         whole = covered == shards and took <= deadline_s
         self.results.append(
-            Result(arrived, priority, took, whole, covered / shards, refused)
+            QueryResult(arrived, priority, took, whole, covered / shards, refused)
         )
 
-    async def _shard(self, shard: int, priority: Priority, deadline: float) -> bool:
+    async def _query_shard(
+        self, shard: int, priority: Priority, deadline: float
+    ) -> bool:
         loop = asyncio.get_running_loop()
         tried: set[str] = set()
         attempt = Attempt.FIRST
-        while loop.time() < deadline - TIMER_EARLY_S:
+        while loop.time() < deadline - TIMER_TOLERANCE_S:
             try:
                 ticket = await self.router.acquire(
                     SNAPSHOT, shard, tried, priority, deadline, self.zone, attempt
                 )
             except Refusal:
                 return False
-            self.retried += attempt is Attempt.RETRY
-            outcome = await self._hedged(ticket, shard, deadline, tried)
+            self.retried_attempts += attempt is Attempt.RETRY
+            outcome = await self._send_with_hedge(ticket, shard, deadline, tried)
             if outcome is AttemptOutcome.OK:
                 return True
             if not self.router.policy.limited:
@@ -215,7 +220,7 @@
             attempt = Attempt.RETRY
         return False
 
-    async def _hedged(
+    async def _send_with_hedge(
         self, ticket: Ticket, shard: int, deadline: float, tried: set[str]
     ) -> AttemptOutcome:
         loop = asyncio.get_running_loop()
@@ -234,7 +239,7 @@
                 outcome = reply.result()
                 finished.finish(outcome, (loop.time() - finished.started) * 1_000)
             if outcome is AttemptOutcome.OK or (
-                loop.time() >= deadline - TIMER_EARLY_S
+                loop.time() >= deadline - TIMER_TOLERANCE_S
             ):
                 break
             if not done and hedging:
@@ -244,7 +249,7 @@
                 )
                 if hedge is not None:
                     delay_ms = None
-                    self.hedged += 1
+                    self.hedged_attempts += 1
                     calls[self._send(hedge)] = hedge
         for reply, loser in calls.items():
             self.servers[loser.server].cancel(reply)
@@ -254,9 +259,9 @@
         return outcome
 
     def _send(self, ticket: Ticket) -> asyncio.Future:
-        self.sent += 1
+        self.sent_attempts += 1
         loop = asyncio.get_running_loop()
         reply = loop.create_future()
         server = self.servers[ticket.server]
-        loop.call_later(2 * NETWORK_S, server.submit, reply)
+        loop.call_later(2 * NETWORK_DELAY_S, server.submit, reply)
         return reply
--- a/tools/matrix.py
+++ b/tools/matrix.py
@@ -6,27 +6,31 @@
 
 from kingcuplug_testkit import FAULTS, STEPS, run_cell
 
-_WIDTH = 48
+_FAULT_COLUMN_WIDTH = 48
 
 
-def _cell(fault: str, step: str, seed: str) -> str:
+def _run_cell(fault: str, step: str, seed: str) -> str:
     try:
         result = run_cell([fault], step, seed)
     except Exception:
         traceback.print_exc()
         return "FAIL"
-    return f"{result.acknowledged}/{result.reads}" + ("" if result.sprung else "?")
+    return f"{result.acknowledged_commands}/{result.reads}" + (
+        "" if result.sprung else "?"
+    )
 
 
 def main(seed: str = "0") -> int:
-    """Print the table; cells show acknowledged commands / checked reads."""
+    """Print the table; cells show acknowledged commands / read checks."""
     started = time.monotonic()
-    print(" " * _WIDTH + "".join(f"{step:>17}" for step in STEPS))
+    print(" " * _FAULT_COLUMN_WIDTH + "".join(f"{step:>17}" for step in STEPS))
     failed = 0
     for fault in FAULTS:
-        cells = [_cell(fault, step, seed) for step in STEPS]
+        cells = [_run_cell(fault, step, seed) for step in STEPS]
         failed += cells.count("FAIL")
-        print(f"{fault:<{_WIDTH}}" + "".join(f"{cell:>17}" for cell in cells))
+        print(
+            f"{fault:<{_FAULT_COLUMN_WIDTH}}" + "".join(f"{cell:>17}" for cell in cells)
+        )
     print(f"{len(FAULTS) * len(STEPS)} cells, {failed} failed, seed {seed}")
     print(f"{time.monotonic() - started:.1f} s", file=sys.stderr)
     return 1 if failed else 0
--- a/tools/measure_fleet.py
+++ b/tools/measure_fleet.py
@@ -17,8 +17,8 @@
 from kingcuplug_platform import decode_statement
 from kingcuplug_routing import PaceBoard
 
-SERVERS = (1_000, 10_000, 57_000)
-HEARD = 1_839  # 57,000 servers over 31 control hosts.
+SERVER_COUNTS = (1_000, 10_000, 57_000)
+REPORTED_SERVERS = 1_839  # 57,000 servers over 31 control hosts.
 STATEMENT = orjson.dumps(
     {
         "service": "service-1",
@@ -34,7 +34,7 @@
 )
 
 
-def record(number: int, sequence: int = 1) -> ServerRecord:
+def make_record(number: int, sequence: int = 1) -> ServerRecord:
     """Return the statement of one of many servers."""
     address = f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:8080"
     return ServerRecord(
@@ -49,12 +49,12 @@
     )
 
 
-async def measure(count: int) -> None:
+async def measure_directory(count: int) -> None:
     """Print the figures for one number of servers."""
     directory = Directory(5.0)
     begun = time.process_time()
     for number in range(count):
-        directory.merge(record(number), 0.0)
+        directory.merge(make_record(number), 0.0)
     merged = time.process_time()
     usable = len(directory.usable())
     listed = time.process_time()
@@ -72,8 +72,8 @@
 
 async def main() -> None:
     """Print all figures."""
-    for count in SERVERS:
-        await measure(count)
+    for count in SERVER_COUNTS:
+        await measure_directory(count)
     begun = time.process_time()
     for _ in range(20_000):
         decode_statement("i-1", STATEMENT)
@@ -112,14 +112,17 @@
             1_787_052_846_096 + source.randrange(10**9),
             source.randrange(10**4),
         )
-        for _ in range(HEARD)
+        for _ in range(REPORTED_SERVERS)
     }
     report = ShareMessage("10.1.0.1:8224", "zone-a", 2**63, heard=heard)
     begun = time.process_time()
     _, body = encode_body(report.to_json())
     spent_ms = (time.process_time() - begun) * 1e3
-    print(f"report {HEARD} heard servers: {len(body)} B, {spent_ms:.1f} ms to encode")
-    records = [record(source.getrandbits(40)).to_json() for _ in range(1_000)]
+    print(
+        f"report {REPORTED_SERVERS} heard servers: {len(body)} B, "
+        f"{spent_ms:.1f} ms to encode"
+    )
+    records = [make_record(source.getrandbits(40)).to_json() for _ in range(1_000)]
     plain, deflated = len(orjson.dumps(records)), len(encode_body(records)[1])
     print(f"1,000 records: {plain} B, deflated {deflated} B")
     print(
--- a/tools/measure_gateway.py
+++ b/tools/measure_gateway.py
@@ -24,24 +24,24 @@
 )
 from kingcuplug_http import Limits, Listener, Request, Response
 
-SHARDS = 36
-QUERIES = 150  # For each turn.
-TURNS = 4
-PART_BYTES = 1_000
-NAMES = HeaderNames(
+SHARD_COUNT = 36
+QUERIES_PER_ROUND = 150  # For each turn.
+ROUNDS = 4
+REPLY_BYTES = 1_000
+HEADER_NAMES = HeaderNames(
     b"Try-Id", b"Left-Ms", b"Only-At", b"Seal", b"Unrun", b"Seals", b"Missing"
 )
 
 
-async def serve() -> None:
+async def serve_backends() -> None:
     """Answer sub-requests on a port for each shard until killed."""
-    body = os.urandom(PART_BYTES)
+    body = os.urandom(REPLY_BYTES)
 
     async def answer(request: Request) -> Response:
         echo = (b"Try-Id", request.header(b"try-id") or b"")
         return Response(200, [(b"Seal", os.urandom(6).hex().encode()), echo], body)
 
-    listeners = [Listener(answer, Limits) for _ in range(SHARDS)]
+    listeners = [Listener(answer, Limits) for _ in range(SHARD_COUNT)]
     addresses = [await listener.start("127.0.0.1:0") for listener in listeners]
     print(" ".join(addresses), flush=True)
     await asyncio.Event().wait()
@@ -49,9 +49,11 @@
 
 def make_gateway(addresses: list[str]) -> Gateway:
     """Return a gateway with one server for each shard."""
-    names = [f"s{number}" for number in range(SHARDS)]
+    names = [f"s{number}" for number in range(SHARD_COUNT)]
     log = EventLog(os.open(os.devnull, os.O_WRONLY), "host")
-    gateway = Gateway(GatewaySettings("z", NAMES), log, Metrics(), random.Random(1))
+    gateway = Gateway(
+        GatewaySettings("z", HEADER_NAMES), log, Metrics(), random.Random(1)
+    )
     route = Route("r", "a", "/", True, (), tuple(names), 2, 60_000, 50_000, 1, 50, 1.0)
     services = {name: ServiceSettings(name, "/", 64) for name in names}
     gateway.adopt(RouteTable(1, (route,), services, 8_192, 65_536, 3_000, 15_000))
@@ -63,7 +65,7 @@
     return gateway
 
 
-async def through_gateway(gateway: Gateway, number: int) -> None:
+async def query_gateway(gateway: Gateway, number: int) -> None:
     """Send one query."""
     fields = {b"host": b"a", b"try-id": b"%d" % number}
     now = asyncio.get_running_loop().time()
@@ -74,7 +76,7 @@
     assert response.status == 200, response
 
 
-async def through_aiohttp(session: aiohttp.ClientSession, urls: list[str]) -> None:
+async def query_aiohttp(session: aiohttp.ClientSession, urls: list[str]) -> None:
     """Ask all servers at once."""
 
     async def one(url: str) -> bytes:
@@ -90,19 +92,19 @@
     urls = [f"http://{address}/x" for address in addresses]
     spent = {"gateway": 0.0, "aiohttp": 0.0}
     async with aiohttp.ClientSession() as session:
-        await through_gateway(gateway, 0)
-        await through_aiohttp(session, urls)
-        for turn in range(TURNS):
+        await query_gateway(gateway, 0)
+        await query_aiohttp(session, urls)
+        for turn in range(ROUNDS):
             begun = time.process_time()
-            for number in range(QUERIES):
-                await through_gateway(gateway, turn * QUERIES + number)
+            for number in range(QUERIES_PER_ROUND):
+                await query_gateway(gateway, turn * QUERIES_PER_ROUND + number)
             middle = time.process_time()
-            for _ in range(QUERIES):
-                await through_aiohttp(session, urls)
+            for _ in range(QUERIES_PER_ROUND):
+                await query_aiohttp(session, urls)
             spent["gateway"] += middle - begun
             spent["aiohttp"] += time.process_time() - middle
     for name, seconds in spent.items():
-        each_us = seconds / (TURNS * QUERIES * SHARDS) * 1e6
+        each_us = seconds / (ROUNDS * QUERIES_PER_ROUND * SHARD_COUNT) * 1e6
         print(f"{name}: {each_us:.0f} us a sub-request")
     print(f"ratio: {spent['gateway'] / spent['aiohttp']:.2f} (target: 0.6)")
 
@@ -110,7 +112,7 @@
 def main() -> None:
     """Run the servers in a process of their own and measure."""
     if sys.argv[1:] == ["serve"]:
-        asyncio.run(serve())
+        asyncio.run(serve_backends())
         return
     command = [sys.executable, __file__, "serve"]
     with subprocess.Popen(command, stdout=subprocess.PIPE, text=True) as servers:
--- a/tools/measure_log.py
+++ b/tools/measure_log.py
@@ -25,13 +25,13 @@
     member_id,
 )
 
-_BATCHES = (1, 8, 64, 512)
+_CALLER_COUNTS = (1, 8, 64, 512)
 _DURATION_S = 4.0
 _COMMAND_BYTES = 200
 _SYNC_SAMPLES = 200
 
 
-class _Counter:
+class _CountingStateMachine:
     def __init__(self) -> None:
         self.count = 0
 
@@ -46,7 +46,7 @@
         self.count = state["count"]
 
 
-async def _start(folder: Path) -> list[Replica]:
+async def _start_replicas(folder: Path) -> list[Replica]:
     replicas: dict[str, Replica] = {}
 
     async def transport(peer: str, message: dict[str, Any]) -> dict[str, Any]:
@@ -61,7 +61,7 @@
             member,
             storage,
             transport,
-            _Counter(),
+            _CountingStateMachine(),
             LogSettings(),
             time.monotonic,
             random.Random(name),
@@ -84,7 +84,7 @@
         await asyncio.sleep(0.05)
 
 
-async def _measure(leader: Replica, callers: int) -> tuple[float, list[float]]:
+async def _measure_commits(leader: Replica, callers: int) -> tuple[float, list[float]]:
     command = {"text": "x" * _COMMAND_BYTES}
     latencies: list[float] = []
     started = time.monotonic()
@@ -102,7 +102,7 @@
     return len(latencies) / (time.monotonic() - started), sorted(latencies)
 
 
-async def _sync_ms(folder: Path) -> float:
+async def _median_sync_ms(folder: Path) -> float:
     files = DiskFileSystem(folder / "sync")
     handle = files.open_append("probe")
     samples = []
@@ -116,12 +116,12 @@
 
 
 async def _main(folder: Path) -> None:
-    print(f"one write and sync alone: median {await _sync_ms(folder):.2f} ms")
-    replicas = await _start(folder)
+    print(f"one write and sync alone: median {await _median_sync_ms(folder):.2f} ms")
+    replicas = await _start_replicas(folder)
     print(f"{'callers':>8}{'commits/s':>12}{'p50 ms':>10}{'p99 ms':>10}")
-    for callers in _BATCHES:
+    for callers in _CALLER_COUNTS:
         leader = next(replica for replica in replicas if replica.leading)
-        rate, latencies = await _measure(leader, callers)
+        rate, latencies = await _measure_commits(leader, callers)
         p50 = latencies[len(latencies) // 2] * 1_000
         p99 = latencies[len(latencies) * 99 // 100] * 1_000
         print(f"{callers:>8}{rate:>12.0f}{p50:>10.2f}{p99:>10.2f}")
--- a/tools/measure_membership.py
+++ b/tools/measure_membership.py
@@ -40,13 +40,13 @@
 )
 from kingcuplug_testkit import run_virtual  # noqa: E402
 
-SERVICES = 570
+SERVICE_COUNT = 570
 SERVERS_PER_SERVICE = 100
 ROUTED_SERVICES = 25
 Call = Callable[[str, dict[str, Any]], Awaitable[dict[str, Any]]]
 
 
-def entry(number: int, sequence: int = 1, holder: str = "e0/1") -> ServerEntry:
+def make_entry(number: int, sequence: int = 1, holder: str = "e0/1") -> ServerEntry:
     """Return one of the servers of the target size."""
     service = f"service-{number // SERVERS_PER_SERVICE:03d}"
     announcement = Announcement(
@@ -64,48 +64,50 @@
     return ServerEntry(announcement, (holder,))
 
 
-def now() -> float:
+def virtual_time() -> float:
     """Return the virtual time."""
     return asyncio.get_running_loop().time()
 
 
-class Wire:
+class InProcessTransport:
     """In-process messages with JSON, and their sizes."""
 
     def __init__(self) -> None:
         self.handlers: dict[tuple[str, str], Callable[[Any], Awaitable[Any]]] = {}
-        self.messages = 0
-        self.size = 0
+        self.message_count = 0
+        self.byte_count = 0
 
-    def caller(self, kind: str) -> Call:
+    def make_call(self, kind: str) -> Call:
         """Return a closure that sends messages of `kind`."""
 
         async def call(peer: str, message: dict[str, Any]) -> dict[str, Any]:
             request = orjson.dumps(message)
             await asyncio.sleep(0.001)
             reply = orjson.dumps(await self.handlers[kind, peer](orjson.loads(request)))
-            self.messages += 1
-            self.size += len(request) + len(reply)
+            self.message_count += 1
+            self.byte_count += len(request) + len(reply)
             decoded: dict[str, Any] = orjson.loads(reply)
             return decoded
 
         return call
 
 
-class System:
+class MembershipSystem:
     """Control hosts that follow c0, with sessions of which the homes are fixed."""
 
     def __init__(self, controls: int) -> None:
-        self.wire = Wire()
-        self.mesh_wire = Wire()
+        self.session_transport = InProcessTransport()
+        self.mesh_transport = InProcessTransport()
         self.tasks: list[asyncio.Task[Any]] = []
-        self.names = [f"c{number}" for number in range(controls)]
-        self.servers = {name: self._control(name) for name in self.names}
-        self.clients: list[SessionClient] = []
+        self.control_names = [f"c{number}" for number in range(controls)]
+        self.session_servers = {
+            name: self._start_control(name) for name in self.control_names
+        }
+        self.session_clients: list[SessionClient] = []
 
-    def _control(self, name: str) -> SessionServer:
+    def _start_control(self, name: str) -> SessionServer:
         leader = LeaderSource(
-            lambda: now() + 1 if name == "c0" else 0.0,
+            lambda: virtual_time() + 1 if name == "c0" else 0.0,
             lambda: "c0",
             lambda: 1,
             lambda: 0,
@@ -113,28 +115,28 @@
         )
         server = SessionServer(
             name,
-            lambda: [other for other in self.names if other != name],
+            lambda: [other for other in self.control_names if other != name],
             ConfigurationSource(lambda: 0, lambda n: [], lambda: "{}", lambda: ""),
             leader,
-            self.mesh_wire.caller("barrier"),
-            now,
+            self.mesh_transport.make_call("barrier"),
+            virtual_time,
         )
         mesh = Mesh(
             name,
             server.directory,
             server.verdicts,
             server.continuity,
-            lambda: self.names,
-            self.mesh_wire.caller("mesh"),
-            now,
+            lambda: self.control_names,
+            self.mesh_transport.make_call("mesh"),
+            virtual_time,
         )
 
         async def barrier(message: Any) -> Any:
             return server.barrier.handle(message)
 
-        self.wire.handlers["session", name] = server.handle
-        self.mesh_wire.handlers["mesh", name] = mesh.handle
-        self.mesh_wire.handlers["barrier", name] = barrier
+        self.session_transport.handlers["session", name] = server.handle
+        self.mesh_transport.handlers["mesh", name] = mesh.handle
+        self.mesh_transport.handlers["barrier", name] = barrier
         self.tasks += [
             asyncio.ensure_future(server.run()),
             asyncio.ensure_future(mesh.run()),
@@ -145,7 +147,7 @@
         """Start the session of one entry host."""
         first = number * ROUTED_SERVICES
         services = tuple(
-            f"service-{(first + index) % SERVICES:03d}"
+            f"service-{(first + index) % SERVICE_COUNT:03d}"
             for index in range(ROUTED_SERVICES)
         )
         revision = [-1]
@@ -161,60 +163,64 @@
             "10.0.0.1:80",
             lambda: [home],
             sink,
-            self.wire.caller("session"),
-            now,
+            self.session_transport.make_call("session"),
+            virtual_time,
         )
-        self.clients.append(client)
+        self.session_clients.append(client)
         self.tasks.append(asyncio.ensure_future(client.run()))
         return client
 
-    async def ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait until all sessions are confirmed and quiet."""
         while True:
-            if all(client.is_confirmed() for client in self.clients):
+            if all(client.is_confirmed() for client in self.session_clients):
                 break
             await asyncio.sleep(0.1)
         await asyncio.sleep(5)
 
-    async def cost(self, duration: float) -> tuple[float, float, float]:
+    async def measure_rates(self, duration_s: float) -> tuple[float, float, float]:
         """Return messages/s, bytes/s and CPU ms/s of sessions for a while."""
-        messages, size, cpu = self.wire.messages, self.wire.size, time.process_time()
-        await asyncio.sleep(duration)
+        messages, size, cpu = (
+            self.session_transport.message_count,
+            self.session_transport.byte_count,
+            time.process_time(),
+        )
+        await asyncio.sleep(duration_s)
         return (
-            (self.wire.messages - messages) / duration,
-            (self.wire.size - size) / duration,
-            (time.process_time() - cpu) / duration * 1_000,
+            (self.session_transport.message_count - messages) / duration_s,
+            (self.session_transport.byte_count - size) / duration_s,
+            (time.process_time() - cpu) / duration_s * 1_000,
         )
 
 
-async def change(system: System, rate: float) -> None:
+async def announce_changes(system: MembershipSystem, rate_per_s: float) -> None:
     """Announce servers of the routed services again, `rate` times a second."""
     number = 0
     while True:
-        await asyncio.sleep(1 / rate)
+        await asyncio.sleep(1 / rate_per_s)
         number += 1
         server = number % (ROUTED_SERVICES * SERVERS_PER_SERVICE)
-        update = entry(server, 2 + number)
-        system.servers["c0"].directory.merge(update, local=True)
+        update = make_entry(server, 2 + number)
+        system.session_servers["c0"].directory.merge(update, local=True)
 
 
 async def measure_session() -> None:
     """One session against one control host."""
     for rate in (0.0, 0.1, 1.0, 10.0, 100.0):
-        system = System(1)
+        system = MembershipSystem(1)
         system.connect(0, "c0")
-        await system.ready()
+        await system.wait_until_ready()
         if rate:
-            system.tasks.append(asyncio.ensure_future(change(system, rate)))
-        messages, size, cpu = await system.cost(200)
+            system.tasks.append(asyncio.ensure_future(announce_changes(system, rate)))
+        messages, size, cpu = await system.measure_rates(200)
         print(
             f"session: {rate:5.1f} changes/s of routed services: {messages:5.2f} "
             f"exchanges/s {size:8.0f} B/s {cpu:6.3f} ms CPU/s (both ends)"
         )
-        await stop(system)
+        await stop_system(system)
 
 
-async def stop(system: System) -> None:
+async def stop_system(system: MembershipSystem) -> None:
     """End all tasks of a system."""
     for task in system.tasks:
         task.cancel()
@@ -224,10 +230,10 @@
 def measure_directory() -> None:
     """Memory and CPU of a directory."""
     for servers in (1_000, 10_000, 57_000):
-        entries = [entry(number) for number in range(servers)]
+        entries = [make_entry(number) for number in range(servers)]
         gc.collect()
         tracemalloc.start()
-        copies = [entry(number) for number in range(servers)]
+        copies = [make_entry(number) for number in range(servers)]
         of_entries, _ = tracemalloc.get_traced_memory()
         directory = Directory(lambda: 0.0)
         for copy in copies:
@@ -237,10 +243,10 @@
         whole, _ = tracemalloc.get_traced_memory()
         tracemalloc.stop()
         target = Directory(lambda: 0.0)
-        merge_us = timed(lambda: [target.merge(one) for one in entries], servers)  # noqa: B023
-        again_us = timed(lambda: [target.merge(one) for one in entries], servers)  # noqa: B023
+        merge_us = cpu_time_us(lambda: [target.merge(one) for one in entries], servers)  # noqa: B023
+        again_us = cpu_time_us(lambda: [target.merge(one) for one in entries], servers)  # noqa: B023
         routed = [f"service-{index:03d}" for index in range(ROUTED_SERVICES)]
-        read_us = timed(lambda: target.changes_since(0, routed), 1)  # noqa: B023
+        read_us = cpu_time_us(lambda: target.changes_since(0, routed), 1)  # noqa: B023
         print(
             f"directory: {servers:6d} servers: {whole / 1e6:6.1f} MB "
             f"({of_entries / 1e6:.1f} MB of them entries), merge {merge_us:.2f} us, "
@@ -249,16 +255,16 @@
         )
 
 
-def timed(action: Callable[[], Any], count: int) -> float:
+def cpu_time_us(action: Callable[[], Any], count: int) -> float:
     """Return the CPU time of `action` in microseconds, divided by `count`."""
     started = time.process_time()
     action()
     return (time.process_time() - started) * 1e6 / count
 
 
-async def poll(system: System, number: int) -> None:
+async def poll_sessions(system: MembershipSystem, number: int) -> None:
     """Poll as an entry host does, without an entry host's own work."""
-    call = system.wire.caller("session")
+    call = system.session_transport.make_call("session")
     first = number * ROUTED_SERVICES
     request: dict[str, Any] = {
         "host": f"e{number}",
@@ -267,7 +273,7 @@
         "confirmed": 0,
         "number": 0,
         "services": [
-            f"service-{(first + index) % SERVICES:03d}"
+            f"service-{(first + index) % SERVICE_COUNT:03d}"
             for index in range(ROUTED_SERVICES)
         ],
     }
@@ -285,59 +291,62 @@
 async def measure_control() -> None:
     """One control host with many sessions, without the entry hosts' own work."""
     for sessions in (50, 100, 200, 400):
-        system = System(1)
+        system = MembershipSystem(1)
         for number in range(57_000):
-            system.servers["c0"].directory.merge(entry(number), local=True)
+            system.session_servers["c0"].directory.merge(make_entry(number), local=True)
         await asyncio.sleep(2)
         started = time.process_time()
         for number in range(sessions):
-            system.tasks.append(asyncio.ensure_future(poll(system, number)))
+            system.tasks.append(asyncio.ensure_future(poll_sessions(system, number)))
         await asyncio.sleep(5)
         start_ms = (time.process_time() - started) * 1_000 / sessions
-        start_size = system.wire.size / sessions
-        idle = await system.cost(20)
-        system.tasks.append(asyncio.ensure_future(change(system, 1.0)))
-        busy = await system.cost(20)
+        start_size = system.session_transport.byte_count / sessions
+        idle = await system.measure_rates(20)
+        system.tasks.append(asyncio.ensure_future(announce_changes(system, 1.0)))
+        busy = await system.measure_rates(20)
         print(
             f"control: {sessions:4d} sessions, 57000 servers: start "
             f"{start_size / 1e3:.0f} kB {start_ms:.1f} ms each; idle "
             f"{idle[1] / 1e3:.1f} kB/s {idle[2]:.1f} ms CPU/s; 1 change/s "
             f"{busy[1] / 1e3:.1f} kB/s {busy[2]:.1f} ms CPU/s"
         )
-        await stop(system)
+        await stop_system(system)
 
 
-async def measure_full() -> None:
+async def measure_reannouncement() -> None:
     """Servers announce again at 20 entry hosts; 5 control hosts exchange them."""
     for servers in (570, 1_900, 5_700):
-        system = System(5)
+        system = MembershipSystem(5)
         for number in range(20):
             system.connect(number, f"c{number % 5}")
-        await system.ready()
-        cpu, size = time.process_time(), system.wire.size
-        mesh_size, started = system.mesh_wire.size, now()
+        await system.wait_until_ready()
+        cpu, size = time.process_time(), system.session_transport.byte_count
+        mesh_size, started = system.mesh_transport.byte_count, virtual_time()
         for number in range(servers):
-            client = system.clients[number % 20]
+            client = system.session_clients[number % 20]
             holder = holder_name(f"e{number % 20}", 1)
-            client.leases.announce(entry(number, 2, holder).announcement)
+            client.leases.announce(make_entry(number, 2, holder).announcement)
         while True:
-            known = [len(one.directory) for one in system.servers.values()]
+            known = [len(one.directory) for one in system.session_servers.values()]
             if min(known) == servers:
                 break
             await asyncio.sleep(0.01)
-        took = now() - started
+        took = virtual_time() - started
         # The leader's relay and the answers to the sessions follow within 0.5 s;
         # the servers' leases end after 2 s.
         await asyncio.sleep(1.5)
         print(
             f"full: {servers:5d} servers announce: all 5 directories have them after "
             f"{took:.2f} s (virtual); {(time.process_time() - cpu) * 1e3:.0f} ms CPU "
-            f"in all; sessions {(system.wire.size - size) / servers:.0f} B per server, "
+            f"in all; sessions "
+            f"{(system.session_transport.byte_count - size) / servers:.0f} "
+            f"B per server, "
             f"between control hosts "
-            f"{(system.mesh_wire.size - mesh_size) / servers / 5:.0f} B per server "
+            f"{(system.mesh_transport.byte_count - mesh_size) / servers / 5:.0f} "
+            f"B per server "
             f"and control host"
         )
-        await stop(system)
+        await stop_system(system)
 
 
 def main() -> None:
@@ -347,7 +356,7 @@
         "session": lambda: run_virtual(measure_session()),
         "directory": measure_directory,
         "control": lambda: run_virtual(measure_control()),
-        "full": lambda: run_virtual(measure_full()),
+        "full": lambda: run_virtual(measure_reannouncement()),
     }
     parser.add_argument("section", nargs="*", choices=[[], *sections], default=[])
     for name in parser.parse_args().section or sections:
--- a/tools/measure_query.py
+++ b/tools/measure_query.py
@@ -13,34 +13,34 @@
 from kingcuplug_testkit import World, echo, query
 
 _SHARD_COUNTS = (6, 15, 41, 82)
-_QUERIES = 300
-_SERVERS = 9
+_QUERY_COUNT = 300
+_SERVER_COUNT = 9
 
 
-async def _answer(request: SubRequest) -> Any:
+async def _reply_immediately(request: SubRequest) -> Any:
     await asyncio.sleep(0)
     return echo(request)
 
 
-async def _measure(shard_count: int) -> float:
+async def _cpu_us_per_query(shard_count: int) -> float:
     """Return the CPU time per query in microseconds."""
     world = World()
-    world.add("stock", servers=_SERVERS, shard_count=shard_count, canary="always")
+    world.add("stock", servers=_SERVER_COUNT, shard_count=shard_count, canary="always")
     views = [dataclasses.replace(v, slots=1_000) for v in world.servers["stock"]]
     world.services["stock"].router.update(views, 1)
-    world.handlers = {f"stock-{n}": _answer for n in range(_SERVERS)}
+    world.handlers = {f"stock-{n}": _reply_immediately for n in range(_SERVER_COUNT)}
     executor, view = world.queries(), world.view()
     for _ in range(20):
         await executor.run(query(), view)
     started = time.process_time()
-    for _ in range(_QUERIES):
+    for _ in range(_QUERY_COUNT):
         await executor.run(query(), view)
-    return (time.process_time() - started) / _QUERIES * 1e6
+    return (time.process_time() - started) / _QUERY_COUNT * 1e6
 
 
 def main() -> None:
     """Print one line per number of shards, and the slope."""
-    results = {count: asyncio.run(_measure(count)) for count in _SHARD_COUNTS}
+    results = {count: asyncio.run(_cpu_us_per_query(count)) for count in _SHARD_COUNTS}
     for count, spent_us in results.items():
         print(f"query shards={count}: {spent_us:.0f} us CPU")
     first, last = _SHARD_COUNTS[0], _SHARD_COUNTS[-1]
--- a/tools/measure_receipts.py
+++ b/tools/measure_receipts.py
@@ -4,21 +4,21 @@
 
 from kingcuplug_common import Receipt, Signer
 
-_SIZES = (1_000, 5_000, 20_000)
+_RECEIPT_COUNTS = (1_000, 5_000, 20_000)
 
 
 def main() -> None:
     """Print the CPU time per signed receipt."""
     signer = Signer(bytes(range(32)))
-    for size in _SIZES:
+    for size in _RECEIPT_COUNTS:
         started = time.process_time()
         for number in range(size):
-            signer.sign(_receipt(number))
+            signer.sign(_make_receipt(number))
         spent_us = (time.process_time() - started) / size * 1e6
         print(f"receipts {size}: {spent_us:.1f} us CPU each")
 
 
-def _receipt(number: int) -> Receipt:
+def _make_receipt(number: int) -> Receipt:
     return Receipt(
         request_id=f"request-{number}",
         request_digest="0" * 64,
--- a/tools/measure_routing.py
+++ b/tools/measure_routing.py
@@ -31,26 +31,26 @@
 )
 from kingcuplug_testkit import run_virtual  # noqa: E402
 
-WARM_S = 5.0
-LEASE_S = 2.0
+WARM_UP_S = 5.0
+SERVER_LEASE_S = 2.0
 DEADLINE_S = 0.5
 BULK_DEADLINE_S = 3.0
 
 LAYOUTS = {
-    "cutting": model.Layout(),
-    "counter": model.Layout(3, 3, 30, 3, 3, 3),
-    "unqueued": model.Layout(queue=0),
-    "endless": model.Layout(queue=1_000),
+    "cutting": model.ServiceLayout(),
+    "counter": model.ServiceLayout(3, 3, 30, 3, 3, 3),
+    "unqueued": model.ServiceLayout(max_queued=0),
+    "endless": model.ServiceLayout(max_queued=1_000),
 }
 
-CHOSEN = RoutingPolicy()
+DEFAULT_POLICY = RoutingPolicy()
 POLICIES: dict[str, RoutingPolicy] = {
     "baseline": baseline_policy(),
-    "chosen": CHOSEN,
-    "least in flight": replace(CHOSEN, select=least_in_flight),
-    "least expected": replace(CHOSEN, select=least_expected_time),
-    "no hedge": replace(CHOSEN, hedge_budget=0.0),
-    "no admission": replace(CHOSEN, utilisation=float("inf")),
+    "chosen": DEFAULT_POLICY,
+    "least in flight": replace(DEFAULT_POLICY, select=least_in_flight),
+    "least expected": replace(DEFAULT_POLICY, select=least_expected_time),
+    "no hedge": replace(DEFAULT_POLICY, hedge_budget=0.0),
+    "no admission": replace(DEFAULT_POLICY, utilisation=float("inf")),
 }
 
 
@@ -59,12 +59,12 @@
     """Offered load, as a share of the capacity, and what fails."""
 
     load: float
-    straggler: float = 1.0
-    lost: int = 0
+    slowdown: float = 1.0
+    lost_servers: int = 0
     zone_lost: bool = False
-    lying: bool = False
-    uneven: bool = False
-    subset: bool = False  # each entry host uses two of the three replicas
+    misreported_load: bool = False
+    uneven_load: bool = False
+    replica_subset: bool = False  # each entry host uses two of the three replicas
 
 
 SCENARIOS = {
@@ -72,18 +72,18 @@
     "80%": Scenario(0.8),
     "100%": Scenario(1.0),
     "120%": Scenario(1.2),
-    "straggler 50%": Scenario(0.5, straggler=10.0),
-    "lost 50%": Scenario(0.5, lost=1),
+    "straggler 50%": Scenario(0.5, slowdown=10.0),
+    "lost 50%": Scenario(0.5, lost_servers=1),
     "zone lost 50%": Scenario(0.5, zone_lost=True),
-    "lying 80%": Scenario(0.8, lying=True),
-    "uneven 80%": Scenario(0.8, uneven=True),
-    "subset 50%": Scenario(0.5, subset=True),
-    "subset 120%": Scenario(1.2, subset=True),
+    "lying 80%": Scenario(0.8, misreported_load=True),
+    "uneven 80%": Scenario(0.8, uneven_load=True),
+    "subset 50%": Scenario(0.5, replica_subset=True),
+    "subset 120%": Scenario(1.2, replica_subset=True),
 }
 
 
 async def simulate(
-    layout: model.Layout,
+    layout: model.ServiceLayout,
     scenario: Scenario,
     policy: RoutingPolicy,
     seconds: float,
@@ -91,24 +91,26 @@
 ) -> list[model.EntryHost]:
     """Run one scenario and return the entry hosts with their results."""
     random = Random(seed)
-    servers = _servers(layout, random)
+    servers = _make_servers(layout, random)
     hosts = [
         model.EntryHost(f"zone-{i % model.ZONES}", layout, servers, policy, random)
         for i in range(model.ENTRY_HOSTS)
     ]
     for number, host in enumerate(hosts):
-        host.avoided = number % model.ZONES if scenario.subset else None
-    _update(hosts, servers)
-    background = [asyncio.create_task(_fail(scenario, hosts, servers))]
-    if scenario.lying:
-        background.append(asyncio.create_task(_lie(hosts, servers, random)))
-    await _offer(layout, scenario, hosts, seconds, random)
+        host.excluded_zone = number % model.ZONES if scenario.replica_subset else None
+    _update_routers(hosts, servers)
+    background = [asyncio.create_task(_inject_failures(scenario, hosts, servers))]
+    if scenario.misreported_load:
+        background.append(asyncio.create_task(_misreport_load(hosts, servers, random)))
+    await _offer_load(layout, scenario, hosts, seconds, random)
     for task in background:
         task.cancel()
     return hosts
 
 
-def _servers(layout: model.Layout, random: Random) -> dict[str, model.BackendServer]:
+def _make_servers(
+    layout: model.ServiceLayout, random: Random
+) -> dict[str, model.BackendServer]:
     held: list[list[int]] = [[] for _ in range(layout.servers)]
     for shard in range(layout.shards):
         for replica in range(layout.replicas):
@@ -121,38 +123,38 @@
     }
 
 
-def _update(
+def _update_routers(
     hosts: list[model.EntryHost], servers: dict[str, model.BackendServer]
 ) -> None:
     for host in hosts:
         views = [
             each.view()
             for i, each in enumerate(servers.values())
-            if not each.lost and i % model.ZONES != host.avoided
+            if not each.lost and i % model.ZONES != host.excluded_zone
         ]
         host.router.update(views, model.ENTRY_HOSTS)
 
 
-async def _fail(
+async def _inject_failures(
     scenario: Scenario,
     hosts: list[model.EntryHost],
     servers: dict[str, model.BackendServer],
 ) -> None:
-    await asyncio.sleep(WARM_S)
-    servers["server-0"].slowdown = scenario.straggler
+    await asyncio.sleep(WARM_UP_S)
+    servers["server-0"].slowdown = scenario.slowdown
     lost = [
         each
         for i, each in enumerate(servers.values())
-        if i < scenario.lost or (scenario.zone_lost and each.zone == "zone-0")
+        if i < scenario.lost_servers or (scenario.zone_lost and each.zone == "zone-0")
     ]
     for server in lost:
-        server.lose()
+        server.disconnect()
     if lost:
-        await asyncio.sleep(LEASE_S)
-        _update(hosts, servers)
+        await asyncio.sleep(SERVER_LEASE_S)
+        _update_routers(hosts, servers)
 
 
-async def _lie(
+async def _misreport_load(
     hosts: list[model.EntryHost],
     servers: dict[str, model.BackendServer],
     random: Random,
@@ -161,24 +163,24 @@
         for server in servers.values():
             server.reported_load = random.random()
         servers["server-0"].reported_load = 0.0
-        _update(hosts, servers)
+        _update_routers(hosts, servers)
         await asyncio.sleep(0.5)
 
 
-async def _offer(
-    layout: model.Layout,
+async def _offer_load(
+    layout: model.ServiceLayout,
     scenario: Scenario,
     hosts: list[model.EntryHost],
     seconds: float,
     random: Random,
 ) -> None:
-    rate = layout.capacity() * scenario.load
+    rate = layout.capacity_qps() * scenario.load
     weights = [1.0] * len(hosts)
-    if scenario.uneven:
+    if scenario.uneven_load:
         weights[0] = len(hosts) - 1.0  # half of all queries
     loop = asyncio.get_running_loop()
     tasks = set()
-    while loop.time() < WARM_S + seconds:
+    while loop.time() < WARM_UP_S + seconds:
         await asyncio.sleep(random.expovariate(rate))
         host = random.choices(hosts, weights)[0]
         priority = random.choices(list(Priority), [0.1, 0.8, 0.1])[0]
@@ -189,75 +191,81 @@
     await asyncio.gather(*tasks)
 
 
-def _quantile(values: list[float], share: float) -> float:
+def _quantile(values: list[float], fraction: float) -> float:
     if not values:
         return float("nan")
-    return sorted(values)[min(len(values) - 1, int(share * len(values)))]
+    return sorted(values)[min(len(values) - 1, int(fraction * len(values)))]
 
 
-def summary(hosts: list[model.EntryHost], seconds: float) -> dict[str, float]:
+def summarize(hosts: list[model.EntryHost], seconds: float) -> dict[str, float]:
     """Return the figures of one run; times in ms."""
-    results = [r for host in hosts for r in host.results if r.arrived >= WARM_S]
-    whole = [r.duration_s * 1_000 for r in results if r.whole]
+    results = [r for host in hosts for r in host.results if r.arrived_at >= WARM_UP_S]
+    whole = [r.duration_s * 1_000 for r in results if r.complete]
     urgent = [r for r in results if r.priority is Priority.URGENT]
     bulk = [r for r in results if r.priority is Priority.BULK]
     admitted = [r for r in results if not r.refused]
     refused = [r.duration_s * 1_000 for r in results if r.refused]
     normal = [r for r in results if r.priority is Priority.NORMAL]
-    wanted = sum(host.wanted for host in hosts)
+    wanted = sum(host.requested_shards for host in hosts)
     executed = sum(server.executed for server in hosts[0].servers.values())
     return {
         "p50": _quantile(whole, 0.5),
         "p99": _quantile(whole, 0.99),
         "p99.9": _quantile(whole, 0.999),
-        "normal99": _quantile([r.duration_s * 1_000 for r in normal if r.whole], 0.99),
-        "urgent99": _quantile([r.duration_s * 1_000 for r in urgent if r.whole], 0.99),
-        "urgent%": 100 * sum(r.whole for r in urgent) / max(1, len(urgent)),
-        "bulk%": 100 * sum(r.whole for r in bulk) / max(1, len(bulk)),
+        "normal99": _quantile(
+            [r.duration_s * 1_000 for r in normal if r.complete], 0.99
+        ),
+        "urgent99": _quantile(
+            [r.duration_s * 1_000 for r in urgent if r.complete], 0.99
+        ),
+        "urgent%": 100 * sum(r.complete for r in urgent) / max(1, len(urgent)),
+        "bulk%": 100 * sum(r.complete for r in bulk) / max(1, len(bulk)),
         "goodput": len(whole) / seconds,
         "cover%": 100 * sum(r.coverage for r in admitted) / max(1, len(admitted)),
         "refused%": 100 * len(refused) / max(1, len(results)),
         "refused50": _quantile(refused, 0.5),
         "refused99": _quantile(refused, 0.99),
         "extra%": 100 * (executed / max(1, wanted) - 1),
-        "sent%": 100 * (sum(host.sent for host in hosts) / max(1, wanted) - 1),
-        "hedge%": 100 * sum(host.hedged for host in hosts) / max(1, wanted),
-        "retry%": 100 * sum(host.retried for host in hosts) / max(1, wanted),
+        "sent%": 100 * (sum(host.sent_attempts for host in hosts) / max(1, wanted) - 1),
+        "hedge%": 100 * sum(host.hedged_attempts for host in hosts) / max(1, wanted),
+        "retry%": 100 * sum(host.retried_attempts for host in hosts) / max(1, wanted),
     }
 
 
-def _run(arguments: tuple[str, str, str, float, int]) -> dict[str, float]:
+def _run_case(arguments: tuple[str, str, str, float, int]) -> dict[str, float]:
     layout, scenario, policy, seconds, seed = arguments
     hosts = run_virtual(
         simulate(LAYOUTS[layout], SCENARIOS[scenario], POLICIES[policy], seconds, seed)
     )
-    return summary(hosts, seconds)
+    return summarize(hosts, seconds)
 
 
-def cpu_cost(repeat: Callable[[Callable[[], object]], float]) -> dict[str, float]:
+def measure_cpu_us(
+    measure_us: Callable[[Callable[[], object]], float],
+) -> dict[str, float]:
     """Return the microseconds of the hot path for 3 replicas."""
 
     async def measure() -> dict[str, float]:
-        layout = model.Layout(3, 3, 30, 3, 3, 3)
-        servers = _servers(layout, Random(1))
+        layout = model.ServiceLayout(3, 3, 30, 3, 3, 3)
+        servers = _make_servers(layout, Random(1))
         costs = {}
         for name in ("baseline", "chosen"):
             host = model.EntryHost("zone-0", layout, servers, POLICIES[name], Random(1))
-            _update([host], servers)
+            _update_routers([host], servers)
             await asyncio.sleep(10.0)  # past the slow start
-            costs[f"{name}: choose and finish"] = repeat(_one_choice(host.router))
+            costs[f"{name}: choose and finish"] = measure_us(_make_choice(host.router))
             fresh = model.EntryHost(
                 "zone-0", layout, servers, POLICIES[name], Random(1)
             )
-            _update([fresh], servers)
-            _one_choice(fresh.router)()
-            costs[f"{name}: admit"] = repeat(_one_admission(fresh))
+            _update_routers([fresh], servers)
+            _make_choice(fresh.router)()
+            costs[f"{name}: admit"] = measure_us(_make_admission(fresh))
         return costs
 
     return run_virtual(measure())
 
 
-def _one_choice(router: Router) -> Callable[[], object]:
+def _make_choice(router: Router) -> Callable[[], object]:
     def one() -> None:
         ticket = router.choose(model.SNAPSHOT, 1, zone="zone-0")
         assert ticket is not None
@@ -266,7 +274,7 @@
     return one
 
 
-def _one_admission(host: model.EntryHost) -> Callable[[], object]:
+def _make_admission(host: model.EntryHost) -> Callable[[], object]:
     admission = host.admission
 
     def one() -> None:
@@ -282,7 +290,7 @@
     return one
 
 
-def _repeat(call: Callable[[], object]) -> float:
+def _measure_us(call: Callable[[], object]) -> float:
     count = 100_000
     return min(timeit.repeat(call, number=count, repeat=5)) / count * 1e6
 
@@ -299,7 +307,7 @@
     parser.add_argument("--cpu", action="store_true")
     options = parser.parse_args()
     if options.cpu:
-        for name, cost in cpu_cost(_repeat).items():
+        for name, cost in measure_cpu_us(_measure_us).items():
             print(f"{name}: {cost:.2f} us")
         return
     runs = [
@@ -309,7 +317,7 @@
     ]
     with ProcessPoolExecutor(options.jobs) as pool:
         header = False
-        for run, figures in zip(runs, pool.map(_run, runs), strict=True):
+        for run, figures in zip(runs, pool.map(_run_case, runs), strict=True):
             if not header:
                 header = True
                 print(f"{options.layout:32}", *(f"{name:>9}" for name in figures))
--- a/tools/measure_state.py
+++ b/tools/measure_state.py
@@ -37,14 +37,14 @@
 )
 
 REPEATS = 5
-SERVICES = (27, 1_600, 16_000)
-ORDERS = (1_000, 10_000, 100_000)
+SERVICE_COUNTS = (27, 1_600, 16_000)
+ORDER_COUNTS = (1_000, 10_000, 100_000)
 NOW_MS = 1_700_000_000_000
 DAY_MS = 86_400_000
-BODY = {"laudo": "0" * 180, "seal": "0" * 100}
+ORDER_BODY = {"laudo": "0" * 180, "seal": "0" * 100}
 
 
-def milliseconds(action: Callable[[], Any], repeats: int = REPEATS) -> float:
+def median_ms(action: Callable[[], Any], repeats: int = REPEATS) -> float:
     """Return the median time of `action`."""
     times = []
     for _ in range(repeats):
@@ -54,7 +54,7 @@
     return statistics.median(times) * 1_000
 
 
-def megabytes(build: Callable[[], Any]) -> tuple[Any, float]:
+def memory_mb(build: Callable[[], Any]) -> tuple[Any, float]:
     """Return what `build` made and the memory that it keeps."""
     gc.collect()
     tracemalloc.start()
@@ -65,7 +65,7 @@
     return made, kept / 1_000_000
 
 
-def services_text(count: int, deadline_ms: int = 800) -> str:
+def make_services_text(count: int, deadline_ms: int = 800) -> str:
     """Return a text whose services each depend on two that come before them."""
     services: dict[str, Any] = {}
     for n in range(count):
@@ -77,7 +77,7 @@
 
 def measure_configuration(count: int) -> str:
     """Measure a change of one service among `count`."""
-    texts = [services_text(count, 500 + n) for n in range(REPEATS + 1)]
+    texts = [make_services_text(count, 500 + n) for n in range(REPEATS + 1)]
     history = ConfigurationHistory()
     history.apply(ApplyConfiguration("c0", 0, texts[0], "anna", 0))
     old, new = parse(texts[0]), parse(texts[1])
@@ -88,7 +88,7 @@
         render(configuration)
         return configuration
 
-    _, kept = megabytes(build)
+    _, kept = memory_mb(build)
 
     def change(number: int, condensed: bool) -> tuple[float, float]:
         base = history.current.number
@@ -111,15 +111,15 @@
     return (
         f"configuration services={count} text={text_bytes / 1e6:.3f}MB"
         f" delta={delta_bytes}B memory={kept:.1f}MB"
-        f" parse={milliseconds(lambda: parse(texts[0]), 3):.1f}ms"
+        f" parse={median_ms(lambda: parse(texts[0]), 3):.1f}ms"
         f" apply_text={statistics.median(whole) * 1e3:.1f}ms"
         f" condense={condense * 1e3:.1f}ms apply_delta={applied * 1e3:.1f}ms"
-        f" patch={milliseconds(lambda: patch(old, delta)):.1f}ms"
-        f" dump={milliseconds(history.dump, 3):.1f}ms"
+        f" patch={median_ms(lambda: patch(old, delta)):.1f}ms"
+        f" dump={median_ms(history.dump, 3):.1f}ms"
     )
 
 
-def measure_changes(count: int) -> str:
+def measure_history(count: int) -> str:
     """Measure the memory of `count` remembered changes and their deltas."""
 
     def build() -> ConfigurationHistory:
@@ -129,12 +129,12 @@
             history.apply(ApplyConfiguration(f"{n:032x}", n, text, "anna", n))
         return history
 
-    history, kept = megabytes(build)
+    history, kept = memory_mb(build)
     size = len(json.dumps(history.dump()))
     return f"history changes={count} memory={kept:.1f}MB dump={size / 1e6:.1f}MB"
 
 
-def order(number: int) -> list[dict[str, Any]]:
+def make_order_commands(number: int) -> list[dict[str, Any]]:
     """Return the commands of one order, as they come from the log."""
     key = f"{NOW_MS + number}-{number:020x}"
     token, attempt = f"{number:024x}", f"{number:023x}a"
@@ -143,7 +143,7 @@
     commands = (
         Claim(key, f"{number:064x}", "s", host, 1, token, time_ms, 7, 90 * DAY_MS),
         Dispatch(key, token, server, attempt, time_ms),
-        Outcome(key, token, "done", "ok", BODY, time_ms),
+        Outcome(key, token, "done", "ok", ORDER_BODY, time_ms),
     )
     return [json.loads(json.dumps(command_to_json(item))) for item in commands]
 
@@ -154,12 +154,12 @@
     def build() -> OrderLedger:
         ledger = OrderLedger()
         for number in range(count):
-            for command in order(number):
+            for command in make_order_commands(number):
                 ledger.apply(command)
         return ledger
 
-    ledger, kept = megabytes(build)
-    more = [order(count + number) for number in range(1_000)]
+    ledger, kept = memory_mb(build)
+    more = [make_order_commands(count + number) for number in range(1_000)]
     times = {}
     for step, name in enumerate(("claim", "dispatch", "outcome")):
         started = time.perf_counter()
@@ -167,10 +167,10 @@
             ledger.apply(commands[step])
         times[name] = (time.perf_counter() - started) * 1_000
     dump = ledger.dump()
-    dump_ms = milliseconds(ledger.dump, 3)
-    load_ms = milliseconds(lambda: OrderLedger().load(dump), 3)
+    dump_ms = median_ms(ledger.dump, 3)
+    load_ms = median_ms(lambda: OrderLedger().load(dump), 3)
     due = command_to_json(Release(f"{NOW_MS}-triggers", "t", NOW_MS + 200 * DAY_MS))
-    purge_ms = milliseconds(lambda: ledger.apply(due), 5)
+    purge_ms = median_ms(lambda: ledger.apply(due), 5)
     return (
         f"ledger orders={count} memory={kept:.1f}MB"
         f" per_order={kept * 1e6 / count:.0f}B"
@@ -186,13 +186,13 @@
     sizes = [int(argument) for argument in arguments[1:]]
     part = arguments[0] if arguments else ""
     if part in ("", "configuration"):
-        for size in sizes or SERVICES:
+        for size in sizes or SERVICE_COUNTS:
             print(measure_configuration(size), flush=True)
     if part in ("", "history"):
         for size in sizes or (100, 1_000, 10_000):
-            print(measure_changes(size), flush=True)
+            print(measure_history(size), flush=True)
     if part in ("", "ledger"):
-        for size in sizes or ORDERS:
+        for size in sizes or ORDER_COUNTS:
             print(measure_ledger(size), flush=True)
 
 
--- a/tools/measure_tracing.py
+++ b/tools/measure_tracing.py
@@ -8,13 +8,13 @@
 
 from kingcuplug_common import request_span, start_hop, traceparent, tracer
 
-_RUNS = 20_000
+_RUNS_PER_REPEAT = 20_000
 _REPEATS = 7
-_MICROSECONDS = 1e6
-_TRACE = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-0"
+_US_PER_S = 1e6
+_TRACEPARENT_PREFIX = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-0"
 
 
-def sub_request() -> None:
+def trace_sub_request() -> None:
     """Do what one sub-request does for its trace."""
     with start_hop("capacity"):
         pass
@@ -23,14 +23,14 @@
     hop.end(shard=7, server="counter-01-s2", attempt_id="a1", hedge=False, outcome="ok")
 
 
-def nothing() -> None:
+def run_empty() -> None:
     """Cost of the measurement itself."""
 
 
 def best_us(work: Callable[[], None]) -> float:
     """Return the least time of one run, in microseconds."""
-    times = timeit.repeat(work, number=_RUNS, repeat=_REPEATS)
-    return min(times) / _RUNS * _MICROSECONDS
+    times = timeit.repeat(work, number=_RUNS_PER_REPEAT, repeat=_REPEATS)
+    return min(times) / _RUNS_PER_REPEAT * _US_PER_S
 
 
 def main() -> None:
@@ -39,14 +39,17 @@
         tempfile.TemporaryDirectory() as folder,
         tracer(Path(folder) / "trace.jsonl", 1.0) as spans,
     ):
-        base = best_us(nothing)
+        base = best_us(run_empty)
         for name, flag in (("no request", None), ("not sampled", 0), ("sampled", 1)):
-            headers = {"traceparent": f"{_TRACE}{flag}"}
+            headers = {"traceparent": f"{_TRACEPARENT_PREFIX}{flag}"}
             request = (
                 nullcontext() if flag is None else request_span(spans, "query", headers)
             )
             with request:
-                print(f"{name}: {best_us(sub_request) - base:.2f} us per sub-request")
+                print(
+                    f"{name}: {best_us(trace_sub_request) - base:.2f} us "
+                    "per sub-request"
+                )
 
 
 if __name__ == "__main__":
