--- a/packages/testkit/src/kingcuplug_testkit/_disk.py
+++ b/packages/testkit/src/kingcuplug_testkit/_disk.py
@@ -1,8 +1,8 @@
-"""A fake disk that keeps unsynced bytes apart and fails on request.
+"""A fake disk that tracks unsynced data and fails at injected failpoints.
 
-It stands for one host's data folder. A crash keeps a random part of what was not
-synced: a prefix of the unsynced bytes of each file, possibly with a damaged end,
-and a prefix of the unsynced renames and removals.
+It replaces one host's data folder. A crash keeps a random part of the unsynced
+data: a prefix of the unsynced bytes of each file, possibly with a corrupt last
+byte, and a prefix of the unsynced creations, renames and removals.
 """
 
 import asyncio
@@ -15,29 +15,29 @@
 
 _SYNC_DURATION_S = 0.001
 _CORRUPT_TAIL_PROBABILITY = 0.3
-_TORN_RECORD_BYTES = 14  # The header of a record and a part of its payload.
+_TORN_RECORD_BYTES = 14  # A record header and a part of its payload.
 
 
 class HostCrashed(OSError):
-    """The host has crashed; its process does nothing more."""
+    """Raised by every call of a process whose host has crashed."""
 
 
 @dataclass
 class Trap:
-    """Makes a later call fail.
+    """Makes one later file system call fail.
 
     Attributes
     ----------
-    call : str
-        Method name, or ``*`` for any.
-    name : str
+    method : str
+        Name of the file system method, or ``*`` for any.
+    file_name : str
         File name, or ``*`` for any.
-    moment : str
-        ``before`` or ``after`` the call has its effect.
+    timing : str
+        ``before`` or ``after`` the call takes effect.
     error : int or None
         Error number to raise; ``None`` crashes the host.
-    follows : tuple of str, optional
-        The call, as (method, file name), that must have come directly before.
+    preceding_call : tuple of str, optional
+        Call, as (method, file name), that must directly precede this one.
     """
 
     method: str = "*"
@@ -49,7 +49,7 @@
     def matches(
         self, method: str, file_name: str, preceding_call: tuple[str, str] | None
     ) -> bool:
-        """Return whether this call is meant."""
+        """Return whether the failpoint applies to this call."""
         if self.method not in ("*", method) or self.file_name not in ("*", file_name):
             return False
         return self.preceding_call in (None, preceding_call)
@@ -81,17 +81,17 @@
 
 
 class FakeDisk:
-    """Files of one host, across restarts of its process.
+    """Files of one host, kept across restarts of its process.
 
     Attributes
     ----------
     on_crash : callable
-        Called at the moment of a crash, before the process can do anything else.
-    traps, sprung : list of Trap
-        Traps that wait for their call, and those that have met it.
+        Called at the crash, before the process makes another call.
+    failpoints, triggered : list of Trap
+        Failpoints that are still set, and those that calls have triggered.
     calls : list of tuple
-        Every call that had its effect, as (method, file name).
-    crash_at : int, optional
+        Every call that took effect, as (method, file name).
+    crash_after_calls : int, optional
         Number of calls after which the host crashes.
     """
 
@@ -113,7 +113,7 @@
         return FakeFileSystem(self, self.generation)
 
     def crash(self) -> None:
-        """Lose a random part of what was not synced and end the process."""
+        """Drop a random part of the unsynced data and end the process."""
         self.generation += 1
         for change in self.unsynced_name_changes[
             : self.random.randint(0, len(self.unsynced_name_changes))
@@ -126,19 +126,19 @@
         self.on_crash()
 
     def kill_process(self) -> None:
-        """End the process only; the system keeps what was not synced."""
+        """End the process only; the operating system keeps the unsynced data."""
         self.generation += 1
         self.on_crash()
 
     def lose(self) -> None:
-        """Lose everything; an empty disk takes its place."""
+        """Erase all data, as if an empty disk replaced this one."""
         self.unsynced_name_changes.clear()
         self.names, self.durable_files = {}, {}
         self.generation += 1
         self.on_crash()
 
     def sync_names(self) -> None:
-        """Make all changes of names durable."""
+        """Make all creations, renames and removals durable."""
         for change in self.unsynced_name_changes:
             self._apply_name_change(change)
         self.unsynced_name_changes.clear()
@@ -146,24 +146,26 @@
     def trigger_failpoint(
         self, method: str, file_name: str, timing: str
     ) -> Trap | None:
-        """Return the trap that this call springs, if any, and disarm it."""
+        """Return the failpoint that this call triggers, if any, and remove it."""
         position = -1 if timing == "before" else -2
-        before = self.calls[position] if len(self.calls) >= -position else None
-        for trap in self.traps:
-            if trap.timing == timing and trap.matches(method, file_name, before):
-                self.traps.remove(trap)
-                self.triggered.append(trap)
-                return trap
+        preceding_call = self.calls[position] if len(self.calls) >= -position else None
+        for failpoint in self.traps:
+            if failpoint.timing == timing and failpoint.matches(
+                method, file_name, preceding_call
+            ):
+                self.traps.remove(failpoint)
+                self.triggered.append(failpoint)
+                return failpoint
         return None
 
     def tear(self, name: str) -> None:
-        """Leave half a record at the end of a file, as a crash in a write can."""
+        """Append a partial record to a file, as a crash during a write can."""
         file = self.names.get(name, _File())
         file.durable += file.durable[:_TORN_RECORD_BYTES]
         file.current = bytearray(file.durable)
 
     def damage(self, name: str, offset: int) -> None:
-        """Flip the bits of one durable byte."""
+        """Invert all bits of one durable byte."""
         file = self.names[name]
         file.current[offset] ^= 0xFF
         file.durable = bytes(file.current)
@@ -179,7 +181,7 @@
 
 
 class FakeFileSystem:
-    """Access to a `FakeDisk` by one run of a process."""
+    """File system calls of one run of a process on a `FakeDisk`."""
 
     def __init__(self, disk: FakeDisk, generation: int) -> None:
         self._disk = disk
@@ -213,7 +215,7 @@
         self._after_call("write", name)
 
     async def sync(self, handle: int) -> None:
-        """Make the content durable; a failing sync drops it for ever."""
+        """Make the content durable; after a failed sync it never becomes durable."""
         name, file = self._open_files[handle]
         try:
             self._before_call("sync", name)
@@ -251,7 +253,7 @@
         self._after_call("sync_folder", "")
 
     def truncate(self, handle: int, size: int) -> None:
-        """Cut a file to `size` bytes."""
+        """Truncate a file to `size` bytes."""
         name, file = self._open_files[handle]
         self._before_call("truncate", name)
         del file.current[size:]
@@ -292,10 +294,10 @@
         self._trigger_failpoint(method, name, "after")
 
     def _trigger_failpoint(self, method: str, name: str, timing: str) -> None:
-        trap = self._disk.trigger_failpoint(method, name, timing)
-        if trap is None:
+        failpoint = self._disk.trigger_failpoint(method, name, timing)
+        if failpoint is None:
             return
-        if trap.error is not None:
-            raise OSError(trap.error, "injected failure", name)
+        if failpoint.error is not None:
+            raise OSError(failpoint.error, "injected failure", name)
         self._disk.crash()
         raise HostCrashed(errno.EIO, "the host has crashed")
--- a/packages/testkit/src/kingcuplug_testkit/_faults.py
+++ b/packages/testkit/src/kingcuplug_testkit/_faults.py
@@ -1,8 +1,8 @@
 """Faults of the fault matrix.
 
-Each fault names its victim by its part in the protocol step at which it strikes:
-the *leading* host sent the request of that step (the leader, or the candidate of an
-election), the *following* host received it.
+Each fault names the host that it affects by its role in the protocol step at which
+it is injected: the *leading* host sent the request of that step (the leader, or the
+candidate of an election), the *following* host received it.
 """
 
 import asyncio
@@ -34,16 +34,16 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault.
+    """A fault that a matrix cell injects at a protocol step.
 
     Attributes
     ----------
-    strike : callable
-        Acts at the moment of the protocol step.
+    inject : callable
+        Called at the message at which the protocol step injects faults.
     follow_up : callable
-        Goes on while the fault lasts.
+        Coroutine that runs while the fault lasts.
     loses_disk : bool
-        Whether a disk is lost; three voters tolerate one such loss at a time.
+        Whether a disk is lost; three voters tolerate only one lost disk at a time.
     """
 
     name: str
@@ -53,44 +53,44 @@
 
 
 def _link_fault(name: str, faults: LinkFaults) -> Fault:
-    def strike(cell: "MatrixCell", leading: Host, following: Host) -> None:
+    def inject(cell: "MatrixCell", leading: Host, following: Host) -> None:
         del leading, following
         cell.group.network.faults = replace(faults)
 
-    return Fault(name, strike)
+    return Fault(name, inject)
 
 
 def _partition(
     name: str, *, follower: bool = False, outgoing: bool = True, incoming: bool = True
 ) -> Fault:
-    def strike(cell: "MatrixCell", leading: Host, following: Host) -> None:
-        victim = following if follower else leading
+    def inject(cell: "MatrixCell", leading: Host, following: Host) -> None:
+        target = following if follower else leading
         for other in cell.group.hosts:
-            if other != victim.name and outgoing:
-                cell.group.network.block_link(victim.name, other)
-            if other != victim.name and incoming:
-                cell.group.network.block_link(other, victim.name)
+            if other != target.name and outgoing:
+                cell.group.network.block_link(target.name, other)
+            if other != target.name and incoming:
+                cell.group.network.block_link(other, target.name)
 
-    return Fault(name, strike)
+    return Fault(name, inject)
 
 
 def _disk_failpoint(name: str, failpoint: Trap, *, follower: bool) -> Fault:
-    victim_name = "following" if follower else "leading"
+    role = "following" if follower else "leading"
 
-    def strike(cell: "MatrixCell", leading: Host, following: Host) -> None:
+    def inject(cell: "MatrixCell", leading: Host, following: Host) -> None:
         cell.set_failpoint(following if follower else leading, replace(failpoint))
 
     async def follow_up(cell: "MatrixCell", leading: Host, following: Host) -> None:
         del leading, following
         await cell.provoke_failpoints()
 
-    return Fault(f"{name}, {victim_name}", strike, follow_up)
+    return Fault(f"{name}, {role}", inject, follow_up)
 
 
 def _file_replacement_crashes(file: str, follower: bool) -> list[Fault]:
     """Crash at each step of replacing a file by rename."""
     new = f"{file}.new"
-    points = {
+    failpoints = {
         f"crash after write of {new}": Trap("write", new, "after"),
         f"crash after sync of {new}": Trap("sync", new, "after"),
         f"crash after rename to {file}": Trap("rename", file, "after"),
@@ -99,12 +99,13 @@
         ),
     }
     return [
-        _disk_failpoint(name, trap, follower=follower) for name, trap in points.items()
+        _disk_failpoint(name, failpoint, follower=follower)
+        for name, failpoint in failpoints.items()
     ]
 
 
 def _truncate_crash(timing: str) -> Fault:
-    def strike(cell: "MatrixCell", leading: Host, following: Host) -> None:
+    def inject(cell: "MatrixCell", leading: Host, following: Host) -> None:
         del leading
         following.disk.crash()
         following.disk.tear("log")
@@ -115,21 +116,21 @@
         await asyncio.sleep(_RESTART_DELAY_S)
         await following.start()
 
-    return Fault(f"crash {timing} truncate of a torn tail", strike, follow_up)
+    return Fault(f"crash {timing} truncate of a torn tail", inject, follow_up)
 
 
 def _host_crash(name: str, *, follower: bool) -> Fault:
-    def strike(cell: "MatrixCell", leading: Host, following: Host) -> None:
+    def inject(cell: "MatrixCell", leading: Host, following: Host) -> None:
         del cell
         (following if follower else leading).disk.crash()
 
-    return Fault(name, strike)
+    return Fault(name, inject)
 
 
 def _power_failure() -> Fault:
-    """Crash all hosts at the moment when a client is told of a commit."""
+    """Crash all hosts as soon as a client is told of a commit."""
 
-    def strike(cell: "MatrixCell", leading: Host, following: Host) -> None:
+    def inject(cell: "MatrixCell", leading: Host, following: Host) -> None:
         del leading, following
 
         def crash() -> None:
@@ -139,11 +140,11 @@
 
         cell.on_acknowledged = crash
 
-    return Fault("crash of all hosts after a commit", strike)
+    return Fault("crash of all hosts after a commit", inject)
 
 
 def _lost_disk(name: str, *, follower: bool) -> Fault:
-    def strike(cell: "MatrixCell", leading: Host, following: Host) -> None:
+    def inject(cell: "MatrixCell", leading: Host, following: Host) -> None:
         del cell
         (following if follower else leading).disk.lose()
 
@@ -152,11 +153,11 @@
         await asyncio.sleep(_RESTART_DELAY_S)
         await (following if follower else leading).start()
 
-    return Fault(name, strike, follow_up, loses_disk=True)
+    return Fault(name, inject, follow_up, loses_disk=True)
 
 
 def _restart_far_behind() -> Fault:
-    def strike(cell: "MatrixCell", leading: Host, following: Host) -> None:
+    def inject(cell: "MatrixCell", leading: Host, following: Host) -> None:
         del cell, leading
         following.disk.crash()
 
@@ -165,11 +166,11 @@
         await cell.write(_FAR_BEHIND_COMMANDS)
         await following.start()
 
-    return Fault("restart far behind", strike, follow_up)
+    return Fault("restart far behind", inject, follow_up)
 
 
 def _second_disk_loss() -> Fault:
-    def strike(cell: "MatrixCell", leading: Host, following: Host) -> None:
+    def inject(cell: "MatrixCell", leading: Host, following: Host) -> None:
         del cell, leading
         following.disk.lose()
 
@@ -177,22 +178,22 @@
         await asyncio.sleep(_RESTART_DELAY_S)
         await cell.repair()
         await cell.wait_until_safe_to_lose_one()
-        lost = leading if not leading.gone else cell.group.running()[0]
-        lost.gone = True
-        lost.disk.lose()
+        second = leading if not leading.gone else cell.group.running()[0]
+        second.gone = True
+        second.disk.lose()
 
-    return Fault("second loss after repair", strike, follow_up, loses_disk=True)
+    return Fault("second loss after repair", inject, follow_up, loses_disk=True)
 
 
 def _clock_drift() -> Fault:
-    cut = _partition("", follower=False)
+    partition = _partition("", follower=False)
 
-    def strike(cell: "MatrixCell", leading: Host, following: Host) -> None:
-        # The bound is on the ratio of two hosts' clock rates.
+    def inject(cell: "MatrixCell", leading: Host, following: Host) -> None:
+        # The bound applies to the ratio of two hosts' clock rates.
         leading.clock.drift(1 - _CLOCK_DRIFT_BOUND)
-        cut.inject(cell, leading, following)
+        partition.inject(cell, leading, following)
 
-    return Fault("clock drift at the bound, leading cut off", strike)
+    return Fault("clock drift at the bound, leading cut off", inject)
 
 
 def _make_faults() -> dict[str, Fault]:
@@ -214,9 +215,9 @@
         _power_failure(),
         *(
             _disk_failpoint(
-                f"crash {moment} fsync", Trap("sync", "*", moment), follower=follower
+                f"crash {timing} fsync", Trap("sync", "*", timing), follower=follower
             )
-            for moment in ("before", "after")
+            for timing in ("before", "after")
             for follower in (False, True)
         ),
         *(
--- a/packages/testkit/src/kingcuplug_testkit/_invariants.py
+++ b/packages/testkit/src/kingcuplug_testkit/_invariants.py
@@ -1,4 +1,4 @@
-"""Checks that must hold in every run of a log group."""
+"""Safety checks for every run of a log group."""
 
 from typing import Any
 
@@ -6,21 +6,22 @@
 
 
 class InvariantViolated(AssertionError):
-    """A safety rule of the log was broken."""
+    """A safety property of the log was violated."""
 
 
 class InvariantChecker:
-    """Watches messages, applied commands and answers to clients.
+    """Checks messages, applied commands and replies to clients.
 
     Attributes
     ----------
-    newest_acknowledged : int
-        Greatest index that a client has been told.
-    leaders : dict
+    newest_acknowledged_index : int
+        Greatest log index that a client has been told is committed.
+    leader_by_term : dict
         Leader of each term.
 
-    A violation raises where it is seen and is kept for `check`, because the
-    exception may end a task whose result nobody looks at.
+    A violation raises where it is detected and is also kept for
+    `raise_if_violated`, because the exception may end a task whose result is never
+    retrieved.
     """
 
     def __init__(self) -> None:
@@ -35,7 +36,7 @@
     def check_message(
         self, source: str, destination: str, message: dict[str, Any]
     ) -> None:
-        """Check that each term has one leader."""
+        """Check that each term has at most one leader."""
         if message["kind"] in ("append", "install"):
             header = message["header"]
             known = self.leader_by_term.setdefault(header["term"], header["sender"])
@@ -47,7 +48,7 @@
     def check_applied(
         self, host: str, index: int, previous_index: int, command: Any
     ) -> None:
-        """Check that all machines apply one sequence, each command once."""
+        """Check that all hosts apply the same sequence, and each command once."""
         if index <= previous_index:
             self._report_violation(f"{host} applied {index} after {previous_index}")
         known = self._command_by_index.setdefault(index, command)
@@ -65,7 +66,7 @@
         self.newest_acknowledged_index = max(self.newest_acknowledged_index, index)
 
     def check_read(self, host: str, min_index: int, index: int) -> None:
-        """Check that a read shows all that was acknowledged before it began."""
+        """Check that a read returns all that was acknowledged before it began."""
         self.reads += 1
         if index < min_index:
             self._report_violation(
@@ -73,16 +74,16 @@
             )
 
     def check_acknowledged_kept(self, host: str, values: list[Any]) -> None:
-        """Check that a machine holds every acknowledged command."""
-        held = set(map(str, values))
+        """Check that a state machine contains every acknowledged command."""
+        contained = set(map(str, values))
         for index, command in self.acknowledged.items():
-            if str(command) not in held:
+            if str(command) not in contained:
                 self._report_violation(
                     f"{host} lost acknowledged {command} of entry {index}"
                 )
 
     def check(self) -> None:
-        """Raise if any violation was seen."""
+        """Raise `InvariantViolated` if any check failed."""
         if self.violations:
             raise InvariantViolated("; ".join(self.violations))
 
--- a/packages/testkit/src/kingcuplug_testkit/_log_group.py
+++ b/packages/testkit/src/kingcuplug_testkit/_log_group.py
@@ -30,14 +30,14 @@
 
 
 class RecordingStateMachine:
-    """State machine whose state tells the whole sequence of commands.
+    """State machine that records the whole sequence of commands.
 
     Attributes
     ----------
     index : int
         Index of the last command applied.
     chain : str
-        Digest of the whole sequence of commands.
+        Hash chain over the whole sequence of commands.
     values : list of JSON values
         All commands in order.
     """
@@ -50,7 +50,7 @@
         self._invariants = invariants
 
     def apply(self, index: int, command: Any) -> Any:
-        """Add a command and return its index."""
+        """Apply a command and return its index."""
         self._invariants.check_applied(self._host, index, self.index, command)
         self.index = index
         self.chain = hashlib.sha256(
@@ -70,7 +70,7 @@
 
 
 class DriftingClock:
-    """Monotonic clock of a host, whose rate can change at any moment."""
+    """Monotonic clock of a host whose rate can be changed."""
 
     def __init__(self, start: float) -> None:
         self._loop = asyncio.get_running_loop()
@@ -83,18 +83,18 @@
         return self._base_time + (self._loop.time() - self._base_loop_time) * self._rate
 
     def drift(self, rate: float) -> None:
-        """Run at another rate from now on."""
+        """Run at `rate` times the loop's clock from now on."""
         self._base_time, self._base_loop_time = self(), self._loop.time()
         self._rate = rate
 
 
 class Host:
-    """One host: its disk, and the process that runs at the moment, if any.
+    """One host: its disk and its running process, if any.
 
     Attributes
     ----------
-    gone : bool
-        The host is lost for ever or removed and is never started again.
+    decommissioned : bool
+        The host is lost or removed and is never started again.
     member : Member
         Identity of the last process; a lost disk changes it.
     """
@@ -113,7 +113,7 @@
         self._stop_tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Start the process, unless it runs or its disk fails on the way."""
+        """Start the process unless it runs; a storage failure leaves it stopped."""
         async with self._start_lock:
             if self.replica is None and not self.gone:
                 with contextlib.suppress(StorageFailed):
@@ -139,7 +139,7 @@
         group.network.attach(self.name, self.replica.handle)
 
     async def stop(self) -> None:
-        """Stop the process in order."""
+        """Shut the process down in an orderly way."""
         replica, self.replica = self.replica, None
         self._group.network.detach(self.name)
         if replica is not None:
@@ -147,7 +147,7 @@
         await asyncio.gather(*self._stop_tasks)
 
     async def decommission(self) -> None:
-        """Stop the process for ever."""
+        """Stop the process and never start it again."""
         self.gone = True
         await self.stop()
 
@@ -159,7 +159,7 @@
 
 
 class LogGroup:
-    """Hosts, network and checker of one test.
+    """Hosts, network and invariant checker of one test.
 
     Parameters
     ----------
@@ -177,7 +177,7 @@
         self.hosts: dict[str, Host] = {}
 
     async def start(self, *names: str) -> None:
-        """Start hosts as voters of a new cluster; the first one begins it."""
+        """Start hosts as voters of a new cluster, which the first one bootstraps."""
         first, *others = names
         await self.add_host(first)
         assert self.hosts[first].replica is not None
@@ -201,7 +201,7 @@
     async def change(
         self, add: Member | None = None, remove: str | None = None
     ) -> None:
-        """Change the members, trying again as an operator would."""
+        """Change the members, with retries as an operator would make."""
         while not self._is_change_applied(add, remove):
             leader = await self.wait_leader()
             try:
@@ -221,7 +221,7 @@
         return [host for host in self.hosts.values() if host.replica is not None]
 
     def leader(self) -> Host | None:
-        """Return the host that leads the greatest term."""
+        """Return the leader of the greatest term."""
         leaders = [
             host for host in self.running() if host.replica and host.replica.leading
         ]
@@ -238,22 +238,22 @@
         return [host for host in self.running() if host is not leader]
 
     def is_voter(self, member_id: str) -> bool:
-        """Return whether the leader counts this member as a voter, committed."""
+        """Return whether the leader lists this member as a voter."""
         leader = self.leader()
         if leader is None:
             return False
         status = self.replica(leader.name).status()
-        wanted = [m for m in status.members if m.id == member_id]
-        return bool(wanted) and wanted[0].role is MemberRole.VOTER
+        matching = [m for m in status.members if m.id == member_id]
+        return bool(matching) and matching[0].role is MemberRole.VOTER
 
     async def wait_leader(self, timeout_s: float = 10) -> Host:
         """Wait for a leader with a valid lease."""
 
-        def leads() -> bool:
+        def has_valid_lease() -> bool:
             host = self.leader()
             return host is not None and self.replica(host.name).status().lease_valid
 
-        await self.until(leads, timeout_s)
+        await self.until(has_valid_lease, timeout_s)
         leader = self.leader()
         assert leader is not None
         return leader
@@ -274,8 +274,8 @@
     async def propose(self, command: dict[str, Any], timeout_s: float = 10) -> Any:
         """Propose at the leader until it succeeds.
 
-        After an unknown outcome the command may be in the log already, so the next
-        attempt is a command of its own, with the field ``attempt``.
+        After an unknown outcome the command may already be in the log, so the next
+        attempt is a distinct command, marked by the field ``attempt``.
         """
         attempt = 0
         async with asyncio.timeout(timeout_s):
@@ -290,15 +290,15 @@
                     await asyncio.sleep(_POLL_INTERVAL_S)
 
     async def converge(self, timeout_s: float = 10) -> None:
-        """Wait until all running hosts have applied the same sequence."""
+        """Wait until all running hosts have applied the same commands."""
 
-        def same() -> bool:
+        def have_converged() -> bool:
             states = {
                 (host.machine.index, host.machine.chain) for host in self.running()
             }
             return len(states) == 1
 
-        await self.until(same, timeout_s)
+        await self.until(have_converged, timeout_s)
 
     async def stop(self) -> None:
         """Stop all hosts."""
--- a/packages/testkit/src/kingcuplug_testkit/_matrix.py
+++ b/packages/testkit/src/kingcuplug_testkit/_matrix.py
@@ -1,4 +1,4 @@
-"""One cell of the fault matrix: faults that strike at a protocol step."""
+"""One cell of the fault matrix: faults injected at a protocol step."""
 
 import asyncio
 import contextlib
@@ -22,7 +22,7 @@
 
 __all__ = ["CellResult", "MatrixCell", "run_cell"]
 
-# Small, so that every cell takes snapshots and needs them.
+# Small limits, so that every cell takes and installs snapshots.
 _SETTINGS = LogSettings(
     heartbeat_ms=100,
     snapshot_entries=8,
@@ -32,9 +32,8 @@
 )
 _WARM_UP_COMMANDS = 5
 _FAULT_DURATION_S = 0.7  # More than two election timeouts.
-_FOLLOW_UP_TIMEOUT_S = (
-    3.0  # A second fault can keep the first from going on until it is healed.
-)
+# A second fault can block the first one's follow-up until it is healed.
+_FOLLOW_UP_TIMEOUT_S = 3.0
 _RECOVERY_TIMEOUT_S = 20.0
 _FAILPOINT_TIMEOUT_S = 0.3
 _ISOLATION_DURATION_S = 0.7
@@ -46,7 +45,15 @@
 
 @dataclass(frozen=True)
 class CellResult:
-    """What happened in a cell that kept all invariants."""
+    """Counts of a cell in which all invariants held.
+
+    Attributes
+    ----------
+    terms : int
+        Number of terms that had a leader.
+    all_triggered : bool
+        Whether all failpoints were triggered before the recovery began.
+    """
 
     acknowledged_commands: int
     reads: int
@@ -55,16 +62,16 @@
 
 
 class MatrixCell:
-    """A group under load to which faults happen at one protocol step.
+    """A log group under load into which faults are injected at a protocol step.
 
     Attributes
     ----------
-    before_strike : callable
-        Called directly before the faults strike.
+    before_injection : callable
+        Called directly before the faults are injected.
     on_acknowledged : callable
         Called directly after a client was told that its command is committed.
-    victims : set of str
-        Hosts that the faults name.
+    faulty_hosts : set of str
+        Leading and following host of the faults.
     """
 
     def __init__(self, faults: Sequence[Fault], step: ProtocolStep, seed: str) -> None:
@@ -87,30 +94,30 @@
         await self.group.start("a", "b", "c")
         await self.write(_WARM_UP_COMMANDS)
         clients = [
-            asyncio.create_task(c())
-            for c in (self._propose_repeatedly, self._read_repeatedly)
+            asyncio.create_task(client())
+            for client in (self._propose_repeatedly, self._read_repeatedly)
         ]
-        drive = asyncio.create_task(self._run_step())
-        followers: list[asyncio.Task[None]] = []
+        step_run = asyncio.create_task(self._run_step())
+        follow_ups: list[asyncio.Task[None]] = []
         try:
             async with asyncio.timeout(_RECOVERY_TIMEOUT_S):
                 leading, following = await self._injected
-                followers = self._start_follow_ups(leading, following)
-                await asyncio.wait(followers, timeout=_FOLLOW_UP_TIMEOUT_S)
-                await self._recover([*followers, drive])
+                follow_ups = self._start_follow_ups(leading, following)
+                await asyncio.wait(follow_ups, timeout=_FOLLOW_UP_TIMEOUT_S)
+                await self._recover([*follow_ups, step_run])
         finally:
-            tasks = (drive, *clients, *followers)
+            tasks = (step_run, *clients, *follow_ups)
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
         return await self._finish()
 
     def arm_faults(self) -> None:
-        """Let the faults strike at the next message of the step."""
+        """Inject the faults at the next message of the step."""
         self._is_armed = True
 
     def inject_faults(self, leading: Host, following: Host) -> None:
-        """Let the faults strike now."""
+        """Inject the faults now, if armed and not yet injected."""
         if not self._is_armed or self._injected is None or self._injected.done():
             return
         self._injected.set_result((leading, following))
@@ -120,12 +127,12 @@
             fault.inject(self, leading, following)
 
     def set_failpoint(self, host: Host, failpoint: Trap) -> None:
-        """Set a trap that must spring while the fault lasts."""
+        """Set a failpoint that must be triggered while the fault lasts."""
         host.disk.traps.append(failpoint)
         self._failpoints.append((host, failpoint))
 
     async def provoke_failpoints(self) -> None:
-        """Make the group write until all traps have sprung, by elections at last."""
+        """Wait until all failpoints are triggered; force elections after a timeout."""
         with contextlib.suppress(TimeoutError):
             await self.group.until(self._are_all_triggered, _FAILPOINT_TIMEOUT_S)
             return
@@ -143,25 +150,25 @@
                 await asyncio.sleep(_CLIENT_INTERVAL_S)
 
     async def read(self, host: Host) -> None:
-        """Read at a host and check the answer, unless it refuses."""
+        """Read at a host and check the result; a refusal is ignored."""
         if host.replica is None:
             return
-        floor = self.group.invariants.newest_acknowledged_index
-        machine = host.machine
+        min_index = self.group.invariants.newest_acknowledged_index
+        state_machine = host.machine
         with contextlib.suppress(*_REFUSAL_ERRORS):
             async with asyncio.timeout(_REQUEST_TIMEOUT_S):
                 await host.replica.read_barrier()
-            self.group.invariants.check_read(host.name, floor, machine.index)
+            self.group.invariants.check_read(host.name, min_index, state_machine.index)
 
     async def join(self, host: Host) -> None:
-        """Make a host with a new identity a voter, through restarts of it."""
+        """Make a host a voter, with retries after timeouts of its promotion."""
         while not self.group.is_voter(host.member.id):
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(1):
                     await self.group.join(host.name)
 
     async def repair(self) -> None:
-        """Start what is down, replace lost disks and remove old identities."""
+        """Start stopped hosts, make them voters and remove the ids of lost disks."""
         for host in self.group.hosts.values():
             await self._restart(host)
         for host in list(self.group.hosts.values()):
@@ -174,15 +181,15 @@
                 await self.group.change(remove=member.id)
 
     async def wait_until_safe_to_lose_one(self) -> None:
-        """Wait until any one voter may be lost."""
+        """Wait until the group tolerates the loss of any one voter."""
 
-        def safe() -> bool:
+        def is_safe() -> bool:
             leader = self.group.leader()
             if leader is None:
                 return False
             return self.group.replica(leader.name).status().safe_to_lose_one
 
-        await self.group.until(safe)
+        await self.group.until(is_safe)
 
     def _observe_message(
         self, source: str, destination: str, message: dict[str, Any]
@@ -200,7 +207,7 @@
     def _start_follow_ups(
         self, leading: Host, following: Host
     ) -> list[asyncio.Task[None]]:
-        """Let the faults go on."""
+        """Start the follow-ups of the faults, and a timer for their duration."""
         actions = [
             asyncio.sleep(_FAULT_DURATION_S),
             *(fault.follow_up(self, leading, following) for fault in self._faults),
@@ -235,7 +242,9 @@
         )
 
     def _are_all_triggered(self) -> bool:
-        return all(trap in host.disk.triggered for host, trap in self._failpoints)
+        return all(
+            failpoint in host.disk.triggered for host, failpoint in self._failpoints
+        )
 
     def _is_removed(self, host: Host) -> bool:
         return host.name == "d" and self._step.name != "member change"
@@ -283,7 +292,7 @@
             await asyncio.sleep(_CLIENT_INTERVAL_S)
 
     def _presumed_leaders(self) -> list[Host]:
-        """Return all hosts that take themselves for the leader."""
+        """Return all hosts that believe they are the leader."""
         running = self.group.running()
         return [host for host in running if host.replica and host.replica.leading]
 
@@ -294,9 +303,9 @@
     Raises
     ------
     InvariantViolated
-        If a safety rule was broken.
+        If a safety property was violated.
     TimeoutError
-        If the group made no progress after the faults had ended.
+        If the group made no progress after the faults ended.
     """
     cell = MatrixCell(
         [FAULTS[name] for name in faults],
--- a/packages/testkit/src/kingcuplug_testkit/_network.py
+++ b/packages/testkit/src/kingcuplug_testkit/_network.py
@@ -16,14 +16,14 @@
 
 @dataclass
 class LinkFaults:
-    """How messages travel; applies to requests and replies.
+    """Delays and faults of messages, both requests and replies.
 
     Attributes
     ----------
     delay_s : tuple of float
-        Least and greatest delay of a message; a wide range also reorders.
+        Least and greatest delay of a message; a wide range also reorders messages.
     drop, duplicate : float
-        Share of messages that are lost or arrive twice.
+        Probability that a message is lost or delivered twice.
     """
 
     delay_s: tuple[float, float] = (0.0004, 0.0006)
@@ -34,8 +34,8 @@
 class FakeNetwork:
     """Carries messages between hosts that attach their handlers.
 
-    A cut is silent: the sender gets no error and waits for its own timeout. A host
-    without a process refuses connections.
+    A blocked link drops messages silently: the sender gets no error and waits for
+    its own timeout. A host without a process refuses connections.
 
     Parameters
     ----------
@@ -52,26 +52,26 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def attach(self, host: str, handler: Handler) -> None:
-        """Let a host's process receive messages."""
+        """Deliver messages for a host to the handler of its process."""
         self._handlers[host] = handler
 
     def detach(self, host: str) -> None:
-        """End a host's process; replies that it has not sent are lost."""
+        """Remove a host's handler; replies that it has not sent are lost."""
         self._handlers.pop(host, None)
 
     def block_link(self, source: str, destination: str) -> None:
-        """Lose everything from one host to another, silently."""
+        """Drop all messages from one host to another silently."""
         self._blocked_links.add((source, destination))
 
     def isolate(self, host: str, others: list[str]) -> None:
-        """Cut a host off from all others, both ways."""
+        """Block the links between a host and all others in both directions."""
         for other in others:
             if other != host:
                 self.block_link(host, other)
                 self.block_link(other, host)
 
     def heal(self) -> None:
-        """End all cuts and faults."""
+        """Unblock all links and end all faults."""
         self._blocked_links.clear()
         self.faults = LinkFaults()
 
@@ -80,23 +80,23 @@
     ) -> Callable[[str, dict[str, Any]], Awaitable[dict[str, Any]]]:
         """Return the transport of one run of a host's process.
 
-        A peer id is ``<host>/<disk id>``; the message goes to the host.
+        A peer id has the form ``<host>/<disk id>``; the message goes to that host.
         """
 
         async def call(peer: str, message: dict[str, Any]) -> dict[str, Any]:
             destination = peer.partition("/")[0]
-            answer = asyncio.get_running_loop().create_future()
-            text = orjson.dumps(message)
-            self._spawn(self._deliver(source, destination, text, answer))
+            reply_future = asyncio.get_running_loop().create_future()
+            payload = orjson.dumps(message)
+            self._spawn(self._deliver(source, destination, payload, reply_future))
             if self._random.random() < self.faults.duplicate_probability:
-                self._spawn(self._deliver(source, destination, text, None))
-            reply: dict[str, Any] = orjson.loads(await answer)
+                self._spawn(self._deliver(source, destination, payload, None))
+            reply: dict[str, Any] = orjson.loads(await reply_future)
             return reply
 
         return call
 
     def close(self) -> None:
-        """Lose everything that is under way."""
+        """Drop all messages in flight."""
         for task in self._tasks:
             task.cancel()
 
@@ -134,7 +134,7 @@
             observer(source, destination, message)
 
     async def _transmit(self, source: str, destination: str) -> bool:
-        """Return whether the message arrives, after its delay."""
+        """Wait for the delay and return whether the message arrives."""
         faults = self.faults
         lost = self._random.random() < faults.drop_probability
         await asyncio.sleep(self._random.uniform(*faults.delay_s))
--- a/packages/testkit/src/kingcuplug_testkit/_processes.py
+++ b/packages/testkit/src/kingcuplug_testkit/_processes.py
@@ -1,4 +1,4 @@
-"""A set of real `kingcuplugd` processes on loopback, for tests that kill them."""
+"""Real `kingcuplugd` processes on loopback, for tests that kill and suspend them."""
 
 import asyncio
 import contextlib
@@ -23,7 +23,7 @@
 
 
 class HostProcess:
-    """One host and its files; it can be killed, frozen and started again.
+    """One host's process and files; it can be killed, suspended and restarted.
 
     Parameters
     ----------
@@ -46,7 +46,7 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the process lives."""
+        """Whether the process is running."""
         return self._process is not None and self._process.poll() is None
 
     def start(self) -> None:
@@ -62,27 +62,27 @@
             )
 
     def kill(self) -> None:
-        """Kill the process without warning."""
+        """Kill the process with SIGKILL and wait for its end."""
         if self._process is not None:
             self._process.kill()
             self._process.wait()
 
     def suspend(self) -> None:
-        """Stop the process's execution, as a long pause or a silent cut does."""
+        """Suspend the process, which simulates a long pause or a network partition."""
         self._send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a frozen process go on."""
+        """Resume a suspended process."""
         self._send_signal(signal.SIGCONT)
 
     async def terminate(self) -> int:
-        """Ask the process to stop and return its exit code."""
+        """Send SIGTERM and return the exit code."""
         self._send_signal(signal.SIGTERM)
         assert self._process is not None
         return await asyncio.to_thread(self._process.wait)
 
     def delete_data_folder(self) -> None:
-        """Remove the data folder of a process that is not running."""
+        """Delete the data folder of a process that is not running."""
         shutil.rmtree(self.data_folder, ignore_errors=True)
 
     def _send_signal(self, number: int) -> None:
@@ -143,31 +143,35 @@
         await self._session.close()
 
     async def add_voter(self, via: HostProcess, host: HostProcess) -> None:
-        """Add a host as voter; an earlier try may have succeeded."""
+        """Add a host as voter.
+
+        A host that is already a member counts as added, because an attempt whose
+        reply was lost may have succeeded.
+        """
         async with asyncio.timeout(_READY_TIMEOUT_S):
             while True:
-                status, answer = await self._post_once(
+                status, reply = await self._post_once(
                     via, "operator/control/add", {"address": host.peer_address}
                 )
-                if status == 200 or "already" in str(answer):
+                if status == 200 or "already" in str(reply):
                     return
                 await asyncio.sleep(_POLL_INTERVAL_S)
 
     async def wait_until_live(self, host: HostProcess) -> None:
-        """Wait until a host answers."""
+        """Wait until a host passes its liveness check."""
         async with asyncio.timeout(_READY_TIMEOUT_S):
             while not await self._returns_ok(host, "healthz"):  # noqa: ASYNC110
                 await asyncio.sleep(_POLL_INTERVAL_S)
 
     async def wait_until_ready(self, hosts: list[HostProcess] | None = None) -> None:
-        """Wait until hosts are ready; by default all that run."""
+        """Wait until hosts are ready; by default all running ones."""
         async with asyncio.timeout(_READY_TIMEOUT_S):
             for host in hosts or [h for h in self.hosts if h.is_running]:
                 while not await self._returns_ok(host, "readyz"):  # noqa: ASYNC110
                     await asyncio.sleep(_POLL_INTERVAL_S)
 
     def next_running_host(self) -> HostProcess:
-        """Return the hosts in turn, as the load balancer does."""
+        """Return the next running host, round robin as the load balancer does."""
         running = [host for host in self.hosts if host.is_running]
         self._request_count += 1
         return running[self._request_count % len(running)]
@@ -177,32 +181,32 @@
         return f"http://{self.next_running_host().caller_address}"
 
     async def leader(self) -> HostProcess:
-        """Return the leader of the log."""
+        """Wait for a leader of the log with a valid lease and return it."""
         async with asyncio.timeout(_READY_TIMEOUT_S):
             while True:
                 for host in self.hosts:
-                    status, answer = await self._post_once(
+                    status, reply = await self._post_once(
                         host, "operator/control/status", {}
                     )
-                    if status == 200 and answer.get("lease_valid"):
+                    if status == 200 and reply.get("lease_valid"):
                         return host
                 await asyncio.sleep(_POLL_INTERVAL_S)
 
     async def call_operator(
         self, host: HostProcess, path: str, fields: dict[str, Any]
     ) -> dict[str, Any]:
-        """Call an operator's endpoint until it succeeds."""
+        """Call an operator endpoint until it succeeds."""
         async with asyncio.timeout(_READY_TIMEOUT_S):
             while True:
-                status, answer = await self._post_once(host, f"operator/{path}", fields)
+                status, reply = await self._post_once(host, f"operator/{path}", fields)
                 if status == 200:
-                    return answer
+                    return reply
                 await asyncio.sleep(_POLL_INTERVAL_S)
 
     async def post(
         self, path: str, fields: dict[str, Any], host: HostProcess | None = None
     ) -> tuple[int, dict[str, Any]]:
-        """Post to ``/v1/<path>`` of a host; status 0 means that no answer came."""
+        """Post to ``/v1/<path>`` of a host; status 0 means that no reply arrived."""
         return await self._post_once(host or self.next_running_host(), path, fields)
 
     async def _post_once(
@@ -226,11 +230,11 @@
 
 
 def _free_addresses(count: int) -> list[str]:
-    """Return unused loopback addresses; all are held until all are known."""
+    """Return distinct unused addresses; all sockets stay bound until all are known."""
     sockets = [socket.socket() for _ in range(count)]
-    for each in sockets:
-        each.bind(("127.0.0.1", 0))
-    addresses = [f"127.0.0.1:{each.getsockname()[1]}" for each in sockets]
-    for each in sockets:
-        each.close()
+    for each_socket in sockets:
+        each_socket.bind(("127.0.0.1", 0))
+    addresses = [f"127.0.0.1:{each_socket.getsockname()[1]}" for each_socket in sockets]
+    for each_socket in sockets:
+        each_socket.close()
     return addresses
--- a/packages/testkit/src/kingcuplug_testkit/_query_harness.py
+++ b/packages/testkit/src/kingcuplug_testkit/_query_harness.py
@@ -1,4 +1,4 @@
-"""Fakes at the borders of the query package: backend servers and the ledger."""
+"""Fakes of the query package's dependencies: backend servers and the ledger."""
 
 import asyncio
 import dataclasses
@@ -41,7 +41,7 @@
 
 
 def echo(request: SubRequest, status: str = "ok", **fields: Any) -> dict[str, Any]:
-    """Return a reply that belongs to `request`."""
+    """Return a backend server's reply to `request`."""
     return {
         "attempt_id": request.attempt_id,
         "snapshot": request.snapshot,
@@ -66,7 +66,23 @@
 
 @dataclasses.dataclass
 class World:
-    """One entry host's query path over fake backend servers."""
+    """One entry host's query path with fake backend servers and ledger.
+
+    Attributes
+    ----------
+    handlers : dict
+        Handler of each server with replies of its own; others return their shard.
+    sent_requests : list of tuple
+        Every sub-request sent, as (server, request).
+    command_counts : Counter
+        Number of ledger commands submitted, by type.
+    ledger_fault : callable
+        Exception to raise in place of applying a ledger command, or ``None``.
+    is_ledger_reply_lost : callable
+        Whether the reply to an applied ledger command is lost.
+    is_holder_lost : callable
+        Whether the entry host that holds an order's claim counts as lost.
+    """
 
     services: dict[str, ServiceRuntime] = dataclasses.field(default_factory=dict)
     servers: dict[str, list[ServerView]] = dataclasses.field(default_factory=dict)
@@ -114,7 +130,7 @@
         )
 
     def hold(self, name: str, holdings: dict[str, list[Holding]]) -> None:
-        """Replace a service's servers and what they hold."""
+        """Replace a service's servers and their holdings."""
         self.servers[name] = [
             ServerView(
                 server=server,
@@ -144,7 +160,7 @@
             return parse_reply(request, await handler(request))
 
     async def cancel(self, ticket: Ticket, attempt_id: str) -> None:
-        """Note a cancellation, as `Cancel`."""
+        """Record a cancellation, as `Cancel`."""
         self.cancelled.append(attempt_id)
 
     async def is_reachable(self, ticket: Ticket) -> bool:
@@ -153,7 +169,7 @@
         return ticket.server not in self.down
 
     async def submit(self, command: dict[str, Any]) -> dict[str, Any]:
-        """Apply a command to the ledger, with the scripted faults."""
+        """Apply a command to the ledger, with the configured faults."""
         self.commands[command["type"]] += 1
         await asyncio.sleep(0.001)
         fault = self.ledger_fault(command)
@@ -161,11 +177,11 @@
             raise fault
         result = result_to_json(self.ledger.apply(command))
         if self.ledger_lost(command):
-            raise TimeoutError("the answer was lost")
+            raise TimeoutError("the reply of the ledger was lost")
         return result
 
     def queries(self) -> QueryExecutor:
-        """Return a query executor over the fakes."""
+        """Return a query executor that uses the fakes."""
         return QueryExecutor(
             self.send,
             self.cancel,
--- a/packages/testkit/src/kingcuplug_testkit/_steps.py
+++ b/packages/testkit/src/kingcuplug_testkit/_steps.py
@@ -1,7 +1,7 @@
 """Protocol steps of the fault matrix.
 
-A step brings the group to the moment at which the faults strike, and then lets the
-protocol go on.
+A step brings the group to the message at which the faults are injected, and then
+completes.
 """
 
 from collections.abc import Awaitable, Callable
@@ -20,14 +20,14 @@
 
 @dataclass(frozen=True)
 class ProtocolStep:
-    """One protocol step.
+    """A protocol step at which faults can be injected.
 
     Attributes
     ----------
-    is_moment : callable
-        Whether this message is the one at which the faults strike.
-    drive : callable
-        Makes the step happen and returns once it has been completed.
+    is_fault_point : callable
+        Whether the faults are injected at this message.
+    run : callable
+        Performs the step and returns once it is complete.
     """
 
     name: str
@@ -40,12 +40,12 @@
 
 
 def _appends_entry(entry_kind: str) -> Callable[[Message], bool]:
-    def is_moment(message: Message) -> bool:
+    def is_fault_point(message: Message) -> bool:
         if message["kind"] != "append":
             return False
         return any(entry[2] == entry_kind for entry in message["entries"])
 
-    return is_moment
+    return is_fault_point
 
 
 def _is_append_acknowledged(message: Message) -> bool:
@@ -61,7 +61,7 @@
     leader = await cell.group.wait_leader()
     cell.arm_faults()
     cell.group.network.isolate(leader.name, list(cell.group.hosts))
-    # The old leader comes back at the moment of the faults.
+    # The old leader is reachable again when the faults are injected.
     cell.before_injection = cell.group.network.heal
 
 
@@ -73,11 +73,11 @@
 
 async def _run_snapshot_install(cell: "MatrixCell") -> None:
     await cell.group.wait_leader()
-    behind = cell.group.followers()[0]
-    behind.disk.crash()
+    lagging = cell.group.followers()[0]
+    lagging.disk.crash()
     await cell.write(_SNAPSHOT_LAG_COMMANDS)
     cell.arm_faults()
-    await behind.start()
+    await lagging.start()
 
 
 async def _run_member_change(cell: "MatrixCell") -> None:
--- a/packages/testkit/src/kingcuplug_testkit/_virtual_time.py
+++ b/packages/testkit/src/kingcuplug_testkit/_virtual_time.py
@@ -1,7 +1,7 @@
-"""An event loop whose clock jumps to the next timer.
+"""An event loop whose clock advances at once to the next timer.
 
-Tests of timeouts and leases run in no time and give the same result on any
-machine, because nothing waits for the wall clock.
+Tests of timeouts and leases need almost no real time and give the same result on
+any machine, because nothing waits for the wall clock.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 
 
 class _VirtualTimeSelector(selectors.SelectSelector):
-    """Advances the loop's clock in place of waiting."""
+    """Advances the virtual clock in place of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -25,7 +25,7 @@
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None:
-            raise RuntimeError("every task waits and no timer is set: deadlock")
+            raise RuntimeError("deadlock: all tasks are waiting and no timer is set")
         if timeout > 0:
             self.now += timeout
         return super().select(0)
--- a/tests/system/test_processes.py
+++ b/tests/system/test_processes.py
@@ -1,6 +1,6 @@
-"""Real processes are killed, frozen and replaced under load.
+"""Real processes are killed, suspended and replaced under load.
 
-Whatever was acknowledged must be there afterwards, and no order may run twice.
+Every acknowledged change and order must survive, and no order may run twice.
 """
 
 import asyncio
@@ -33,14 +33,14 @@
 
 @dataclasses.dataclass
 class ClientHistory:
-    """What operators and callers were told."""
+    """Outcomes that the hosts reported to operators and callers."""
 
     accepted_revisions: list[int] = dataclasses.field(default_factory=list)
     order_outcomes: dict[str, list[str]] = dataclasses.field(default_factory=dict)
 
 
 async def _change_configuration(hosts: ProcessSet, history: ClientHistory) -> None:
-    """Apply one change after the other, each until its fate is known."""
+    """Apply one change after the other, resending each until it is accepted."""
     revision = (await hosts.call_operator(hosts.hosts[0], "configuration/show", {}))[
         "number"
     ]
@@ -69,8 +69,8 @@
 
 
 async def _place_order(hosts: ProcessSet, history: ClientHistory, key: str) -> None:
-    """Send an order until its outcome is known, to another host each time."""
-    told = history.order_outcomes.setdefault(key, [])
+    """Send an order to one host after the other until its outcome is known."""
+    outcomes = history.order_outcomes.setdefault(key, [])
     fields = {
         "body": {"embroider": key},
         "idempotency_key": key,
@@ -80,23 +80,25 @@
         resend = {"resend": number > 0}
         status, answer = await hosts.post(f"services/{_SERVICE}/order", fields | resend)
         if status == 200:
-            told.append("done")
+            outcomes.append("done")
             return
         refusal = answer.get("refusal", {})
-        told.append(refusal.get("kind", "no answer"))
+        outcomes.append(refusal.get("kind", "no answer"))
         if refusal.get("reason") == "order_not_run":
             return
         await asyncio.sleep(0.05)
 
 
 def _check_orders(history: ClientHistory, journal: Journal) -> None:
-    for key, told in history.order_outcomes.items():
+    for key, outcomes in history.order_outcomes.items():
         runs = journal.orders[key]
-        assert runs <= 1, f"order {key} ran {runs} times: {told}"
-        if "done" in told:
-            assert runs == 1, f"order {key} was acknowledged and did not run: {told}"
-        if told and told[-1] == "not_run":
-            assert runs == 0, f"order {key} ran, and the last word was not_run: {told}"
+        assert runs <= 1, f"order {key} ran {runs} times: {outcomes}"
+        if "done" in outcomes:
+            assert runs == 1, f"order {key} acknowledged but not run: {outcomes}"
+        if outcomes and outcomes[-1] == "not_run":
+            assert runs == 0, (
+                f"order {key} ran after the last outcome not_run: {outcomes}"
+            )
 
 
 async def _check_configuration(hosts: ProcessSet, history: ClientHistory) -> None:
@@ -127,12 +129,12 @@
 
 
 async def _suspend_leader(hosts: ProcessSet) -> None:
-    """Cut the leader off in silence for longer than every lease."""
+    """Suspend the leader for longer than every lease."""
     leader = await hosts.leader()
     leader.suspend()
     await asyncio.sleep(4.5)
     leader.resume()
-    # The process that was frozen must not answer from before the pause.
+    # The resumed process must not serve the state from before the pause.
     status, answer = await hosts.post("operator/configuration/show", {}, leader)
     if status == 200:
         other = next(host for host in hosts.hosts if host is not leader)
@@ -227,7 +229,7 @@
         await asyncio.gather(*load, return_exceptions=True)
         await asyncio.sleep(1.0)
         assert history.accepted_revisions
-        assert any("done" in told for told in history.order_outcomes.values())
+        assert any("done" in outcomes for outcomes in history.order_outcomes.values())
         _check_orders(history, journal)
         await _check_configuration(hosts, history)
     finally:
@@ -253,7 +255,7 @@
 
 
 def test_terminated_host_exits_cleanly(tmp_path: Path) -> None:
-    # Guards against a SIGTERM that cuts work short or never ends.
+    # Guards against a SIGTERM that aborts running work or never ends the process.
     async def main() -> int:
         hosts = ProcessSet(1, tmp_path)
         try:
--- a/tests/testkit/test_virtual_time.py
+++ b/tests/testkit/test_virtual_time.py
@@ -1,4 +1,4 @@
-"""The virtual-time loop must keep the order of timers."""
+"""Tests of the virtual-time event loop."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 
 def test_deadlock_is_reported() -> None:
-    # Guards against a test run that hangs for ever.
+    # Guards against a deadlocked test that never ends.
     async def main() -> None:
         await asyncio.get_running_loop().create_future()
 
