--- a/tools/_routing_model.py
+++ b/tools/_routing_model.py
@@ -1,7 +1,7 @@
 """Model of backend servers and of a query executor, for `measure_routing`.
 
-It is a fake at the interface of the routing package: servers have slots, a short
-queue and a service time; entry hosts see only the outcomes of their own attempts.
+The servers have slots, a short queue and a random service time. Entry hosts use the
+real routing package and see only the outcomes of their own attempts.
 """
 
 import asyncio
@@ -22,8 +22,8 @@
     Ticket,
 )
 
-TIMER_TOLERANCE_S = 1e-6  # timers fire up to the clock's resolution early
-NETWORK_DELAY_S = 0.0005  # one way
+TIMER_TOLERANCE_S = 1e-6  # Timers can fire early by up to the clock's resolution.
+NETWORK_DELAY_S = 0.0005  # One way.
 MIN_SERVICE_S = 0.002
 MEAN_EXTRA_SERVICE_S = 0.008
 MEAN_SERVICE_S = MIN_SERVICE_S + MEAN_EXTRA_SERVICE_S
@@ -34,14 +34,14 @@
 
 @dataclass
 class ServiceLayout:
-    """Sizes of one service."""
+    """Numbers of servers, slots, connections, shards and replicas of a service."""
 
     servers: int = 15
     slots: int = 2
     connections: int = 120
     shards: int = 15
     replicas: int = 3
-    max_queued: int = 2  # waiting places of a server; beyond them it sheds
+    max_queued: int = 2  # Sub-requests that a server queues before it sheds.
 
     def capacity_qps(self) -> float:
         """Return the queries per second that keep every slot busy."""
@@ -50,7 +50,7 @@
 
 @dataclass
 class BackendServer:
-    """Slots with a first-come-first-served queue."""
+    """Backend server whose slots are fed by a first-in-first-out queue."""
 
     name: str
     zone: str
@@ -65,7 +65,7 @@
     executed: int = 0
 
     def view(self) -> ServerView:
-        """Return the directory's entry."""
+        """Return the server as the directory lists it."""
         layout = self.layout
         return ServerView(
             self.name,
@@ -100,7 +100,7 @@
             self.queue.remove(reply)
 
     def disconnect(self) -> None:
-        """Break all connections and accept none."""
+        """Break all connections and refuse new ones."""
         self.lost = True
         for reply in [*self.running, *self.queue]:
             if not reply.done():
@@ -129,7 +129,7 @@
 
 @dataclass
 class QueryResult:
-    """What one query came to."""
+    """Outcome of one query; `complete` if all shards replied in time."""
 
     arrived_at: float
     priority: Priority
@@ -163,10 +163,10 @@
         self.results: list[QueryResult] = []
 
     async def query(self, priority: Priority, deadline_s: float) -> None:
-        """Run one query and keep its result."""
+        """Run one query and append its result to `results`."""
         loop = asyncio.get_running_loop()
-        arrived = loop.time()
-        deadline = arrived + deadline_s
+        arrived_at = loop.time()
+        deadline = arrived_at + deadline_s
         shards = self.layout.shards
         covered = 0
         refused = False
@@ -183,10 +183,12 @@
                 )
         except Refusal:
             refused = True
-        took = loop.time() - arrived
-        whole = covered == shards and took <= deadline_s
+        duration_s = loop.time() - arrived_at
+        complete = covered == shards and duration_s <= deadline_s
         self.results.append(
-            QueryResult(arrived, priority, took, whole, covered / shards, refused)
+            QueryResult(
+                arrived_at, priority, duration_s, complete, covered / shards, refused
+            )
         )
 
     async def _query_shard(
@@ -208,12 +210,13 @@
                 return True
             if not self.router.policy.limited:
                 # The baseline tries each replica once; without back-off, more
-                # retries would only load the servers' hosts.
+                # retries would only add load to the servers' hosts.
                 tried.add(ticket.server)
                 if len(tried) >= self.layout.replicas:
                     return False
             elif outcome is not AttemptOutcome.SHED:
-                # A server that shed is only full; its back-off is the router's.
+                # A server that shed a request is only full, so it stays eligible;
+                # the router applies the back-off.
                 tried.add(ticket.server)
             if len(tried) >= self.layout.replicas:
                 tried.clear()
@@ -228,11 +231,11 @@
         delay_ms = self.router.hedge_delay_ms(shard)
         outcome = AttemptOutcome.TIMEOUT
         while calls:
-            left = deadline - loop.time()
+            remaining_s = deadline - loop.time()
             hedging = delay_ms is not None and len(calls) == 1
-            wait = min(left, delay_ms / 1_000) if hedging else left
+            timeout_s = min(remaining_s, delay_ms / 1_000) if hedging else remaining_s
             done, _ = await asyncio.wait(
-                calls, timeout=wait, return_when=asyncio.FIRST_COMPLETED
+                calls, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED
             )
             for reply in done:
                 finished = calls.pop(reply)
@@ -251,11 +254,11 @@
                     delay_ms = None
                     self.hedged_attempts += 1
                     calls[self._send(hedge)] = hedge
-        for reply, loser in calls.items():
-            self.servers[loser.server].cancel(reply)
-            late = outcome is not AttemptOutcome.OK
-            ended = AttemptOutcome.TIMEOUT if late else AttemptOutcome.CANCELLED
-            loser.finish(ended, (loop.time() - loser.started) * 1_000)
+        for reply, unfinished in calls.items():
+            self.servers[unfinished.server].cancel(reply)
+            failed = outcome is not AttemptOutcome.OK
+            final = AttemptOutcome.TIMEOUT if failed else AttemptOutcome.CANCELLED
+            unfinished.finish(final, (loop.time() - unfinished.started) * 1_000)
         return outcome
 
     def _send(self, ticket: Ticket) -> asyncio.Future:
--- a/tools/matrix.py
+++ b/tools/matrix.py
@@ -21,7 +21,10 @@
 
 
 def main(seed: str = "0") -> int:
-    """Print the table; cells show acknowledged commands / read checks."""
+    """Print the table; cells show acknowledged commands / read checks.
+
+    A question mark means that a failpoint of the fault was not triggered.
+    """
     started = time.monotonic()
     print(" " * _FAULT_COLUMN_WIDTH + "".join(f"{step:>17}" for step in STEPS))
     failed = 0
--- a/tools/measure_fleet.py
+++ b/tools/measure_fleet.py
@@ -1,4 +1,4 @@
-"""Sizes and processor time of the fleet's control messages, in one process."""
+"""Measure sizes and CPU time of the fleet's control messages, in one process."""
 
 import asyncio
 import random
@@ -35,7 +35,7 @@
 
 
 def make_record(number: int, sequence: int = 1) -> ServerRecord:
-    """Return the statement of one of many servers."""
+    """Return the directory record of one of many servers."""
     address = f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:8080"
     return ServerRecord(
         f"i-{number:010x}",
@@ -50,42 +50,44 @@
 
 
 async def measure_directory(count: int) -> None:
-    """Print the figures for one number of servers."""
+    """Print the cost of directory operations for one number of servers."""
     directory = Directory(5.0)
-    begun = time.process_time()
+    started = time.process_time()
     for number in range(count):
         directory.merge(make_record(number), 0.0)
-    merged = time.process_time()
+    merge_ended = time.process_time()
     usable = len(directory.usable())
-    listed = time.process_time()
+    usable_ended = time.process_time()
     silent = len(directory.silent(1.0))
-    aged = time.process_time()
+    silent_ended = time.process_time()
     data = orjson.dumps([r.to_json() for r in directory.since(0)])
     print(
         f"{count} servers ({usable} usable, {silent} silent): "
-        f"merge {(merged - begun) / count * 1e6:.1f} us, "
-        f"usable {(listed - merged) * 1e3:.1f} ms, "
-        f"silent {(aged - listed) * 1e3:.1f} ms, "
+        f"merge {(merge_ended - started) / count * 1e6:.1f} us, "
+        f"usable {(usable_ended - merge_ended) * 1e3:.1f} ms, "
+        f"silent {(silent_ended - usable_ended) * 1e3:.1f} ms, "
         f"whole directory {len(data) / count:.0f} B a server"
     )
 
 
 async def main() -> None:
-    """Print all figures."""
+    """Run and print all measurements."""
     for count in SERVER_COUNTS:
         await measure_directory(count)
-    begun = time.process_time()
+    started = time.process_time()
     for _ in range(20_000):
         decode_statement("i-1", STATEMENT)
-    print(f"decode a statement: {(time.process_time() - begun) / 20_000 * 1e6:.1f} us")
+    print(
+        f"decode a statement: {(time.process_time() - started) / 20_000 * 1e6:.1f} us"
+    )
     board = PaceBoard()
     samples = {f"i-{number:010x}": (2, 2.1) for number in range(36)}
-    begun = time.process_time()
-    for step in range(2_000):
-        board.add(samples, step * 0.01)
-    spent = time.process_time() - begun
+    started = time.process_time()
+    for number in range(2_000):
+        board.add(samples, number * 0.01)
+    elapsed_s = time.process_time() - started
     print(
-        f"take a report of 36 servers: {spent / 2_000 * 1e6:.0f} us, "
+        f"take a report of 36 servers: {elapsed_s / 2_000 * 1e6:.0f} us, "
         f"{len(orjson.dumps(samples))} B"
     )
     knowledge = Knowledge(5.0)
@@ -101,32 +103,35 @@
         "zone": "zone-a",
         "wait": False,
     }
-    begun = time.process_time()
+    started = time.process_time()
     for _ in range(2_000):
         reply = await teach(knowledge, lambda: True, "10.1.0.1:8224", poll)
-    spent = time.process_time() - begun
-    # Ids are random, and start times spread, or the bytes would deflate too well.
-    source = random.Random(1)
+    elapsed_s = time.process_time() - started
+    # Random ids and start times, because regular ones would compress too well.
+    rng = random.Random(1)
     heard = {
-        f"i-{source.getrandbits(40):010x}": (
-            1_787_052_846_096 + source.randrange(10**9),
-            source.randrange(10**4),
+        f"i-{rng.getrandbits(40):010x}": (
+            1_787_052_846_096 + rng.randrange(10**9),
+            rng.randrange(10**4),
         )
         for _ in range(REPORTED_SERVERS)
     }
     report = ShareMessage("10.1.0.1:8224", "zone-a", 2**63, heard=heard)
-    begun = time.process_time()
+    started = time.process_time()
     _, body = encode_body(report.to_json())
-    spent_ms = (time.process_time() - begun) * 1e3
+    elapsed_ms = (time.process_time() - started) * 1e3
     print(
         f"report {REPORTED_SERVERS} heard servers: {len(body)} B, "
-        f"{spent_ms:.1f} ms to encode"
+        f"{elapsed_ms:.1f} ms to encode"
+    )
+    records = [make_record(rng.getrandbits(40)).to_json() for _ in range(1_000)]
+    plain_bytes, deflated_bytes = (
+        len(orjson.dumps(records)),
+        len(encode_body(records)[1]),
     )
-    records = [make_record(source.getrandbits(40)).to_json() for _ in range(1_000)]
-    plain, deflated = len(orjson.dumps(records)), len(encode_body(records)[1])
-    print(f"1,000 records: {plain} B, deflated {deflated} B")
+    print(f"1,000 records: {plain_bytes} B, deflated {deflated_bytes} B")
     print(
-        f"answer a poll: {spent / 2_000 * 1e6:.0f} us, "
+        f"answer a poll: {elapsed_s / 2_000 * 1e6:.0f} us, "
         f"{len(orjson.dumps(poll))} B and {len(orjson.dumps(reply))} B"
     )
 
--- a/tools/measure_gateway.py
+++ b/tools/measure_gateway.py
@@ -1,7 +1,7 @@
-"""Processor time of one sub-request: the gateway against a bare aiohttp fan-out.
+"""Compare the CPU time of a sub-request in the gateway and in a bare aiohttp fan-out.
 
-Both ask the same stand-in servers, which run in a process of their own, in turns
-within one run; the ratio is what counts, as machines are shared.
+Both query the same fake servers, which run in a separate process, in alternating
+rounds of one run. Only the ratio is comparable between machines and runs.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 from kingcuplug_http import Limits, Listener, Request, Response
 
 SHARD_COUNT = 36
-QUERIES_PER_ROUND = 150  # For each turn.
+QUERIES_PER_ROUND = 150  # For each client.
 ROUNDS = 4
 REPLY_BYTES = 1_000
 HEADER_NAMES = HeaderNames(
@@ -34,7 +34,7 @@
 
 
 async def serve_backends() -> None:
-    """Answer sub-requests on a port for each shard until killed."""
+    """Serve sub-requests on one port per shard until killed."""
     body = os.urandom(REPLY_BYTES)
 
     async def answer(request: Request) -> Response:
@@ -66,7 +66,7 @@
 
 
 async def query_gateway(gateway: Gateway, number: int) -> None:
-    """Send one query."""
+    """Send one query through the gateway."""
     fields = {b"host": b"a", b"try-id": b"%d" % number}
     now = asyncio.get_running_loop().time()
     request = Request(
@@ -77,40 +77,40 @@
 
 
 async def query_aiohttp(session: aiohttp.ClientSession, urls: list[str]) -> None:
-    """Ask all servers at once."""
+    """Send one query to all servers concurrently with aiohttp."""
 
-    async def one(url: str) -> bytes:
+    async def fetch(url: str) -> bytes:
         async with session.get(url, headers={"Try-Id": "1"}) as response:
             return await response.read()
 
-    await asyncio.gather(*map(one, urls))
+    await asyncio.gather(*map(fetch, urls))
 
 
 async def measure(addresses: list[str]) -> None:
-    """Print processor time of a sub-request for both, and the ratio."""
+    """Print the CPU time of a sub-request for both, and the ratio."""
     gateway = make_gateway(addresses)
     urls = [f"http://{address}/x" for address in addresses]
-    spent = {"gateway": 0.0, "aiohttp": 0.0}
+    cpu_s = {"gateway": 0.0, "aiohttp": 0.0}
     async with aiohttp.ClientSession() as session:
         await query_gateway(gateway, 0)
         await query_aiohttp(session, urls)
-        for turn in range(ROUNDS):
-            begun = time.process_time()
+        for round_number in range(ROUNDS):
+            gateway_started = time.process_time()
             for number in range(QUERIES_PER_ROUND):
-                await query_gateway(gateway, turn * QUERIES_PER_ROUND + number)
-            middle = time.process_time()
+                await query_gateway(gateway, round_number * QUERIES_PER_ROUND + number)
+            aiohttp_started = time.process_time()
             for _ in range(QUERIES_PER_ROUND):
                 await query_aiohttp(session, urls)
-            spent["gateway"] += middle - begun
-            spent["aiohttp"] += time.process_time() - middle
-    for name, seconds in spent.items():
-        each_us = seconds / (ROUNDS * QUERIES_PER_ROUND * SHARD_COUNT) * 1e6
-        print(f"{name}: {each_us:.0f} us a sub-request")
-    print(f"ratio: {spent['gateway'] / spent['aiohttp']:.2f} (target: 0.6)")
+            cpu_s["gateway"] += aiohttp_started - gateway_started
+            cpu_s["aiohttp"] += time.process_time() - aiohttp_started
+    for name, seconds in cpu_s.items():
+        sub_request_us = seconds / (ROUNDS * QUERIES_PER_ROUND * SHARD_COUNT) * 1e6
+        print(f"{name}: {sub_request_us:.0f} us a sub-request")
+    print(f"ratio: {cpu_s['gateway'] / cpu_s['aiohttp']:.2f} (target: 0.6)")
 
 
 def main() -> None:
-    """Run the servers in a process of their own and measure."""
+    """Run the servers in a separate process and measure."""
     if sys.argv[1:] == ["serve"]:
         asyncio.run(serve_backends())
         return
--- a/tools/measure_log.py
+++ b/tools/measure_log.py
@@ -1,8 +1,8 @@
 """Measure commits per second and commit latency on real files.
 
-Three replicas run in one process and exchange their messages directly; each has its
-own folder below the given one. A batch of n means n callers that propose one
-command after another.
+Three replicas run in one process and exchange messages directly; each has its own
+folder below the given one. Each of n concurrent callers proposes one command after
+another.
 """
 
 import asyncio
@@ -77,7 +77,7 @@
 
 
 async def _join(leader: Replica, member: Member) -> None:
-    # The first call waits for an election, and the second for a promotion.
+    # The call is refused until a leader is elected and the last learner promoted.
     while member not in leader.status().members:
         with contextlib.suppress(NotLeader, ChangeRefused):
             await leader.change(add=member)
@@ -89,16 +89,16 @@
     latencies: list[float] = []
     started = time.monotonic()
 
-    async def call() -> None:
+    async def propose_repeatedly() -> None:
         while time.monotonic() - started < _DURATION_S:
-            before = time.monotonic()
+            call_started = time.monotonic()
             try:
                 await leader.propose(command)
             except NotLeader:
                 return
-            latencies.append(time.monotonic() - before)
+            latencies.append(time.monotonic() - call_started)
 
-    await asyncio.gather(*(call() for _ in range(callers)))
+    await asyncio.gather(*(propose_repeatedly() for _ in range(callers)))
     return len(latencies) / (time.monotonic() - started), sorted(latencies)
 
 
@@ -108,9 +108,9 @@
     samples = []
     for _ in range(_SYNC_SAMPLES):
         files.write(handle, b"x" * _COMMAND_BYTES)
-        before = time.monotonic()
+        call_started = time.monotonic()
         await files.sync(handle)
-        samples.append(time.monotonic() - before)
+        samples.append(time.monotonic() - call_started)
     files.close(handle)
     return sorted(samples)[len(samples) // 2] * 1_000
 
--- a/tools/measure_membership.py
+++ b/tools/measure_membership.py
@@ -1,8 +1,8 @@
-"""Measure what membership costs, one line per size.
+"""Measure CPU time, memory and traffic of membership, one line per size.
 
 Run it with the project's virtual environment; it uses one process, no network and
-about 0.5 GB. Messages are encoded to JSON and decoded as between processes. HTTP
-is not part of the figures.
+about 0.5 GB of memory. Messages are encoded to JSON and decoded as between
+processes. The figures exclude HTTP.
 
 Sections: session (one session, idle and under change), directory (memory and CPU
 by number of servers), control (one control host by number of sessions), full (a
@@ -47,7 +47,7 @@
 
 
 def make_entry(number: int, sequence: int = 1, holder: str = "e0/1") -> ServerEntry:
-    """Return one of the servers of the target size."""
+    """Return the directory entry of one server of the target fleet."""
     service = f"service-{number // SERVERS_PER_SERVICE:03d}"
     announcement = Announcement(
         f"server-{number:05d}",
@@ -70,7 +70,7 @@
 
 
 class InProcessTransport:
-    """In-process messages with JSON, and their sizes."""
+    """Deliver JSON messages within the process and count their bytes."""
 
     def __init__(self) -> None:
         self.handlers: dict[tuple[str, str], Callable[[Any], Awaitable[Any]]] = {}
@@ -78,7 +78,7 @@
         self.byte_count = 0
 
     def make_call(self, kind: str) -> Call:
-        """Return a closure that sends messages of `kind`."""
+        """Return a function that sends messages of `kind`."""
 
         async def call(peer: str, message: dict[str, Any]) -> dict[str, Any]:
             request = orjson.dumps(message)
@@ -93,7 +93,7 @@
 
 
 class MembershipSystem:
-    """Control hosts that follow c0, with sessions of which the homes are fixed."""
+    """Control hosts led by c0, and sessions with fixed control hosts."""
 
     def __init__(self, controls: int) -> None:
         self.session_transport = InProcessTransport()
@@ -143,7 +143,7 @@
         ]
         return server
 
-    def connect(self, number: int, home: str) -> SessionClient:
+    def connect(self, number: int, control: str) -> SessionClient:
         """Start the session of one entry host."""
         first = number * ROUTED_SERVICES
         services = tuple(
@@ -161,7 +161,7 @@
             1,
             "zone-1",
             "10.0.0.1:80",
-            lambda: [home],
+            lambda: [control],
             sink,
             self.session_transport.make_call("session"),
             virtual_time,
@@ -171,7 +171,7 @@
         return client
 
     async def wait_until_ready(self) -> None:
-        """Wait until all sessions are confirmed and quiet."""
+        """Wait until all sessions are confirmed and idle."""
         while True:
             if all(client.is_confirmed() for client in self.session_clients):
                 break
@@ -179,7 +179,7 @@
         await asyncio.sleep(5)
 
     async def measure_rates(self, duration_s: float) -> tuple[float, float, float]:
-        """Return messages/s, bytes/s and CPU ms/s of sessions for a while."""
+        """Return messages/s, bytes/s and CPU ms/s of the sessions over `duration_s`."""
         messages, size, cpu = (
             self.session_transport.message_count,
             self.session_transport.byte_count,
@@ -194,7 +194,7 @@
 
 
 async def announce_changes(system: MembershipSystem, rate_per_s: float) -> None:
-    """Announce servers of the routed services again, `rate` times a second."""
+    """Announce servers of the routed services again, `rate_per_s` times a second."""
     number = 0
     while True:
         await asyncio.sleep(1 / rate_per_s)
@@ -205,7 +205,7 @@
 
 
 async def measure_session() -> None:
-    """One session against one control host."""
+    """Measure one session with one control host."""
     for rate in (0.0, 0.1, 1.0, 10.0, 100.0):
         system = MembershipSystem(1)
         system.connect(0, "c0")
@@ -221,36 +221,42 @@
 
 
 async def stop_system(system: MembershipSystem) -> None:
-    """End all tasks of a system."""
+    """Cancel all tasks of a system."""
     for task in system.tasks:
         task.cancel()
     await asyncio.gather(*system.tasks, return_exceptions=True)
 
 
 def measure_directory() -> None:
-    """Memory and CPU of a directory."""
+    """Measure memory and CPU time of a directory."""
     for servers in (1_000, 10_000, 57_000):
         entries = [make_entry(number) for number in range(servers)]
         gc.collect()
         tracemalloc.start()
         copies = [make_entry(number) for number in range(servers)]
-        of_entries, _ = tracemalloc.get_traced_memory()
+        entries_bytes, _ = tracemalloc.get_traced_memory()
         directory = Directory(lambda: 0.0)
         for copy in copies:
             directory.merge(copy)
         copies.clear()
         gc.collect()
-        whole, _ = tracemalloc.get_traced_memory()
+        directory_bytes, _ = tracemalloc.get_traced_memory()
         tracemalloc.stop()
-        target = Directory(lambda: 0.0)
-        merge_us = cpu_time_us(lambda: [target.merge(one) for one in entries], servers)  # noqa: B023
-        again_us = cpu_time_us(lambda: [target.merge(one) for one in entries], servers)  # noqa: B023
+        merge_target = Directory(lambda: 0.0)
+        merge_us = cpu_time_us(
+            lambda: [merge_target.merge(item) for item in entries],  # noqa: B023
+            servers,
+        )
+        remerge_us = cpu_time_us(
+            lambda: [merge_target.merge(item) for item in entries],  # noqa: B023
+            servers,
+        )
         routed = [f"service-{index:03d}" for index in range(ROUTED_SERVICES)]
-        read_us = cpu_time_us(lambda: target.changes_since(0, routed), 1)  # noqa: B023
+        read_us = cpu_time_us(lambda: merge_target.changes_since(0, routed), 1)  # noqa: B023
         print(
-            f"directory: {servers:6d} servers: {whole / 1e6:6.1f} MB "
-            f"({of_entries / 1e6:.1f} MB of them entries), merge {merge_us:.2f} us, "
-            f"known entry {again_us:.2f} us, whole of {ROUTED_SERVICES} services "
+            f"directory: {servers:6d} servers: {directory_bytes / 1e6:6.1f} MB "
+            f"({entries_bytes / 1e6:.1f} MB of them entries), merge {merge_us:.2f} us, "
+            f"known entry {remerge_us:.2f} us, whole of {ROUTED_SERVICES} services "
             f"{read_us / 1_000:.2f} ms"
         )
 
@@ -263,7 +269,7 @@
 
 
 async def poll_sessions(system: MembershipSystem, number: int) -> None:
-    """Poll as an entry host does, without an entry host's own work."""
+    """Poll as an entry host does, without applying the replies."""
     call = system.session_transport.make_call("session")
     first = number * ROUTED_SERVICES
     request: dict[str, Any] = {
@@ -289,7 +295,7 @@
 
 
 async def measure_control() -> None:
-    """One control host with many sessions, without the entry hosts' own work."""
+    """Measure one control host with many sessions, without entry hosts' work."""
     for sessions in (50, 100, 200, 400):
         system = MembershipSystem(1)
         for number in range(57_000):
@@ -314,7 +320,7 @@
 
 
 async def measure_reannouncement() -> None:
-    """Servers announce again at 20 entry hosts; 5 control hosts exchange them."""
+    """Measure servers that announce again at 20 entry hosts of 5 control hosts."""
     for servers in (570, 1_900, 5_700):
         system = MembershipSystem(5)
         for number in range(20):
@@ -327,18 +333,20 @@
             holder = holder_name(f"e{number % 20}", 1)
             client.leases.announce(make_entry(number, 2, holder).announcement)
         while True:
-            known = [len(one.directory) for one in system.session_servers.values()]
-            if min(known) == servers:
+            directory_sizes = [
+                len(control.directory) for control in system.session_servers.values()
+            ]
+            if min(directory_sizes) == servers:
                 break
             await asyncio.sleep(0.01)
-        took = virtual_time() - started
+        elapsed_s = virtual_time() - started
         # The leader's relay and the answers to the sessions follow within 0.5 s;
         # the servers' leases end after 2 s.
         await asyncio.sleep(1.5)
         print(
             f"full: {servers:5d} servers announce: all 5 directories have them after "
-            f"{took:.2f} s (virtual); {(time.process_time() - cpu) * 1e3:.0f} ms CPU "
-            f"in all; sessions "
+            f"{elapsed_s:.2f} s (virtual); "
+            f"{(time.process_time() - cpu) * 1e3:.0f} ms CPU in all; sessions "
             f"{(system.session_transport.byte_count - size) / servers:.0f} "
             f"B per server, "
             f"between control hosts "
--- a/tools/measure_query.py
+++ b/tools/measure_query.py
@@ -1,7 +1,7 @@
-"""Measures the CPU time of a query without HTTP, at several numbers of shards.
+"""Measure the CPU time of a query without HTTP, at several numbers of shards.
 
-Sub-requests are answered by a fake in the same process, so the figure is the tier's
-own work: admission, choice of replicas, gathering, crash guard and merging.
+A fake in the same process replies to sub-requests, so the figure covers only the
+entry host's work: admission, choice of replicas, gathering, crash guard and merging.
 """
 
 import asyncio
--- a/tools/measure_receipts.py
+++ b/tools/measure_receipts.py
@@ -1,4 +1,4 @@
-"""Measures the time to sign a receipt, one line per number of receipts."""
+"""Measure the CPU time to sign a receipt, one line per number of receipts."""
 
 import time
 
--- a/tools/measure_routing.py
+++ b/tools/measure_routing.py
@@ -2,7 +2,7 @@
 
 Usage: ``measure_routing.py [--seconds 30] [--seed 1] [--layout cutting]
 [--scenario NAME ...] [--policy NAME ...]``. It prints one line per scenario and
-policy. ``measure_routing.py --cpu`` prints the cost of the hot path instead.
+policy. ``measure_routing.py --cpu`` prints the CPU time of the hot path instead.
 """
 
 import argparse
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """Offered load, as a share of the capacity, and what fails."""
+    """Offered load, as a fraction of the capacity, and injected failures."""
 
     load: float
     slowdown: float = 1.0
@@ -64,7 +64,7 @@
     zone_lost: bool = False
     misreported_load: bool = False
     uneven_load: bool = False
-    replica_subset: bool = False  # each entry host uses two of the three replicas
+    replica_subset: bool = False  # Each entry host uses two of the three replicas.
 
 
 SCENARIOS = {
@@ -111,15 +111,15 @@
 def _make_servers(
     layout: model.ServiceLayout, random: Random
 ) -> dict[str, model.BackendServer]:
-    held: list[list[int]] = [[] for _ in range(layout.servers)]
+    shards_by_server: list[list[int]] = [[] for _ in range(layout.servers)]
     for shard in range(layout.shards):
         for replica in range(layout.replicas):
-            held[(shard + replica) % layout.servers].append(shard)
+            shards_by_server[(shard + replica) % layout.servers].append(shard)
     return {
         f"server-{i}": model.BackendServer(
             f"server-{i}", f"zone-{i % model.ZONES}", layout, random, tuple(shards)
         )
-        for i, shards in enumerate(held)
+        for i, shards in enumerate(shards_by_server)
     }
 
 
@@ -128,9 +128,9 @@
 ) -> None:
     for host in hosts:
         views = [
-            each.view()
-            for i, each in enumerate(servers.values())
-            if not each.lost and i % model.ZONES != host.excluded_zone
+            server.view()
+            for i, server in enumerate(servers.values())
+            if not server.lost and i % model.ZONES != host.excluded_zone
         ]
         host.router.update(views, model.ENTRY_HOSTS)
 
@@ -143,9 +143,9 @@
     await asyncio.sleep(WARM_UP_S)
     servers["server-0"].slowdown = scenario.slowdown
     lost = [
-        each
-        for i, each in enumerate(servers.values())
-        if i < scenario.lost_servers or (scenario.zone_lost and each.zone == "zone-0")
+        server
+        for i, server in enumerate(servers.values())
+        if i < scenario.lost_servers or (scenario.zone_lost and server.zone == "zone-0")
     ]
     for server in lost:
         server.disconnect()
@@ -177,7 +177,7 @@
     rate = layout.capacity_qps() * scenario.load
     weights = [1.0] * len(hosts)
     if scenario.uneven_load:
-        weights[0] = len(hosts) - 1.0  # half of all queries
+        weights[0] = len(hosts) - 1.0  # Half of all queries.
     loop = asyncio.get_running_loop()
     tasks = set()
     while loop.time() < WARM_UP_S + seconds:
@@ -200,18 +200,18 @@
 def summarize(hosts: list[model.EntryHost], seconds: float) -> dict[str, float]:
     """Return the figures of one run; times in ms."""
     results = [r for host in hosts for r in host.results if r.arrived_at >= WARM_UP_S]
-    whole = [r.duration_s * 1_000 for r in results if r.complete]
+    complete_ms = [r.duration_s * 1_000 for r in results if r.complete]
     urgent = [r for r in results if r.priority is Priority.URGENT]
     bulk = [r for r in results if r.priority is Priority.BULK]
     admitted = [r for r in results if not r.refused]
     refused = [r.duration_s * 1_000 for r in results if r.refused]
     normal = [r for r in results if r.priority is Priority.NORMAL]
-    wanted = sum(host.requested_shards for host in hosts)
+    requested = sum(host.requested_shards for host in hosts)
     executed = sum(server.executed for server in hosts[0].servers.values())
     return {
-        "p50": _quantile(whole, 0.5),
-        "p99": _quantile(whole, 0.99),
-        "p99.9": _quantile(whole, 0.999),
+        "p50": _quantile(complete_ms, 0.5),
+        "p99": _quantile(complete_ms, 0.99),
+        "p99.9": _quantile(complete_ms, 0.999),
         "normal99": _quantile(
             [r.duration_s * 1_000 for r in normal if r.complete], 0.99
         ),
@@ -220,15 +220,18 @@
         ),
         "urgent%": 100 * sum(r.complete for r in urgent) / max(1, len(urgent)),
         "bulk%": 100 * sum(r.complete for r in bulk) / max(1, len(bulk)),
-        "goodput": len(whole) / seconds,
+        "goodput": len(complete_ms) / seconds,
         "cover%": 100 * sum(r.coverage for r in admitted) / max(1, len(admitted)),
         "refused%": 100 * len(refused) / max(1, len(results)),
         "refused50": _quantile(refused, 0.5),
         "refused99": _quantile(refused, 0.99),
-        "extra%": 100 * (executed / max(1, wanted) - 1),
-        "sent%": 100 * (sum(host.sent_attempts for host in hosts) / max(1, wanted) - 1),
-        "hedge%": 100 * sum(host.hedged_attempts for host in hosts) / max(1, wanted),
-        "retry%": 100 * sum(host.retried_attempts for host in hosts) / max(1, wanted),
+        "extra%": 100 * (executed / max(1, requested) - 1),
+        "sent%": 100
+        * (sum(host.sent_attempts for host in hosts) / max(1, requested) - 1),
+        "hedge%": 100 * sum(host.hedged_attempts for host in hosts) / max(1, requested),
+        "retry%": 100
+        * sum(host.retried_attempts for host in hosts)
+        / max(1, requested),
     }
 
 
@@ -243,7 +246,7 @@
 def measure_cpu_us(
     measure_us: Callable[[Callable[[], object]], float],
 ) -> dict[str, float]:
-    """Return the microseconds of the hot path for 3 replicas."""
+    """Return the CPU time of the hot path in microseconds, with 3 replicas."""
 
     async def measure() -> dict[str, float]:
         layout = model.ServiceLayout(3, 3, 30, 3, 3, 3)
@@ -252,7 +255,7 @@
         for name in ("baseline", "chosen"):
             host = model.EntryHost("zone-0", layout, servers, POLICIES[name], Random(1))
             _update_routers([host], servers)
-            await asyncio.sleep(10.0)  # past the slow start
+            await asyncio.sleep(10.0)  # Past the slow start.
             costs[f"{name}: choose and finish"] = measure_us(_make_choice(host.router))
             fresh = model.EntryHost(
                 "zone-0", layout, servers, POLICIES[name], Random(1)
@@ -266,28 +269,28 @@
 
 
 def _make_choice(router: Router) -> Callable[[], object]:
-    def one() -> None:
+    def choose_and_finish() -> None:
         ticket = router.choose(model.SNAPSHOT, 1, zone="zone-0")
         assert ticket is not None
         ticket.finish(AttemptOutcome.OK, 10.0)
 
-    return one
+    return choose_and_finish
 
 
 def _make_admission(host: model.EntryHost) -> Callable[[], object]:
     admission = host.admission
 
-    def one() -> None:
-        """Admit without waiting, by driving the coroutines to their end."""
+    def admit() -> None:
+        """Admit without an event loop, by stepping the coroutines to their end."""
         admitted = admission.admit(Priority.URGENT, sub_requests=3)
         for step in (admitted.__aenter__(), admitted.__aexit__(None, None, None)):
             try:
                 step.send(None)
             except StopIteration:
                 continue
-            raise RuntimeError("admission waited")
+            raise RuntimeError("admission must not wait in this measurement")
 
-    return one
+    return admit
 
 
 def _measure_us(call: Callable[[], object]) -> float:
@@ -316,10 +319,10 @@
         for policy in options.policy or ("baseline", "chosen")
     ]
     with ProcessPoolExecutor(options.jobs) as pool:
-        header = False
+        header_printed = False
         for run, figures in zip(runs, pool.map(_run_case, runs), strict=True):
-            if not header:
-                header = True
+            if not header_printed:
+                header_printed = True
                 print(f"{options.layout:32}", *(f"{name:>9}" for name in figures))
             print(f"{run[1]:15} {run[2]:16}", *(f"{f:9.1f}" for f in figures.values()))
 
--- a/tools/measure_state.py
+++ b/tools/measure_state.py
@@ -1,6 +1,6 @@
-"""Prints size and time per command of the replicated state, a line per size.
+"""Measure size and time per command of the replicated state, one line per size.
 
-Times are medians of one run on one machine; compare them only with one another.
+Times are medians of one run on one machine and comparable only with one another.
 Run it with the sources on the path:
 
     python tools/measure_state.py [configuration|ledger] [size ...]
@@ -45,7 +45,7 @@
 
 
 def median_ms(action: Callable[[], Any], repeats: int = REPEATS) -> float:
-    """Return the median time of `action`."""
+    """Return the median time of `action` in milliseconds."""
     times = []
     for _ in range(repeats):
         started = time.perf_counter()
@@ -55,18 +55,18 @@
 
 
 def memory_mb(build: Callable[[], Any]) -> tuple[Any, float]:
-    """Return what `build` made and the memory that it keeps."""
+    """Return the result of `build` and the memory in MB that it retains."""
     gc.collect()
     tracemalloc.start()
-    made = build()
+    result = build()
     gc.collect()
-    kept, _ = tracemalloc.get_traced_memory()
+    retained_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return made, kept / 1_000_000
+    return result, retained_bytes / 1_000_000
 
 
 def make_services_text(count: int, deadline_ms: int = 800) -> str:
-    """Return a text whose services each depend on two that come before them."""
+    """Return a configuration text; each service depends on two earlier ones."""
     services: dict[str, Any] = {}
     for n in range(count):
         needed = {f"service-{n // 2}", f"service-{n // 3}"} - {f"service-{n}"}
@@ -88,39 +88,39 @@
         render(configuration)
         return configuration
 
-    _, kept = memory_mb(build)
+    _, retained_mb = memory_mb(build)
 
-    def change(number: int, condensed: bool) -> tuple[float, float]:
+    def apply_change(number: int, condensed: bool) -> tuple[float, float]:
         base = history.current.number
         text = texts[1 + number % REPEATS]
         command = ApplyConfiguration(f"c{base + 1}", base, text, "anna", 0)
         started = time.perf_counter()
         if condensed:
             command = history.condense(command)
-        ready = time.perf_counter()
+        condense_ended = time.perf_counter()
         history.apply(command)
-        return ready - started, time.perf_counter() - ready
+        return condense_ended - started, time.perf_counter() - condense_ended
 
-    whole = [change(n, False)[1] for n in range(REPEATS)]
-    pairs = [change(n, True) for n in range(REPEATS)]
-    condense, applied = (
-        statistics.median(values) for values in zip(*pairs, strict=True)
+    text_times_s = [apply_change(n, False)[1] for n in range(REPEATS)]
+    delta_times_s = [apply_change(n, True) for n in range(REPEATS)]
+    condense_s, apply_s = (
+        statistics.median(values) for values in zip(*delta_times_s, strict=True)
     )
     text_bytes = len(render(new))
     delta_bytes = len(json.dumps(delta.to_json()))
     return (
         f"configuration services={count} text={text_bytes / 1e6:.3f}MB"
-        f" delta={delta_bytes}B memory={kept:.1f}MB"
+        f" delta={delta_bytes}B memory={retained_mb:.1f}MB"
         f" parse={median_ms(lambda: parse(texts[0]), 3):.1f}ms"
-        f" apply_text={statistics.median(whole) * 1e3:.1f}ms"
-        f" condense={condense * 1e3:.1f}ms apply_delta={applied * 1e3:.1f}ms"
+        f" apply_text={statistics.median(text_times_s) * 1e3:.1f}ms"
+        f" condense={condense_s * 1e3:.1f}ms apply_delta={apply_s * 1e3:.1f}ms"
         f" patch={median_ms(lambda: patch(old, delta)):.1f}ms"
         f" dump={median_ms(history.dump, 3):.1f}ms"
     )
 
 
 def measure_history(count: int) -> str:
-    """Measure the memory of `count` remembered changes and their deltas."""
+    """Measure the memory of a history of `count` changes and their deltas."""
 
     def build() -> ConfigurationHistory:
         history = ConfigurationHistory()
@@ -129,13 +129,13 @@
             history.apply(ApplyConfiguration(f"{n:032x}", n, text, "anna", n))
         return history
 
-    history, kept = memory_mb(build)
+    history, retained_mb = memory_mb(build)
     size = len(json.dumps(history.dump()))
-    return f"history changes={count} memory={kept:.1f}MB dump={size / 1e6:.1f}MB"
+    return f"history changes={count} memory={retained_mb:.1f}MB dump={size / 1e6:.1f}MB"
 
 
 def make_order_commands(number: int) -> list[dict[str, Any]]:
-    """Return the commands of one order, as they come from the log."""
+    """Return the commands of one order, decoded as from the log."""
     key = f"{NOW_MS + number}-{number:020x}"
     token, attempt = f"{number:024x}", f"{number:023x}a"
     host, server = f"entry-{number % 10}", f"laudos-{number % 11}:7001"
@@ -158,12 +158,12 @@
                 ledger.apply(command)
         return ledger
 
-    ledger, kept = memory_mb(build)
-    more = [make_order_commands(count + number) for number in range(1_000)]
+    ledger, retained_mb = memory_mb(build)
+    new_orders = [make_order_commands(count + number) for number in range(1_000)]
     times = {}
     for step, name in enumerate(("claim", "dispatch", "outcome")):
         started = time.perf_counter()
-        for commands in more:
+        for commands in new_orders:
             ledger.apply(commands[step])
         times[name] = (time.perf_counter() - started) * 1_000
     dump = ledger.dump()
@@ -172,8 +172,8 @@
     due = command_to_json(Release(f"{NOW_MS}-triggers", "t", NOW_MS + 200 * DAY_MS))
     purge_ms = median_ms(lambda: ledger.apply(due), 5)
     return (
-        f"ledger orders={count} memory={kept:.1f}MB"
-        f" per_order={kept * 1e6 / count:.0f}B"
+        f"ledger orders={count} memory={retained_mb:.1f}MB"
+        f" per_order={retained_mb * 1e6 / count:.0f}B"
         f" dump={len(json.dumps(dump)) / 1e6:.1f}MB"
         f" claim={times['claim']:.1f}us dispatch={times['dispatch']:.1f}us"
         f" outcome={times['outcome']:.1f}us purge_of_64={purge_ms * 1e3:.0f}us"
@@ -182,16 +182,16 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Measure what the arguments name, or everything."""
+    """Run the measurements named by the arguments, or all."""
     sizes = [int(argument) for argument in arguments[1:]]
-    part = arguments[0] if arguments else ""
-    if part in ("", "configuration"):
+    section = arguments[0] if arguments else ""
+    if section in ("", "configuration"):
         for size in sizes or SERVICE_COUNTS:
             print(measure_configuration(size), flush=True)
-    if part in ("", "history"):
+    if section in ("", "history"):
         for size in sizes or (100, 1_000, 10_000):
             print(measure_history(size), flush=True)
-    if part in ("", "ledger"):
+    if section in ("", "ledger"):
         for size in sizes or ORDER_COUNTS:
             print(measure_ledger(size), flush=True)
 
--- a/tools/measure_tracing.py
+++ b/tools/measure_tracing.py
@@ -1,4 +1,4 @@
-"""Cost of the spans of one sub-request: outside a request, not sampled, sampled."""
+"""Measure the cost of a sub-request's spans: no request, not sampled, sampled."""
 
 import tempfile
 import timeit
@@ -15,7 +15,7 @@
 
 
 def trace_sub_request() -> None:
-    """Do what one sub-request does for its trace."""
+    """Create and end the spans of one sub-request."""
     with start_hop("capacity"):
         pass
     hop = start_hop("sub-request")
@@ -24,11 +24,11 @@
 
 
 def run_empty() -> None:
-    """Cost of the measurement itself."""
+    """Do nothing; its time is the overhead of the measurement."""
 
 
 def best_us(work: Callable[[], None]) -> float:
-    """Return the least time of one run, in microseconds."""
+    """Return the minimum time of one run, in microseconds."""
     times = timeit.repeat(work, number=_RUNS_PER_REPEAT, repeat=_REPEATS)
     return min(times) / _RUNS_PER_REPEAT * _US_PER_S
 
@@ -39,7 +39,7 @@
         tempfile.TemporaryDirectory() as folder,
         tracer(Path(folder) / "trace.jsonl", 1.0) as spans,
     ):
-        base = best_us(run_empty)
+        overhead_us = best_us(run_empty)
         for name, flag in (("no request", None), ("not sampled", 0), ("sampled", 1)):
             headers = {"traceparent": f"{_TRACEPARENT_PREFIX}{flag}"}
             request = (
@@ -47,7 +47,7 @@
             )
             with request:
                 print(
-                    f"{name}: {best_us(trace_sub_request) - base:.2f} us "
+                    f"{name}: {best_us(trace_sub_request) - overhead_us:.2f} us "
                     "per sub-request"
                 )
 
