--- a/models/formation.pml
+++ b/models/formation.pml
@@ -1,13 +1,13 @@
 /*
  * Formation of the group without an operator (docs/platform.md).
  *
- * The model answers whether hosts that are started together, and of which one may
- * lose its disk at any moment, can form two groups, or lose a document that was
+ * The model checks that hosts that start together, of which one may lose its disk at
+ * any moment, never form two groups, and never lose a document that was
  * acknowledged while the group was still forming.
  *
- * Host 0 is the first seed. A host knows whether the whole system starts for the
- * first time; after a restart or the loss of its disk it no longer does, although a
- * restart may come before anything was written. Elections, replication and the
+ * Host 0 is the first seed. A host has a flag for the first start of the whole
+ * system; a restart or the loss of its disk clears it, although a restart may come
+ * before anything was written. Elections, replication and the
  * change of voters one at a time are the subject of replication.pml and voters.pml:
  * here a group acts only while a majority of its voters holds its disk, and an
  * acknowledged document is held by some majority of the voters of that time.
@@ -16,8 +16,8 @@
  * ANY_SEED_FOUNDS (every seed with an empty disk founds), ACK_WHILE_FORMING (a
  * document is acknowledged before all seeds are voters).
  *
- * After a wait, most of the seeds are enough (FORMATION_TIMES_OUT). The first version
- * was content with any number then, which is what ACK_WHILE_FORMING shows.
+ * After a timeout, a majority of the seeds is enough (FORMATION_TIMES_OUT). Accepting
+ * any number of seeds after the timeout is unsafe, as ACK_WHILE_FORMING shows.
  */
 
 #define HOSTS 3
@@ -76,7 +76,7 @@
     printf("host %d joins group %d\n", h, g);
     group[h] = g;
     voters[g] = voters[g] | BIT(h);
-    /* A new voter is caught up before it votes. */
+    /* A new voter holds the document before it votes. */
     if
     :: acked_in == g -> holders = holders | BIT(h)
     :: else
@@ -89,7 +89,7 @@
   }
 }
 
-/* A document is acknowledged by a majority: any two voters, or the only one. */
+/* A document is acknowledged by a majority: any two voters, or the only voter. */
 inline acknowledge(g, a, b) {
   d_step {
     acked_in == NONE && groups >= g && FORMED(g) &&
--- a/models/history.pml
+++ b/models/history.pml
@@ -1,14 +1,14 @@
 /*
  * Compare-and-set of configuration revisions (design 3.2).
  *
- * The model answers whether two operators who race with the same base revision
- * can both be accepted, whether a change that is sent again after a lost answer
- * is applied twice, and whether both hear the truth, when commands are lost with
- * their leader or applied late and answers get lost.
+ * The model checks that two operators who race with the same base revision are
+ * never both accepted, that a change resent after a lost reply is not applied
+ * twice, and that both operators receive the true result, when commands are lost
+ * with their leader or applied late and replies are lost.
  *
  * The history is one durable state changed by one command at a time (the result
  * of replication.pml). Each operator makes one change and sends it, under one
- * change_id, until it hears a result.
+ * change_id, until it receives a result.
  *
  * Mutants: EQUAL_REVISIONS_ACCEPTED (the base revision is not compared),
  * RESEND_IS_NEW (change_id is ignored), and both together.
@@ -32,7 +32,7 @@
 /* Operators. */
 byte base[OPERATORS];     /* revision on which the change is based */
 byte sendings[OPERATORS];
-byte under_way[OPERATORS]; /* copies of the command that may still be applied */
+byte under_way[OPERATORS]; /* copies in flight of the command that may still be applied */
 bool has_base[OPERATORS];
 byte heard[OPERATORS];
 byte heard_revision[OPERATORS];
@@ -135,7 +135,7 @@
   }
 }
 
-/* A change whose operator heard Conflict is in no revision, now or later. */
+/* A change whose operator received Conflict is in no revision, now or later. */
 inline check_conflicts() {
   for (k : 1 .. OPERATORS * MAX_SENDINGS) {
     /* Property conflict-is-true. */
--- a/models/lease.pml
+++ b/models/lease.pml
@@ -1,23 +1,23 @@
 /*
  * Leader lease, vote stickiness and clock drift (design 3.3, lease).
  *
- * The model answers whether a leader can serve a read under its lease after a
- * later leader has committed a change, when clocks drift, messages are lost or
+ * The model checks that no leader serves a read under its lease after a later
+ * leader has committed a change, when clocks drift, messages are lost or
  * delayed and hosts crash and restart between any two steps.
  *
  * Time passes in ticks. Every host has a monotonic clock that advances by its
  * own rate at each tick; timers hold the remaining units of the host's clock.
  * The rates are 2 and 3, so the faster clock gains a half on the slower one:
- * a bound of 1/3 on the relative drift. It stands for the design's 1%, which
+ * a bound of 1/3 on the relative drift. It replaces the design's 1%, which
  * would need hundreds of ticks, and is exact for any ratio that both sides use.
  *
  * The log is reduced to one entry per term, which the leader appends after its
- * election; replication.pml has the log. A candidate stands at any moment at
- * which it has no promise to keep, so pre-vote only removes behaviours.
+ * election; replication.pml has the log. A host may become a candidate
+ * whenever no promise forbids it, so pre-vote only removes behaviours.
  *
  * Mutants: LEASE_IGNORES_DRIFT, LEASE_FROM_RECEIPT, VOTE_AFTER_RESTART,
  * NO_STICKINESS, STANDS_DESPITE_PROMISE, READ_BEFORE_OWN_COMMIT.
- * DRIFT_PER_CLOCK is a reading of the design: drift_bound bounds each clock
+ * DRIFT_PER_CLOCK is a variant of the design: drift_bound bounds each clock
  * against true time, so that two clocks can drift apart by twice as much (rates 2
  * and 4 beside a true rate of 3). LEASE_FOR_BOTH_CLOCKS is the lease that holds then.
  */
@@ -66,10 +66,10 @@
 byte promise[HOSTS];     /* units for which votes are refused */
 byte holders[HOSTS];     /* bit set of hosts that synced the leader's own entry */
 bool own_commit[HOSTS];  /* the leader's own entry has committed */
-Timers heartbeat[HOSTS]; /* of a leader: units until the heartbeat under way is worthless */
-Timers answered[HOSTS];  /* of a leader: units that an answered heartbeat still counts */
+Timers heartbeat[HOSTS]; /* of a leader: units until the heartbeat in flight expires */
+Timers answered[HOSTS];  /* of a leader: units for which an answered heartbeat still counts */
 #ifdef LEASE_FROM_RECEIPT
-Timers answer[HOSTS];    /* of a leader: an answer is under way */
+Timers answer[HOSTS];    /* of a leader: a reply is in flight */
 #endif
 
 byte rate[HOSTS];
@@ -118,7 +118,7 @@
 #define MAY_VOTE(h) (promise[h] == 0)
 #endif
 
-/* The hosts are alike, so without loss of generality host 0 stands first. */
+/* The hosts are symmetric, so without loss of generality host 0 is the first candidate. */
 #define SOMEONE_STOOD (term[0] > 0 || term[1] > 0 || term[2] > 0)
 
 inline stand(h) {
@@ -157,7 +157,7 @@
     k = 0;
     role[h] = LEADER;
     votes[h] = 0;
-    promise[h] = 0; /* it hears from no other leader of this term */
+    promise[h] = 0; /* no other leader of this term sends heartbeats */
     last[h] = term[h];
     holders[h] = BIT(h)
   }
@@ -300,7 +300,7 @@
 #define HIGH FAST
 #endif
 
-/* The first choice is searched first; the order affects only the time to a fault. */
+/* Spin searches the first choice first; the order affects only the time to a violation. */
 inline choose_rate(h, first, second) {
   if
   :: rate[h] = first
--- a/models/orders.pml
+++ b/models/orders.pml
@@ -1,34 +1,34 @@
 /*
  * Orders: claim, dispatch, outcome, release and resend (design 3.4, 6.6).
  *
- * The model answers whether one idempotency key can be sent to a backend server
- * twice, and whether a caller can hear `not_run` of an order that ran or still
- * runs, when the caller resends to another entry host, answers are lost at every
- * step, entry hosts crash between any two steps, live holders are taken for dead
+ * The model checks that one idempotency key is never sent to a backend server
+ * twice, and that a caller never receives `not_run` for an order that ran or still
+ * runs, when the caller resends to another entry host, replies are lost at every
+ * step, entry hosts crash between any two steps, live holders are presumed dead
  * and leaders change.
  *
  * The ledger is one durable record, changed by one command at a time (the result
- * of replication.pml). A proposed command stays under way until it is applied or
+ * of replication.pml). A proposed command stays in flight until it is applied or
  * lost with its leader, even if its proposer has crashed or proposed the next
- * one. The caller hears only the answer to its latest attempt.
+ * one. The caller receives only the reply to its latest attempt.
  *
- * The model decides what the design leaves open: a repeated claim or dispatch
- * with the token in force gets the same result again; a release is final, so it
- * records the outcome `not_run`; an entry host without the ledger's word answers
- * `outcome_unknown`.
+ * The model adds rules that the design leaves open: a repeated claim or dispatch
+ * with the current token gets the same result again; a release is final, so it
+ * records the outcome `not_run`; an entry host without a result from the ledger
+ * replies `outcome_unknown`.
  *
  * Mutants: DISPATCH_WITHOUT_TOKEN, TAKEOVER_AFTER_DISPATCH, SEND_BEFORE_DISPATCH,
  * SEND_WITHOUT_ANSWER, NOT_RUN_AFTER_LOST_ANSWER, NOT_DURABLE=CLAIM, =DISPATCH or
  * =RELEASE (the leader answers such a command before a quorum has it).
- * Readings of the design: RELEASE_FREES (a release deletes the record) and
- * EARLY_NOT_RUN (a refusal before the ledger was asked says `not_run`).
+ * Rejected design variants: RELEASE_FREES (a release deletes the record) and
+ * EARLY_NOT_RUN (a refusal before a ledger request says `not_run`).
  */
 
 #ifndef MAX_ATTEMPTS
 #define MAX_ATTEMPTS 2
 #endif
 #ifndef SLOTS
-#define SLOTS 2 /* commands under way at once */
+#define SLOTS 2 /* commands in flight at once */
 #endif
 #ifndef MAX_TOKENS
 #define MAX_TOKENS 3
@@ -65,7 +65,7 @@
 #define RECORDING 6
 #define RELEASING 7
 #define ATTACHED 8    /* another token holds the claim */
-#define ASKING 9      /* has the request, has asked nobody yet */
+#define ASKING 9      /* has the request, has proposed nothing yet */
 
 /* The record in the replicated log. */
 byte state;
@@ -73,7 +73,7 @@
 byte outcome;
 byte next_token = 1;
 
-/* Commands under way. */
+/* Commands in flight. */
 byte command[SLOTS];
 byte command_token[SLOTS];
 byte command_outcome[SLOTS];
@@ -92,16 +92,16 @@
 /* Caller. */
 byte last_attempt;
 bool listening;       /* waits for the answer to its last attempt */
-bool finished;        /* has heard `done` */
+bool finished;        /* has received `done` */
 
-/* What the properties speak about. */
+/* Observed by the properties. */
 byte sends;
 byte runs;
-bool told_not_run;    /* has heard `not_run` and has not resent since */
+bool told_not_run;    /* has received `not_run` and has not resent since */
 byte takeovers;
 
 #ifdef NOT_DURABLE
-/* The record before a command that only the leader has. */
+/* The record before a command that only the leader holds. */
 byte old_state;
 byte old_token;
 byte old_outcome;
@@ -121,7 +121,7 @@
     last_attempt++;
     listening = true;
     printf("caller sends attempt %d to host %d\n", last_attempt, to);
-    attempt[to] = last_attempt; /* a running order of this key is joined */
+    attempt[to] = last_attempt; /* attaches to a running order of this key */
     if
     :: work[to] == IDLE -> work[to] = ASKING
     :: else
@@ -129,7 +129,7 @@
   }
 }
 
-/* The host's answer reaches the caller if it still listens to this attempt. */
+/* The reply reaches the caller if it still waits for this attempt. */
 inline reply(h, kind) {
   if
   :: attempt[h] == last_attempt && listening ->
@@ -220,7 +220,7 @@
   }
 }
 
-/* Overload, a lost quorum, an ended configuration lease or a shutdown. */
+/* Refusal: overload, no quorum, an expired configuration lease or a shutdown. */
 inline refuse_early(h) {
   d_step {
     work[h] == ASKING ->
@@ -234,7 +234,7 @@
   }
 }
 
-/* The holder is taken for dead, rightly or not. */
+/* The holder is presumed dead, correctly or not. */
 inline take_over(h) {
   d_step {
     work[h] == ATTACHED && FREE_SLOT && next_token <= MAX_TOKENS ->
@@ -268,7 +268,7 @@
   }
 }
 
-/* The answer to a proposal did not come: propose the same again. */
+/* The reply to a proposal is lost: propose the same command again. */
 inline repeat(h) {
   d_step {
     FREE_SLOT && (work[h] == DISPATCHING || work[h] == RECORDING) ->
@@ -280,7 +280,7 @@
   }
 }
 
-/* The answer did not come in time; the host knows what it did itself. */
+/* The reply timed out; the host's own state shows what it has sent. */
 inline give_up(h) {
   d_step {
     work[h] == CLAIMING || work[h] == DISPATCHING || work[h] == RELEASING ||
@@ -368,7 +368,7 @@
     runs++;
     /* Property at-most-once. */
     assert(runs <= 1);
-    /* Property not-run-is-true: nor does it run after the caller was told. */
+    /* Property not-run-is-true: nor does it run after the caller received not_run. */
     assert(!told_not_run);
     if
     :: work[h] == SENT -> answer[h] = DONE
@@ -449,7 +449,7 @@
   fi
 }
 
-/* What a host does with the result of its command. */
+/* Handles the result of a host's command. */
 inline take_result(h) {
   if
   :: work[h] == CLAIMING ->
@@ -519,7 +519,7 @@
   }
 }
 
-/* The leader changes before a quorum has the command. */
+/* The leader changes before a quorum holds the command. */
 inline lose_command(s) {
   d_step {
     command[s] != NONE ->
--- a/models/replication.pml
+++ b/models/replication.pml
@@ -1,15 +1,15 @@
 /*
  * Replicated log: elections, replication, fsync and commit (design 3.3).
  *
- * The model answers whether an accepted entry can be lost and whether a term
- * can have two leaders when messages are lost, delayed, duplicated or
- * reordered and hosts crash between any two steps. There is no time in it:
+ * The model checks that no accepted entry is lost and that no term has two
+ * leaders when messages are lost, delayed, duplicated or
+ * reordered and hosts crash between any two steps. Time is not modelled:
  * every host may start an election at any moment, so it includes every
- * behaviour that pre-vote and vote stickiness allow (lease.pml has the time).
+ * behaviour that pre-vote and vote stickiness allow (lease.pml models time).
  *
- * Messages are not kept in channels. A vote is counted at once by a candidate
- * that may become leader at any later moment. Everything the leader of a term
- * ever sent is the prefixes of sent[term], which stay deliverable for ever.
+ * Messages are not kept in channels. A candidate counts a vote at once and
+ * may become leader at any later moment. The messages of a term's leader are the
+ * prefixes of sent[term], which remain deliverable forever.
  *
  * An entry is represented by the term in which it was created: term and index
  * identify an entry.
@@ -35,7 +35,7 @@
 
 typedef Log {
   byte length;
-  byte entry[MAX_LOG] /* term of each entry, NONE behind the end */
+  byte entry[MAX_LOG] /* term of each entry, NONE after the end */
 }
 
 typedef Indexes {
@@ -45,7 +45,7 @@
 /* Hard state: written with an fsync before any answer that depends on it. */
 byte term[HOSTS];
 byte vote[HOSTS]; /* host + 1 */
-Log disk[HOSTS];  /* what survives a crash */
+Log disk[HOSTS];  /* survives a crash */
 
 /* Lost in a crash. */
 Log memory[HOSTS];
@@ -54,7 +54,7 @@
 byte pending[HOSTS];   /* index to acknowledge after the next fsync */
 Indexes match[HOSTS];  /* acknowledged index per host, of a leader */
 
-/* The network and the history that the properties speak about. */
+/* The network, and the history that the properties refer to. */
 byte leader_of[MAX_TERM + 1]; /* host + 1 */
 Log sent[MAX_TERM + 1];       /* the log that the leader of a term sent */
 byte accepted[MAX_LOG];       /* committed entries */
@@ -87,7 +87,7 @@
   k = 0
 }
 
-/* A term that every host has left has no effect any more: fewer states. */
+/* Clears terms that every host has left: they have no effect, and fewer states remain. */
 inline forget_terms() {
   for (k : 1 .. MAX_TERM) {
     if
@@ -142,7 +142,7 @@
   }
 }
 
-/* The hosts are alike, so without loss of generality host 0 stands first. */
+/* The hosts are symmetric, so without loss of generality host 0 is the first candidate. */
 #define SOMEONE_STOOD (term[0] > 0 || term[1] > 0 || term[2] > 0)
 
 inline stand(h) {
@@ -221,7 +221,7 @@
 }
 
 /*
- * Host h receives the entry behind index `previous` from the leader of a term.
+ * Host h receives the entry after index `previous` from the leader of a term.
  * The consistency check compares the entry at `previous`.
  */
 #define CAN_RECEIVE(h, from_term, previous) \
@@ -245,7 +245,7 @@
     fi;
     if
     :: ok && memory[h].entry[previous] != sent[from_term].entry[previous] ->
-       /* Conflicting entries are cut off; then the new one is appended. */
+       /* Conflicting entries are truncated; then the new one is appended. */
        for (k : previous .. MAX_LOG - 1) {
          memory[h].entry[k] = NONE
        }
@@ -273,7 +273,7 @@
   }
 }
 
-/* Group commit: one fsync of everything that was written. */
+/* Group commit: one fsync of all entries written so far. */
 inline sync(h) {
   d_step {
     printf("host %d syncs\n", h);
--- a/models/retention.pml
+++ b/models/retention.pml
@@ -1,20 +1,20 @@
 /*
  * Retention of order records and ledger time (design 3.4, 6.6).
  *
- * The model answers whether a key whose record was purged can be claimed, and
- * so run, once more, when leaders with different wall clocks follow each other,
+ * The model checks that a key whose record was purged can never be claimed, and
+ * so run, again, when leaders with different wall clocks follow each other,
  * claims are applied late, and the configured retention changes meanwhile.
  *
- * Time is counted in days. One key is issued at day ISSUED. A claim stands for
- * the whole way to its dispatch, which orders.pml models. Leaders' clocks differ
+ * Time is counted in days. One key is issued at day ISSUED. A claim represents
+ * all steps to its dispatch, which orders.pml models. Leaders' clocks differ
  * by up to SKEW days either way.
  *
- * The model decides what the design leaves open: the ledger keeps the greatest
+ * The model adds a rule that the design leaves open: the ledger keeps the greatest
  * issue time that it ever purged (`floor`) and refuses every claim at or below
  * it. Without it (NO_PURGE_FLOOR, the design as written), a longer retention
  * makes purged keys valid again.
  *
- * Mutants: LEDGER_TIME_GOES_BACK (the leader's clock is taken as it is),
+ * Mutants: LEDGER_TIME_GOES_BACK (the leader's clock is used unchanged),
  * PURGE_BEFORE_EXPIRY (a record is purged before its key expires).
  */
 
@@ -35,7 +35,7 @@
 byte record_retention;
 byte floor; /* greatest purged issue time */
 
-/* What the property speaks about. */
+/* Observed by the property. */
 byte claims;
 
 #define CLOCK (day + offset > SKEW -> day + offset - SKEW : 0)
@@ -73,7 +73,7 @@
 }
 
 #ifdef LEDGER_TIME_GOES_BACK
-#define ABOVE_FLOOR true /* the floor would hide the fault */
+#define ABOVE_FLOOR true /* the floor would mask the fault */
 #else
 #ifdef PURGE_BEFORE_EXPIRY
 #define ABOVE_FLOOR true
--- a/models/run.py
+++ b/models/run.py
@@ -1,9 +1,9 @@
 """Run Spin on the Promela models and compare each result with the expected one.
 
-Every model is verified exhaustively without a mutant, and once for each seeded
-mutant and for each reachability check. A mutant must violate the property that
-is named here, and a reachability check must be found reachable, so a check that
-cannot fail is noticed. An incomplete search counts as a failure.
+Every model is verified exhaustively without a mutant, and once for each mutant and
+each reachability check. A mutant must violate the property that is named here, and
+a reachability check must be reachable; this detects checks that can never fail. An
+incomplete search counts as a failure.
 """
 
 from __future__ import annotations
@@ -20,33 +20,37 @@
 from pathlib import Path
 
 MODELS_FOLDER = Path(__file__).parent
-MEMORY_LIMIT_MB = 1300  # Per verifier; three at once stay under 4 GB.
+MEMORY_LIMIT_MB = 1300  # Per verifier; three in parallel stay under 4 GB.
 LARGE_MEMORY_LIMIT_MB = 10_000
-MAX_SEARCH_DEPTH = 1_000_000  # Steps of the longest path; a longer one is reported.
+MAX_SEARCH_DEPTH = (
+    1_000_000  # Steps of a path; a search that needs more is reported as incomplete.
+)
 HASH_TABLE_BITS = 24  # Size of the state table; affects speed only.
 MUTANT_HASH_TABLE_BITS = 20
 LARGE_HASH_TABLE_BITS = 26
 DEFAULT_JOBS = 3
-FIRST_ASSERTION_NUMBER = 7700  # Numbers that occur nowhere else in the models.
+FIRST_ASSERTION_NUMBER = (
+    7700  # A range of numbers that occurs nowhere else in the models.
+)
 
 
 @dataclass(frozen=True)
 class Case:
-    """One run of the verifier.
+    """One run of the verifier and its expected outcome.
 
     Attributes
     ----------
     model
         Name of the Promela file without its suffix.
     variant
-        What the run shows.
+        Label of the run in the printed table.
     expected
         ``holds``, or the name of the property or reachability check whose
         assertion must be violated.
     defines
         Preprocessor macros, ``NAME`` or ``NAME=value``.
     large
-        Whether the case belongs to the large size.
+        Whether the case runs only with ``--size large``.
     """
 
     model: str
@@ -58,7 +62,7 @@
 
 @dataclass(frozen=True)
 class VerifierResult:
-    """What the verifier reported for a case."""
+    """Outcome and size of the verifier's search for a case."""
 
     outcome: str
     states: int
@@ -73,22 +77,24 @@
 
 
 def expect_violation(model: str, macro: str, violated: str, *defines: str) -> Case:
-    """Return a case with a seeded fault that must violate the named property."""
+    """Return a case with a mutant that must violate the named property."""
     return Case(model, _variant_name(macro, defines), violated, (macro, *defines))
 
 
 def _variant_name(macro: str, defines: tuple[str, ...]) -> str:
-    """Return the macro with the other mutants that are switched on beside it."""
+    """Return the macro, followed by the other mutants that are also enabled."""
     return ", ".join([macro, *(name for name in defines if name in EXTRA_MUTANTS)])
 
 
 def expect_reachable(model: str, macro: str, name: str, *defines: str) -> Case:
-    """Return a case in which a wanted situation must be found."""
+    """Return a case in which the named state must be reachable."""
     return Case(model, macro, name, (macro, *defines))
 
 
-def expect_finding(model: str, macro: str, violated: str, *defines: str) -> Case:
-    """Return a case with a reading of the design that violates the property."""
+def expect_rejected_design(
+    model: str, macro: str, violated: str, *defines: str
+) -> Case:
+    """Return a case with a rejected design variant that violates the property."""
     return Case(model, f"finding {macro}", violated, (macro, *defines))
 
 
@@ -150,24 +156,24 @@
     expect_reachable("formation", "REACH_FORMED", "all-seeds-joined"),
     expect_reachable("formation", "REACH_ACK", "document-acknowledged"),
     expect_holds("lease", "timeout of 6 units"),
-    expect_finding("lease", "DRIFT_PER_CLOCK", "no-superseded-read", *CLOCKS),
+    expect_rejected_design("lease", "DRIFT_PER_CLOCK", "no-superseded-read", *CLOCKS),
     expect_violation("lease", "LEASE_IGNORES_DRIFT", "no-superseded-read"),
     expect_violation("lease", "LEASE_FROM_RECEIPT", "no-superseded-read"),
     expect_violation("lease", "VOTE_AFTER_RESTART", "no-superseded-read"),
     expect_violation("lease", "NO_STICKINESS", "no-superseded-read"),
     expect_violation("lease", "STANDS_DESPITE_PROMISE", "no-superseded-read"),
-    expect_finding("lease", "READ_BEFORE_OWN_COMMIT", "no-superseded-read"),
+    expect_rejected_design("lease", "READ_BEFORE_OWN_COMMIT", "no-superseded-read"),
     expect_reachable("lease", "REACH_READ_BY_LATER_LEADER", "read-by-later-leader"),
     expect_reachable(
         "lease", "REACH_READ_BESIDE_LATER_LEADER", "read-beside-later-term"
     ),
     expect_holds("sessions", "1 relay, 1 change", *ONE_CHANGE),
     expect_holds("sessions", "OLDER_BARRIER, no revert check", *OLDER_BARRIER),
-    expect_finding("sessions", "OLDER_BARRIER", "never-reverts", *ONE_CHANGE),
-    expect_finding(
+    expect_rejected_design("sessions", "OLDER_BARRIER", "never-reverts", *ONE_CHANGE),
+    expect_rejected_design(
         "sessions", "REPORTED_SESSIONS_ONLY", "in-force-everywhere", *ONE_CHANGE
     ),
-    expect_finding(
+    expect_rejected_design(
         "sessions", "RELAY_FORGETS_SESSIONS", "in-force-everywhere", *ONE_CHANGE
     ),
     expect_violation(
@@ -210,8 +216,12 @@
     expect_violation(
         "orders", "NOT_RUN_AFTER_LOST_ANSWER", "not-run-is-true", *THREE_ATTEMPTS
     ),
-    expect_finding("orders", "RELEASE_FREES", "not-run-is-true", *THREE_ATTEMPTS),
-    expect_finding("orders", "EARLY_NOT_RUN", "not-run-is-true", *THREE_ATTEMPTS),
+    expect_rejected_design(
+        "orders", "RELEASE_FREES", "not-run-is-true", *THREE_ATTEMPTS
+    ),
+    expect_rejected_design(
+        "orders", "EARLY_NOT_RUN", "not-run-is-true", *THREE_ATTEMPTS
+    ),
     expect_reachable("orders", "REACH_DONE", "done", *THREE_ATTEMPTS),
     expect_reachable(
         "orders", "REACH_DONE_BY_RESEND", "done-by-resend", *THREE_ATTEMPTS
@@ -234,7 +244,7 @@
     expect_reachable("history", "REACH_ACCEPTED_BY_RESEND", "accepted-by-resend"),
     expect_holds("retention", "retention changes"),
     expect_holds("retention", "fixed, no floor", "FIXED_RETENTION", "NO_PURGE_FLOOR"),
-    expect_finding("retention", "NO_PURGE_FLOOR", "claimed-once"),
+    expect_rejected_design("retention", "NO_PURGE_FLOOR", "claimed-once"),
     expect_violation(
         "retention", "LEDGER_TIME_GOES_BACK", "claimed-once", "FIXED_RETENTION"
     ),
@@ -279,8 +289,8 @@
 def verify(case: Case) -> VerifierResult:
     """Generate, compile and run the verifier of a case in a temporary folder."""
     started = time.monotonic()
-    with tempfile.TemporaryDirectory(prefix="kingcuplug-models-") as name:
-        folder = Path(name)
+    with tempfile.TemporaryDirectory(prefix="kingcuplug-models-") as temporary_name:
+        folder = Path(temporary_name)
         source, names = _number_assertions(
             (MODELS_FOLDER / f"{case.model}.pml").read_text()
         )
@@ -305,12 +315,12 @@
             "-n",
             check=False,
         )
-    violated = re.search(
+    violation = re.search(
         rf"assertion violated \D*({FIRST_ASSERTION_NUMBER // 100}\d\d)", report
     )
-    found = names[int(violated[1])] if violated else _search_verdict(report)
+    outcome = names[int(violation[1])] if violation else _search_verdict(report)
     return VerifierResult(
-        found,
+        outcome,
         int(_parse_number(r"(\d+) states, stored", report)),
         int(_parse_number(r"depth reached (\d+)", report)),
         _parse_number(r"([\d.]+)\s+total actual memory usage", report),
@@ -319,8 +329,8 @@
 
 
 def _run_command(folder: Path, *command: str, check: bool = True) -> str:
-    """Return the output of a command; a failure raises with that output."""
-    done = subprocess.run(
+    """Return the output of a command; raise `RuntimeError` with it on a failure."""
+    completed = subprocess.run(
         command,
         cwd=folder,
         stdout=subprocess.PIPE,
@@ -328,10 +338,13 @@
         text=True,
         check=False,
     )
-    if check and done.returncode != 0:
-        message = f"{' '.join(command)} exited with {done.returncode}: {done.stdout}"
+    if check and completed.returncode != 0:
+        message = (
+            f"{' '.join(command)} exited with {completed.returncode}: "
+            f"{completed.stdout}"
+        )
         raise RuntimeError(message)
-    return done.stdout
+    return completed.stdout
 
 
 def _number_assertions(source: str) -> tuple[str, dict[int, str]]:
@@ -344,17 +357,17 @@
     names: dict[int, str] = {}
     parts = re.split(r"(\bassert\()", source)
     for position in range(1, len(parts), 2):
-        above = re.findall(
+        comments = re.findall(
             r"/\* (?:Property|Reachable) ([a-z0-9-]+)", parts[position - 1]
         )
         number = FIRST_ASSERTION_NUMBER + len(names)
-        names[number] = above[-1] if above else "assertion without a name"
+        names[number] = comments[-1] if comments else "assertion without a name"
         parts[position] = f"assert(!{number} || "
     return "".join(parts), names
 
 
 def _search_verdict(report: str) -> str:
-    """Return ``holds`` or the reason why the search gives no verdict."""
+    """Return ``holds`` or the reason why the search was inconclusive."""
     if "pan:1:" in report:
         return "error: " + report.split("pan:1:")[1].splitlines()[0].strip()
     if "max search depth too small" in report:
@@ -387,7 +400,7 @@
         for case in CASES
         if case.large == large and arguments.model in (None, case.model)
     ]
-    row = "{:<14} {:<42} {:<32} {:<32} {:>10} {:>6} {:>7} {:>8}"
+    row_format = "{:<14} {:<42} {:<32} {:<32} {:>10} {:>6} {:>7} {:>8}"
     header = [
         "model",
         "variant",
@@ -398,18 +411,18 @@
         "MB",
         "seconds",
     ]
-    print(row.format(*header))
+    print(row_format.format(*header))
     failed = 0
     with ThreadPoolExecutor(arguments.jobs) as pool:
-        # The long searches start first, so that the short ones fill the gaps.
-        runs = {
+        # Long searches start first, so that short ones fill the remaining time.
+        futures = {
             case: pool.submit(verify, case)
             for case in sorted(cases, key=lambda case: case.expected != "holds")
         }
         for case in cases:
-            result = runs[case].result()
+            result = futures[case].result()
             print(
-                row.format(
+                row_format.format(
                     case.model,
                     case.variant,
                     case.expected,
--- a/models/sessions.pml
+++ b/models/sessions.pml
@@ -1,22 +1,22 @@
 /*
  * Configuration leases of entry hosts (design 4.2 and 6.4).
  *
- * The model answers whether the leader can report a revision as in force
- * everywhere while an entry host still serves an older one, and whether an entry
- * host can go back to an older revision, when polls and answers are lost or
+ * The model checks that the leader never reports a revision as in force
+ * everywhere while an entry host still serves an older one, and that no entry
+ * host returns to an older revision, when polls and replies are lost or
  * delayed, clocks drift, and the entry host, a relay (a control host that is not
  * the leader) or the leader is replaced or restarted at any moment.
  *
  * One entry host is modelled: the leader's rule is a conjunction over entry
  * hosts, and entry hosts do not interact. It polls the leader or a relay, one
- * poll at a time, and can give a poll up at any moment. That a deposed leader
- * answers nothing under its lease is the result of lease.pml; here the leader
+ * poll at a time, and can abandon a poll at any moment. That a deposed leader
+ * serves nothing under its lease is the result of lease.pml; here the leader
  * changes in one step and keeps only the accepted revisions.
  *
  * Time is as in lease.pml: the clocks of the leader, each relay and the entry
  * host run at rates 2 or 3, which is a bound of 1/3 on the relative drift.
  *
- * The model decides what the design leaves open: a relay's barrier reports a
+ * The model adds rules that the design leaves open: a relay's barrier reports a
  * floor, below which no lease of this relay serves now or will be granted; the
  * leader waits for every relay whose barrier may still allow grants; after its
  * own start, a relay reports the floor 0 for one lease.
@@ -27,8 +27,8 @@
  *
  * OLDER_BARRIER lets a relay grant on a barrier that is older than the poll, as
  * 6.4 says (4.2 says the opposite); an entry host then refuses an older revision
- * than the one that it serves. RESTART_MAY_REVERT beside it drops the property
- * never-reverts, to see what the bound of 6.4 is good for.
+ * than the one that it serves. RESTART_MAY_REVERT, defined as well, drops the
+ * property never-reverts, to check what the bound of 6.4 guarantees.
  */
 
 #ifndef LEASE
@@ -46,7 +46,7 @@
 #define LESS_DRIFT(units) ((units) * 2 / 3)
 #define NEVER 255
 
-/* Where a poll goes: a relay's number, or the leader. */
+/* Target of a poll: a relay's number, or the leader. */
 #define LEADER RELAYS
 
 /* Poll of the entry host. */
@@ -75,7 +75,7 @@
 byte granted_confirmed[RELAYS];
 byte start_wait[RELAYS];    /* units since the start for which the floor is 0 */
 byte barrier[RELAYS];       /* IDLE, SENT or ANSWERED */
-byte barrier_left[RELAYS];  /* units until the barrier under way is worthless */
+byte barrier_left[RELAYS];  /* units until the barrier in flight expires */
 byte barrier_floor[RELAYS];
 byte barrier_index[RELAYS]; /* the leader's answer */
 bool barrier_covers[RELAYS]; /* sent after the arrival of the poll that waits */
@@ -87,12 +87,12 @@
 byte lease_left;    /* serves while this is above 0 */
 byte poll;
 byte poll_to;
-byte poll_left;     /* units until the poll is worthless: LEASE - age */
+byte poll_left;     /* units until the poll expires: LEASE - age */
 byte poll_confirmed;
 byte grant_revision;
 byte grant_units;
 
-/* What the properties speak about. */
+/* Observed by the properties. */
 byte in_force;      /* newest revision reported as in force everywhere */
 byte newest_served; /* newest revision the entry host ever served */
 
@@ -169,7 +169,7 @@
       relay_left[k] = 0;
       relay_floor[k] = 0;
       if
-      :: barrier[k] == SENT -> clear_barrier(k) /* connection to the old leader */
+      :: barrier[k] == SENT -> clear_barrier(k) /* its connection to the old leader is lost */
       :: else
       fi
     }
@@ -241,7 +241,7 @@
   }
 }
 
-/* Units for which a barrier under way allows grants, counted from its sending. */
+/* Units for which a barrier in flight allows grants, counted from its sending. */
 #ifdef RELAY_IGNORES_DRIFT
 #define BARRIER_ALLOWS(r) barrier_left[r]
 #else
@@ -376,7 +376,7 @@
     if
     :: GRANT_LEFT > 0 && MAY_TAKE_GRANT ->
 #ifndef RESTART_MAY_REVERT
-       /* Property never-reverts: no host goes back, not even by a restart. */
+       /* Property never-reverts: no host returns to an older revision, even by a restart. */
        assert(grant_revision >= newest_served);
 #endif
        text = grant_revision;
@@ -444,7 +444,7 @@
 
 init {
   atomic {
-    /* The first choices are searched first: faults need a fast leader. */
+    /* Spin searches the first choices first; violations need a fast leader clock. */
     if
     :: leader_rate = FAST
     :: leader_rate = SLOW
--- a/models/voters.pml
+++ b/models/voters.pml
@@ -1,8 +1,8 @@
 /*
  * Change of voters and loss of disks (design 3.3, disk identity).
  *
- * The model answers whether adding and removing voters one at a time can lose
- * an accepted entry or elect two leaders in a term, and whether a voter whose
+ * The model checks that adding and removing voters one at a time neither loses
+ * an accepted entry nor elects two leaders in a term, and that a voter whose
  * disk was lost can be replaced, after which one more disk may be lost.
  *
  * Voters are identities (host name, disk_id). Identity 3 is a fresh disk: it
@@ -58,7 +58,7 @@
 Indexes match[IDENTITIES]; /* acknowledged index per identity, of a leader */
 byte committed[IDENTITIES]; /* commit index, of a leader */
 
-/* The network and the history that the properties speak about. */
+/* The network, and the history that the properties refer to. */
 byte leader_of[MAX_TERM + 1]; /* identity + 1 */
 Log sent[MAX_TERM + 1];
 byte accepted[MAX_LOG];
@@ -112,7 +112,7 @@
 
 #define PASSED(h, old_term) (HAS(lost, h) || term[h] > old_term)
 
-/* A term that every live identity has left has no effect: fewer states. */
+/* Clears terms that every live identity has left: they have no effect, and fewer states remain. */
 inline forget_terms() {
   for (k : 1 .. MAX_TERM) {
     if
@@ -148,7 +148,7 @@
 
 /*
  * Every live identity answers a candidate whose voters include it. That is more
- * than the design allows (an identity that does not know yet that it became a
+ * than the design allows (an identity whose log does not yet contain its promotion to
  * voter does not vote), so the model covers both.
  */
 #define CAN_VOTE(voter, candidate) \
@@ -168,7 +168,7 @@
   }
 }
 
-/* The first voters are alike, so without loss of generality 0 stands first. */
+/* The first voters are symmetric, so without loss of generality 0 is the first candidate. */
 #define SOMEONE_STOOD (term[0] > 0 || term[1] > 0 || term[2] > 0 || losses > 0)
 
 inline stand(h) {
