--- a/packages/testkit/src/kingcuplug_testkit/_disk.py
+++ b/packages/testkit/src/kingcuplug_testkit/_disk.py
@@ -137,7 +137,7 @@
         self.generation += 1
         self.on_crash()
 
-    def sync_names(self) -> None:
+    def sync_name_changes(self) -> None:
         """Make all creations, renames and removals durable."""
         for change in self.unsynced_name_changes:
             self._apply_name_change(change)
@@ -249,7 +249,7 @@
         self._before_call("sync_folder", "")
         await asyncio.sleep(self._disk.sync_s)
         self._raise_if_crashed()
-        self._disk.sync_names()
+        self._disk.sync_name_changes()
         self._after_call("sync_folder", "")
 
     def truncate(self, handle: int, size: int) -> None:
--- a/packages/testkit/src/kingcuplug_testkit/_matrix.py
+++ b/packages/testkit/src/kingcuplug_testkit/_matrix.py
@@ -170,9 +170,9 @@
     async def repair(self) -> None:
         """Start stopped hosts, make them voters and remove the ids of lost disks."""
         for host in self.group.hosts.values():
-            await self._restart(host)
+            await self._ensure_running(host)
         for host in list(self.group.hosts.values()):
-            if not host.gone and not self._is_removed(host):
+            if not host.gone and not self._is_spare_host(host):
                 await self.join(host)
         current = {host.member.id for host in self.group.hosts.values()}
         leader = await self.group.wait_leader()
@@ -222,7 +222,7 @@
         self.on_acknowledged = lambda: None
         self.group.network.heal()
         for host in list(self.group.hosts.values()):
-            await self._restart(host)
+            await self._ensure_running(host)
         await asyncio.gather(*unfinished)
         await self.repair()
         await self.write(3)
@@ -246,10 +246,10 @@
             failpoint in host.disk.triggered for host, failpoint in self._failpoints
         )
 
-    def _is_removed(self, host: Host) -> bool:
+    def _is_spare_host(self, host: Host) -> bool:
         return host.name == "d" and self._step.name != "member change"
 
-    async def _restart(self, host: Host) -> None:
+    async def _ensure_running(self, host: Host) -> None:
         failed = host.replica is not None and host.replica.status().storage_failed
         if failed:
             await host.stop()
--- a/packages/testkit/src/kingcuplug_testkit/_steps.py
+++ b/packages/testkit/src/kingcuplug_testkit/_steps.py
@@ -52,7 +52,7 @@
     return message["kind"] == "append_reply" and bool(message["success"])
 
 
-def _never(message: Message) -> bool:
+def _matches_no_message(message: Message) -> bool:
     del message
     return False
 
@@ -109,7 +109,7 @@
     ProtocolStep("commit", _is_append_acknowledged, _run_write),
     ProtocolStep("snapshot install", _has_kind("install"), _run_snapshot_install),
     ProtocolStep("member change", _appends_entry("members"), _run_member_change),
-    ProtocolStep("read", _never, _run_read),
+    ProtocolStep("read", _matches_no_message, _run_read),
 ]
 
 STEPS = {step.name: step for step in _STEP_LIST}
--- a/tests/system/test_processes.py
+++ b/tests/system/test_processes.py
@@ -39,11 +39,13 @@
     order_outcomes: dict[str, list[str]] = dataclasses.field(default_factory=dict)
 
 
-async def _change_configuration(hosts: ProcessSet, history: ClientHistory) -> None:
+async def _change_configuration(
+    process_set: ProcessSet, history: ClientHistory
+) -> None:
     """Apply one change after the other, resending each until it is accepted."""
-    revision = (await hosts.call_operator(hosts.hosts[0], "configuration/show", {}))[
-        "number"
-    ]
+    revision = (
+        await process_set.call_operator(process_set.hosts[0], "configuration/show", {})
+    )["number"]
     while True:
         change = {
             "change_id": identifier(),
@@ -53,7 +55,7 @@
         }
         status = 0
         while status != 200:
-            status, answer = await hosts.post("operator/configuration", change)
+            status, answer = await process_set.post("operator/configuration", change)
             await asyncio.sleep(0.02)
         assert answer["type"] == "accepted", answer
         revision = int(answer["revision"])
@@ -61,14 +63,16 @@
 
 
 async def _place_orders(
-    hosts: ProcessSet, history: ClientHistory, rng: random.Random
+    process_set: ProcessSet, history: ClientHistory, rng: random.Random
 ) -> None:
     while True:
         key = f"{time.time_ns() // 1_000_000}-{rng.randrange(16**12):012x}"
-        await _place_order(hosts, history, key)
+        await _place_order(process_set, history, key)
 
 
-async def _place_order(hosts: ProcessSet, history: ClientHistory, key: str) -> None:
+async def _place_order(
+    process_set: ProcessSet, history: ClientHistory, key: str
+) -> None:
     """Send an order to one host after the other until its outcome is known."""
     outcomes = history.order_outcomes.setdefault(key, [])
     fields = {
@@ -78,7 +82,9 @@
     }
     for number in range(_MAX_ORDER_ATTEMPTS):
         resend = {"resend": number > 0}
-        status, answer = await hosts.post(f"services/{_SERVICE}/order", fields | resend)
+        status, answer = await process_set.post(
+            f"services/{_SERVICE}/order", fields | resend
+        )
         if status == 200:
             outcomes.append("done")
             return
@@ -101,67 +107,69 @@
             )
 
 
-async def _check_configuration(hosts: ProcessSet, history: ClientHistory) -> None:
+async def _check_configuration(process_set: ProcessSet, history: ClientHistory) -> None:
     assert history.accepted_revisions == sorted(set(history.accepted_revisions))
-    host = next(host for host in hosts.hosts if host.is_running)
-    shown = await hosts.call_operator(host, "history/show", {})
+    host = next(host for host in process_set.hosts if host.is_running)
+    shown = await process_set.call_operator(host, "history/show", {})
     numbers = {change["revision"] for change in shown["revisions"]}
     assert set(history.accepted_revisions) <= numbers
-    current = await hosts.call_operator(host, "configuration/show", {})
+    current = await process_set.call_operator(host, "configuration/show", {})
     assert current["number"] >= history.accepted_revisions[-1]
 
 
-async def _kill_leader_twice(hosts: ProcessSet) -> None:
+async def _kill_leader_twice(process_set: ProcessSet) -> None:
     for _ in range(2):
-        leader = await hosts.leader()
+        leader = await process_set.leader()
         leader.kill()
         await asyncio.sleep(1.0)
         leader.start()
-        await hosts.wait_until_ready([leader])
+        await process_set.wait_until_ready([leader])
 
 
-async def _kill_each_in_turn(hosts: ProcessSet) -> None:
-    for host in hosts.hosts:
+async def _kill_each_in_turn(process_set: ProcessSet) -> None:
+    for host in process_set.hosts:
         host.kill()
         await asyncio.sleep(0.3)
         host.start()
-        await hosts.wait_until_ready([host])
+        await process_set.wait_until_ready([host])
 
 
-async def _suspend_leader(hosts: ProcessSet) -> None:
+async def _suspend_leader(process_set: ProcessSet) -> None:
     """Suspend the leader for longer than every lease."""
-    leader = await hosts.leader()
+    leader = await process_set.leader()
     leader.suspend()
     await asyncio.sleep(4.5)
     leader.resume()
     # The resumed process must not serve the state from before the pause.
-    status, answer = await hosts.post("operator/configuration/show", {}, leader)
+    status, answer = await process_set.post("operator/configuration/show", {}, leader)
     if status == 200:
-        other = next(host for host in hosts.hosts if host is not leader)
-        later = await hosts.call_operator(other, "configuration/show", {})
+        other = next(host for host in process_set.hosts if host is not leader)
+        later = await process_set.call_operator(other, "configuration/show", {})
         assert answer["number"] <= later["number"]
-    await hosts.wait_until_ready([leader])
-
-
-async def _replace_disk_and_lose_a_second_host(hosts: ProcessSet) -> None:
-    victim = hosts.hosts[-1]
-    victim.kill()
-    victim.delete_data_folder()
-    victim.start()
-    await hosts.wait_until_live(victim)
-    leader = await hosts.leader()
-    old = await _member_id(hosts, leader, victim)
-    await hosts.call_operator(leader, "control/remove", {"member": old})
-    await hosts.add_voter(leader, victim)
-    await _wait_until_voter(hosts, victim)
-    second = next(h for h in hosts.hosts if h is not victim and h is not leader)
+    await process_set.wait_until_ready([leader])
+
+
+async def _replace_disk_and_lose_a_second_host(process_set: ProcessSet) -> None:
+    replaced = process_set.hosts[-1]
+    replaced.kill()
+    replaced.delete_data_folder()
+    replaced.start()
+    await process_set.wait_until_live(replaced)
+    leader = await process_set.leader()
+    old = await _member_id(process_set, leader, replaced)
+    await process_set.call_operator(leader, "control/remove", {"member": old})
+    await process_set.add_voter(leader, replaced)
+    await _wait_until_voter(process_set, replaced)
+    second = next(h for h in process_set.hosts if h is not replaced and h is not leader)
     second.kill()
     second.delete_data_folder()
     await asyncio.sleep(1.0)
 
 
-async def _member_id(hosts: ProcessSet, leader: HostProcess, host: HostProcess) -> str:
-    status = await hosts.call_operator(leader, "control/status", {})
+async def _member_id(
+    process_set: ProcessSet, leader: HostProcess, host: HostProcess
+) -> str:
+    status = await process_set.call_operator(leader, "control/status", {})
     return next(
         str(member["id"])
         for member in status["members"]
@@ -169,18 +177,18 @@
     )
 
 
-async def _wait_until_voter(hosts: ProcessSet, host: HostProcess) -> None:
+async def _wait_until_voter(process_set: ProcessSet, host: HostProcess) -> None:
     async with asyncio.timeout(20):
         while True:
-            leader = await hosts.leader()
-            status = await hosts.call_operator(leader, "control/status", {})
+            leader = await process_set.leader()
+            status = await process_set.call_operator(leader, "control/status", {})
             roles = {m["address"]: m["role"] for m in status["members"]}
             if roles.get(host.peer_address) == "voter":
                 return
             await asyncio.sleep(0.1)
 
 
-def _make_servers(hosts: ProcessSet, journal: Journal) -> list[StandIn]:
+def _make_servers(process_set: ProcessSet, journal: Journal) -> list[StandIn]:
     service = StandInService(_SERVICE, slots=3, connections=30, connection_cost_ms=1.0)
     return [
         StandIn(
@@ -189,7 +197,7 @@
             f"zone-{number + 1}",
             {1: (4, (0, 1, 2, 3))},
             journal,
-            hosts.next_base_url,
+            process_set.next_base_url,
             seed=number,
         )
         for number in range(3)
@@ -197,14 +205,14 @@
 
 
 async def _run_scenario(folder: Path, fault: Fault) -> None:
-    hosts = ProcessSet(_HOST_COUNT, folder)
+    process_set = ProcessSet(_HOST_COUNT, folder)
     journal, history = Journal(), ClientHistory()
-    servers = _make_servers(hosts, journal)
+    servers = _make_servers(process_set, journal)
     load: list[asyncio.Task[Any]] = []
     try:
-        await hosts.start()
-        await hosts.call_operator(
-            hosts.hosts[0],
+        await process_set.start()
+        await process_set.call_operator(
+            process_set.hosts[0],
             "configuration",
             {
                 "change_id": identifier(),
@@ -214,12 +222,12 @@
             },
         )
         await asyncio.gather(*(server.start() for server in servers))
-        await hosts.wait_until_ready()
-        load.append(asyncio.create_task(_change_configuration(hosts, history)))
+        await process_set.wait_until_ready()
+        load.append(asyncio.create_task(_change_configuration(process_set, history)))
         for number in range(4):
-            work = _place_orders(hosts, history, random.Random(number))
+            work = _place_orders(process_set, history, random.Random(number))
             load.append(asyncio.create_task(work))
-        await fault(hosts)
+        await fault(process_set)
         await asyncio.sleep(0.5)
         failed = [task for task in load if task.done()]
         for task in failed:
@@ -231,12 +239,12 @@
         assert history.accepted_revisions
         assert any("done" in outcomes for outcomes in history.order_outcomes.values())
         _check_orders(history, journal)
-        await _check_configuration(hosts, history)
+        await _check_configuration(process_set, history)
     finally:
         for task in load:
             task.cancel()
         await asyncio.gather(*(s.crash() for s in servers), return_exceptions=True)
-        await hosts.stop()
+        await process_set.stop()
 
 
 @pytest.mark.parametrize(
@@ -257,11 +265,11 @@
 def test_terminated_host_exits_cleanly(tmp_path: Path) -> None:
     # Guards against a SIGTERM that aborts running work or never ends the process.
     async def main() -> int:
-        hosts = ProcessSet(1, tmp_path)
+        process_set = ProcessSet(1, tmp_path)
         try:
-            await hosts.start()
-            return await hosts.hosts[0].terminate()
+            await process_set.start()
+            return await process_set.hosts[0].terminate()
         finally:
-            await hosts.stop()
+            await process_set.stop()
 
     assert asyncio.run(main()) == 0
--- a/tools/measure_membership.py
+++ b/tools/measure_membership.py
@@ -193,7 +193,7 @@
         )
 
 
-async def announce_changes(system: MembershipSystem, rate_per_s: float) -> None:
+async def reannounce_servers(system: MembershipSystem, rate_per_s: float) -> None:
     """Announce servers of the routed services again, `rate_per_s` times a second."""
     number = 0
     while True:
@@ -211,7 +211,7 @@
         system.connect(0, "c0")
         await system.wait_until_ready()
         if rate:
-            system.tasks.append(asyncio.ensure_future(announce_changes(system, rate)))
+            system.tasks.append(asyncio.ensure_future(reannounce_servers(system, rate)))
         messages, size, cpu = await system.measure_rates(200)
         print(
             f"session: {rate:5.1f} changes/s of routed services: {messages:5.2f} "
@@ -268,7 +268,7 @@
     return (time.process_time() - started) * 1e6 / count
 
 
-async def poll_sessions(system: MembershipSystem, number: int) -> None:
+async def poll_session(system: MembershipSystem, number: int) -> None:
     """Poll as an entry host does, without applying the replies."""
     call = system.session_transport.make_call("session")
     first = number * ROUTED_SERVICES
@@ -303,12 +303,12 @@
         await asyncio.sleep(2)
         started = time.process_time()
         for number in range(sessions):
-            system.tasks.append(asyncio.ensure_future(poll_sessions(system, number)))
+            system.tasks.append(asyncio.ensure_future(poll_session(system, number)))
         await asyncio.sleep(5)
         start_ms = (time.process_time() - started) * 1_000 / sessions
         start_size = system.session_transport.byte_count / sessions
         idle = await system.measure_rates(20)
-        system.tasks.append(asyncio.ensure_future(announce_changes(system, 1.0)))
+        system.tasks.append(asyncio.ensure_future(reannounce_servers(system, 1.0)))
         busy = await system.measure_rates(20)
         print(
             f"control: {sessions:4d} sessions, 57000 servers: start "
