--- a/packages/testkit/src/kingcuplug_testkit/_query_world.py
+++ b/packages/testkit/src/kingcuplug_testkit/_query_harness.py
@@ -1,4 +1,4 @@
-"""Fakes at the borders of the query package: backend servers and the ledger."""
+"""Fakes of the query package's dependencies: backend servers and the ledger."""
 
 import asyncio
 import dataclasses
@@ -41,7 +41,7 @@
 
 
 def echo(request: SubRequest, status: str = "ok", **fields: Any) -> dict[str, Any]:
-    """Return a reply that belongs to `request`."""
+    """Return a backend server's reply to `request`."""
     return {
         "attempt_id": request.attempt_id,
         "snapshot": request.snapshot,
@@ -52,21 +52,37 @@
     } | fields
 
 
-def _no_fault(command: dict[str, Any]) -> Exception | None:
+def _no_ledger_fault(command: dict[str, Any]) -> Exception | None:
     return None
 
 
-def _answer_arrives(command: dict[str, Any]) -> bool:
+def _reply_arrives(command: dict[str, Any]) -> bool:
     return False
 
 
-def _holder_lives(host: str, incarnation: int) -> bool:
+def _holder_is_alive(host: str, incarnation: int) -> bool:
     return False
 
 
 @dataclasses.dataclass
 class World:
-    """One entry host's query path over fake backend servers."""
+    """One entry host's query path with fake backend servers and ledger.
+
+    Attributes
+    ----------
+    handlers : dict
+        Handler of each server with replies of its own; others return their shard.
+    sent_requests : list of tuple
+        Every sub-request sent, as (server, request).
+    command_counts : Counter
+        Number of ledger commands submitted, by type.
+    ledger_fault : callable
+        Exception to raise in place of applying a ledger command, or ``None``.
+    is_ledger_reply_lost : callable
+        Whether the reply to an applied ledger command is lost.
+    is_holder_lost : callable
+        Whether the entry host that holds an order's claim counts as lost.
+    """
 
     services: dict[str, ServiceRuntime] = dataclasses.field(default_factory=dict)
     servers: dict[str, list[ServerView]] = dataclasses.field(default_factory=dict)
@@ -76,16 +92,18 @@
     cancelled: list[str] = dataclasses.field(default_factory=list)
     metrics: Metrics = dataclasses.field(default_factory=Metrics)
     background: Background = dataclasses.field(default_factory=Background)
-    guard: CrashGuard = dataclasses.field(default_factory=CrashGuard)
+    crash_guard: CrashGuard = dataclasses.field(default_factory=CrashGuard)
     ledger: OrderLedger = dataclasses.field(default_factory=OrderLedger)
     commands: Counter[str] = dataclasses.field(default_factory=Counter)
     ledger_fault: Callable[[dict[str, Any]], Exception | None] = dataclasses.field(
-        default=_no_fault
+        default=_no_ledger_fault
     )
     ledger_lost: Callable[[dict[str, Any]], bool] = dataclasses.field(
-        default=_answer_arrives
+        default=_reply_arrives
+    )
+    holder_lost: Callable[[str, int], bool] = dataclasses.field(
+        default=_holder_is_alive
     )
-    holder_lost: Callable[[str, int], bool] = dataclasses.field(default=_holder_lives)
 
     def add(
         self,
@@ -112,7 +130,7 @@
         )
 
     def hold(self, name: str, holdings: dict[str, list[Holding]]) -> None:
-        """Replace a service's servers and what they hold."""
+        """Replace a service's servers and their holdings."""
         self.servers[name] = [
             ServerView(
                 server=server,
@@ -138,20 +156,20 @@
         """Pass a sub-request to the server's handler, as `Send`."""
         self.sent.append((ticket.server, request))
         async with asyncio.timeout(timeout_s):
-            handler: Handler = self.handlers.get(ticket.server, _answer)
+            handler: Handler = self.handlers.get(ticket.server, _default_handler)
             return parse_reply(request, await handler(request))
 
     async def cancel(self, ticket: Ticket, attempt_id: str) -> None:
-        """Note a cancellation, as `Cancel`."""
+        """Record a cancellation, as `Cancel`."""
         self.cancelled.append(attempt_id)
 
-    async def reachable(self, ticket: Ticket) -> bool:
+    async def is_reachable(self, ticket: Ticket) -> bool:
         """Return whether a server is up, as `Reachable`."""
         await asyncio.sleep(0.0005)
         return ticket.server not in self.down
 
     async def submit(self, command: dict[str, Any]) -> dict[str, Any]:
-        """Apply a command to the ledger, with the scripted faults."""
+        """Apply a command to the ledger, with the configured faults."""
         self.commands[command["type"]] += 1
         await asyncio.sleep(0.001)
         fault = self.ledger_fault(command)
@@ -159,13 +177,18 @@
             raise fault
         result = result_to_json(self.ledger.apply(command))
         if self.ledger_lost(command):
-            raise TimeoutError("the answer was lost")
+            raise TimeoutError("the reply of the ledger was lost")
         return result
 
     def queries(self) -> QueryExecutor:
-        """Return a query executor over the fakes."""
+        """Return a query executor that uses the fakes."""
         return QueryExecutor(
-            self.send, self.cancel, self.guard, self.metrics, self.background, "zone-0"
+            self.send,
+            self.cancel,
+            self.crash_guard,
+            self.metrics,
+            self.background,
+            "zone-0",
         )
 
     def orders(self, host: str = "entry-1") -> OrderExecutor:
@@ -173,16 +196,16 @@
         return OrderExecutor(
             LedgerClient(self.submit, host, 1, lambda: NOW_MS),
             self.send,
-            self.guard,
+            self.crash_guard,
             self.metrics,
             self.background,
             "zone-0",
             lambda name, incarnation: self.holder_lost(name, incarnation),
-            self.reachable,
+            self.is_reachable,
         )
 
 
-async def _answer(request: SubRequest) -> dict[str, Any]:
+async def _default_handler(request: SubRequest) -> dict[str, Any]:
     await asyncio.sleep(0.005)
     return echo(request)
 
--- a/packages/testkit/src/kingcuplug_testkit/_virtual_time.py
+++ b/packages/testkit/src/kingcuplug_testkit/_virtual_time.py
@@ -1,7 +1,7 @@
-"""An event loop whose clock jumps to the next timer.
+"""An event loop whose clock advances at once to the next timer.
 
-Tests of timeouts and leases run in no time and give the same result on any
-machine, because nothing waits for the wall clock.
+Tests of timeouts and leases need almost no real time and give the same result on
+any machine, because nothing waits for the wall clock.
 """
 
 import asyncio
@@ -14,8 +14,8 @@
 _Result = TypeVar("_Result")
 
 
-class _JumpingSelector(selectors.SelectSelector):
-    """Advances the loop's clock in place of waiting."""
+class _VirtualTimeSelector(selectors.SelectSelector):
+    """Advances the virtual clock in place of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -25,7 +25,7 @@
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None:
-            raise RuntimeError("every task waits and no timer is set: deadlock")
+            raise RuntimeError("deadlock: all tasks are waiting and no timer is set")
         if timeout > 0:
             self.now += timeout
         return super().select(0)
@@ -35,12 +35,12 @@
     """Event loop with a virtual monotonic clock that starts at 0 s."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._time_selector = _VirtualTimeSelector()
+        super().__init__(self._time_selector)
 
     def time(self) -> float:
         """Return the virtual time in seconds."""
-        return self._jumping.now
+        return self._time_selector.now
 
 
 def run_virtual(main: Coroutine[Any, Any, _Result]) -> _Result:
--- a/tools/_routing_model.py
+++ b/tools/_routing_model.py
@@ -1,7 +1,7 @@
 """Model of backend servers and of a query executor, for `measure_routing`.
 
-It is a fake at the interface of the routing package: servers have slots, a short
-queue and a service time; entry hosts see only the outcomes of their own attempts.
+The servers have slots, a short queue and a random service time. Entry hosts use the
+real routing package and see only the outcomes of their own attempts.
 """
 
 import asyncio
@@ -22,39 +22,39 @@
     Ticket,
 )
 
-TIMER_EARLY_S = 1e-6  # timers fire up to the clock's resolution early
-NETWORK_S = 0.0005  # one way
-BASE_S = 0.002
-SPREAD_S = 0.008
-MEAN_SERVICE_S = BASE_S + SPREAD_S
+TIMER_TOLERANCE_S = 1e-6  # Timers can fire early by up to the clock's resolution.
+NETWORK_DELAY_S = 0.0005  # One way.
+MIN_SERVICE_S = 0.002
+MEAN_EXTRA_SERVICE_S = 0.008
+MEAN_SERVICE_S = MIN_SERVICE_S + MEAN_EXTRA_SERVICE_S
 SNAPSHOT = 1
 ENTRY_HOSTS = 10
 ZONES = 3
 
 
 @dataclass
-class Layout:
-    """Sizes of one service."""
+class ServiceLayout:
+    """Numbers of servers, slots, connections, shards and replicas of a service."""
 
     servers: int = 15
     slots: int = 2
     connections: int = 120
     shards: int = 15
     replicas: int = 3
-    queue: int = 2  # waiting places of a server; beyond them it sheds
+    max_queued: int = 2  # Sub-requests that a server queues before it sheds.
 
-    def capacity(self) -> float:
+    def capacity_qps(self) -> float:
         """Return the queries per second that keep every slot busy."""
         return self.servers * self.slots / (self.shards * MEAN_SERVICE_S)
 
 
 @dataclass
 class BackendServer:
-    """Slots with a first-come-first-served queue."""
+    """Backend server whose slots are fed by a first-in-first-out queue."""
 
     name: str
     zone: str
-    layout: Layout
+    layout: ServiceLayout
     random: Random
     shards: tuple[int, ...]
     slowdown: float = 1.0
@@ -65,7 +65,7 @@
     executed: int = 0
 
     def view(self) -> ServerView:
-        """Return the directory's entry."""
+        """Return the server as the directory lists it."""
         layout = self.layout
         return ServerView(
             self.name,
@@ -84,8 +84,8 @@
         if self.lost:
             reply.set_result(AttemptOutcome.CONNECTION_LOST)
         elif len(self.running) < self.layout.slots:
-            self._run(reply)
-        elif len(self.queue) < self.layout.queue:
+            self._start(reply)
+        elif len(self.queue) < self.layout.max_queued:
             self.queue.append(reply)
         else:
             reply.set_result(AttemptOutcome.SHED)
@@ -95,12 +95,12 @@
         timer = self.running.pop(reply, None)
         if timer is not None:
             timer.cancel()
-            self._next()
+            self._start_queued()
         elif reply in self.queue:
             self.queue.remove(reply)
 
-    def lose(self) -> None:
-        """Break all connections and accept none."""
+    def disconnect(self) -> None:
+        """Break all connections and refuse new ones."""
         self.lost = True
         for reply in [*self.running, *self.queue]:
             if not reply.done():
@@ -108,33 +108,33 @@
         self.running.clear()
         self.queue.clear()
 
-    def _run(self, reply: asyncio.Future) -> None:
+    def _start(self, reply: asyncio.Future) -> None:
         self.executed += 1
-        duration = BASE_S + self.random.expovariate(1 / SPREAD_S)
+        duration = MIN_SERVICE_S + self.random.expovariate(1 / MEAN_EXTRA_SERVICE_S)
         loop = asyncio.get_running_loop()
         self.running[reply] = loop.call_later(
-            duration * self.slowdown, self._done, reply
+            duration * self.slowdown, self._complete, reply
         )
 
-    def _done(self, reply: asyncio.Future) -> None:
+    def _complete(self, reply: asyncio.Future) -> None:
         if self.running.pop(reply, None) is not None:
             if not reply.done():
                 reply.set_result(AttemptOutcome.OK)
-            self._next()
+            self._start_queued()
 
-    def _next(self) -> None:
+    def _start_queued(self) -> None:
         while self.queue and len(self.running) < self.layout.slots:
-            self._run(self.queue.popleft())
+            self._start(self.queue.popleft())
 
 
 @dataclass
-class Result:
-    """What one query came to."""
+class QueryResult:
+    """Outcome of one query; `complete` if all shards replied in time."""
 
-    arrived: float
+    arrived_at: float
     priority: Priority
     duration_s: float
-    whole: bool
+    complete: bool
     coverage: float
     refused: bool
 
@@ -145,7 +145,7 @@
     def __init__(
         self,
         zone: str,
-        layout: Layout,
+        layout: ServiceLayout,
         servers: dict[str, BackendServer],
         policy: RoutingPolicy,
         random: Random,
@@ -155,67 +155,75 @@
         self.servers = servers
         self.router = Router("modelled", policy, random)
         self.admission = Admission(self.router)
-        self.avoided: int | None = None
-        self.sent = 0
-        self.wanted = 0
-        self.hedged = 0
-        self.retried = 0
-        self.results: list[Result] = []
+        self.excluded_zone: int | None = None
+        self.sent_attempts = 0
+        self.requested_shards = 0
+        self.hedged_attempts = 0
+        self.retried_attempts = 0
+        self.results: list[QueryResult] = []
 
     async def query(self, priority: Priority, deadline_s: float) -> None:
-        """Run one query and keep its result."""
+        """Run one query and append its result to `results`."""
         loop = asyncio.get_running_loop()
-        arrived = loop.time()
-        deadline = arrived + deadline_s
+        arrived_at = loop.time()
+        deadline = arrived_at + deadline_s
         shards = self.layout.shards
         covered = 0
         refused = False
         try:
             async with self.admission.admit(priority, deadline, shards):
-                self.wanted += shards
+                self.requested_shards += shards
                 covered = sum(
                     await asyncio.gather(
-                        *(self._shard(i, priority, deadline) for i in range(shards))
+                        *(
+                            self._query_shard(i, priority, deadline)
+                            for i in range(shards)
+                        )
                     )
                 )
         except Refusal:
             refused = True
-        took = loop.time() - arrived
-        whole = covered == shards and took <= deadline_s
+        duration_s = loop.time() - arrived_at
+        complete = covered == shards and duration_s <= deadline_s
         self.results.append(
-            Result(arrived, priority, took, whole, covered / shards, refused)
+            QueryResult(
+                arrived_at, priority, duration_s, complete, covered / shards, refused
+            )
         )
 
-    async def _shard(self, shard: int, priority: Priority, deadline: float) -> bool:
+    async def _query_shard(
+        self, shard: int, priority: Priority, deadline: float
+    ) -> bool:
         loop = asyncio.get_running_loop()
         tried: set[str] = set()
         attempt = Attempt.FIRST
-        while loop.time() < deadline - TIMER_EARLY_S:
+        while loop.time() < deadline - TIMER_TOLERANCE_S:
             try:
                 ticket = await self.router.acquire(
                     SNAPSHOT, shard, tried, priority, deadline, self.zone, attempt
                 )
             except Refusal:
                 return False
-            self.retried += attempt is Attempt.RETRY
-            outcome = await self._hedged(ticket, shard, deadline, tried)
+            self.retried_attempts += attempt is Attempt.RETRY
+            outcome = await self._send_with_hedge(ticket, shard, deadline, tried)
             if outcome is AttemptOutcome.OK:
                 return True
             if not self.router.policy.limited:
                 # The baseline tries each replica once; without back-off, more
-                # retries would only load the servers' hosts.
+                # retries would only add load to the servers' hosts.
                 tried.add(ticket.server)
                 if len(tried) >= self.layout.replicas:
                     return False
             elif outcome is not AttemptOutcome.SHED:
-                # A server that shed is only full; its back-off is the router's.
+                # A server that shed a request is only full, so it stays eligible;
+                # the router applies the back-off.
                 tried.add(ticket.server)
             if len(tried) >= self.layout.replicas:
                 tried.clear()
             attempt = Attempt.RETRY
         return False
 
-    async def _hedged(
+    async def _send_with_hedge(
         self, ticket: Ticket, shard: int, deadline: float, tried: set[str]
     ) -> AttemptOutcome:
         loop = asyncio.get_running_loop()
@@ -223,18 +231,18 @@
         delay_ms = self.router.hedge_delay_ms(shard)
         outcome = AttemptOutcome.TIMEOUT
         while calls:
-            left = deadline - loop.time()
+            remaining_s = deadline - loop.time()
             hedging = delay_ms is not None and len(calls) == 1
-            wait = min(left, delay_ms / 1_000) if hedging else left
+            timeout_s = min(remaining_s, delay_ms / 1_000) if hedging else remaining_s
             done, _ = await asyncio.wait(
-                calls, timeout=wait, return_when=asyncio.FIRST_COMPLETED
+                calls, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED
             )
             for reply in done:
                 finished = calls.pop(reply)
                 outcome = reply.result()
                 finished.finish(outcome, (loop.time() - finished.started) * 1_000)
             if outcome is AttemptOutcome.OK or (
-                loop.time() >= deadline - TIMER_EARLY_S
+                loop.time() >= deadline - TIMER_TOLERANCE_S
             ):
                 break
             if not done and hedging:
@@ -244,19 +252,19 @@
                 )
                 if hedge is not None:
                     delay_ms = None
-                    self.hedged += 1
+                    self.hedged_attempts += 1
                     calls[self._send(hedge)] = hedge
-        for reply, loser in calls.items():
-            self.servers[loser.server].cancel(reply)
-            late = outcome is not AttemptOutcome.OK
-            ended = AttemptOutcome.TIMEOUT if late else AttemptOutcome.CANCELLED
-            loser.finish(ended, (loop.time() - loser.started) * 1_000)
+        for reply, unfinished in calls.items():
+            self.servers[unfinished.server].cancel(reply)
+            failed = outcome is not AttemptOutcome.OK
+            final = AttemptOutcome.TIMEOUT if failed else AttemptOutcome.CANCELLED
+            unfinished.finish(final, (loop.time() - unfinished.started) * 1_000)
         return outcome
 
     def _send(self, ticket: Ticket) -> asyncio.Future:
-        self.sent += 1
+        self.sent_attempts += 1
         loop = asyncio.get_running_loop()
         reply = loop.create_future()
         server = self.servers[ticket.server]
-        loop.call_later(2 * NETWORK_S, server.submit, reply)
+        loop.call_later(2 * NETWORK_DELAY_S, server.submit, reply)
         return reply
