--- a/packages/daemon/src/kingcuplug_daemon/_crash_verdicts.py
+++ b/packages/daemon/src/kingcuplug_daemon/_crash_verdicts.py
@@ -6,7 +6,7 @@
 import asyncio
 
 from kingcuplug_membership import SessionClient, Verdict
-from kingcuplug_routing import Blame, CrashGuard
+from kingcuplug_routing import CrashGuard, CrashSuspect
 
 __all__ = ["CrashVerdictExchange"]
 
@@ -32,35 +32,35 @@
     async def run(self) -> None:
         """Report new suspects until cancelled."""
         while True:
-            for suspect in self._crash_guard.fresh():
+            for suspect in self._crash_guard.drain_new_suspects():
                 self._session.report(_verdict_from_suspect(suspect))
             await asyncio.sleep(_REPORT_INTERVAL_S)
 
     def _receive_verdict(self, verdict: Verdict) -> None:
         if not verdict.condemned:
-            self._crash_guard.merge(
+            self._crash_guard.add_suspects(
                 [_suspect_from_verdict(verdict, self._session.verdict_ms)]
             )
 
 
-def _verdict_from_suspect(suspect: Blame) -> Verdict:
+def _verdict_from_suspect(suspect: CrashSuspect) -> Verdict:
     return Verdict(
         fingerprint=suspect.fingerprint,
         server=suspect.server,
         incarnation=suspect.incarnation,
         service=suspect.service,
         availability_zone=suspect.availability_zone,
-        proven=suspect.proven,
+        proven=suspect.completed_before,
     )
 
 
-def _suspect_from_verdict(verdict: Verdict, verdict_ms: int) -> Blame:
-    return Blame(
+def _suspect_from_verdict(verdict: Verdict, verdict_ms: int) -> CrashSuspect:
+    return CrashSuspect(
         fingerprint=verdict.fingerprint,
         service=verdict.service,
         server=verdict.server,
         incarnation=verdict.incarnation,
         availability_zone=verdict.availability_zone,
-        proven=verdict.proven,
+        completed_before=verdict.proven,
         age_ms=float(max(verdict_ms - verdict.remaining_ms, 0)),
     )
--- a/packages/daemon/src/kingcuplug_daemon/_operator_app.py
+++ b/packages/daemon/src/kingcuplug_daemon/_operator_app.py
@@ -212,7 +212,7 @@
             status["revision"] = self._entry.configuration.current()
             status["confirmed"] = session.is_confirmed()
             status["live_entry_hosts"] = session.live_entry_hosts
-            status["condemned"] = len(self._entry.crash_guard.condemned())
+            status["condemned"] = len(self._entry.crash_guard.quarantined())
         if self._control is not None:
             status["control"] = self._control.status()
         return status
--- a/packages/fleet/src/kingcuplug_fleet/_fleet_view.py
+++ b/packages/fleet/src/kingcuplug_fleet/_fleet_view.py
@@ -7,7 +7,7 @@
 
 import orjson
 from kingcuplug_common import Signal, identifier
-from kingcuplug_routing import PaceBoard, WindowCount
+from kingcuplug_routing import SlidingWindowCounter, SlowServerDetector
 
 from kingcuplug_fleet._directory import Directory
 from kingcuplug_fleet._server_record import ServerRecord
@@ -57,7 +57,7 @@
         Addresses of control hosts from which the leader has recently received a push.
     request_count : int
         Requests of all hosts in the last ten seconds, 0 if unknown.
-    paces : PaceBoard
+    paces : SlowServerDetector
         Response time samples reported by hosts; used on control hosts only.
     """
 
@@ -76,11 +76,11 @@
         self.hosts = 0
         self.silent: set[str] = set()
         self.slow: dict[str, float] = {}
-        self.paces = PaceBoard()
+        self.paces = SlowServerDetector()
         self.zones: dict[str, str] = {}
         self.reachable: tuple[str, ...] = ()
         self.requests = 0
-        self._request_window = WindowCount(_REQUESTS_WINDOW_S)
+        self._request_window = SlidingWindowCounter(_REQUESTS_WINDOW_S)
         self._request_window_started_at = self._started_at
         self._encoded_state = b""
         self._state_digest = ""
@@ -189,7 +189,7 @@
 
     def restart_request_count(self) -> None:
         """Restart the request window; the count is unknown until it has passed."""
-        self._request_window = WindowCount(_REQUESTS_WINDOW_S)
+        self._request_window = SlidingWindowCounter(_REQUESTS_WINDOW_S)
         self._request_window_started_at = self._loop.time()
         self.set_request_count(0)
 
--- a/packages/fleet/src/kingcuplug_fleet/_mesh.py
+++ b/packages/fleet/src/kingcuplug_fleet/_mesh.py
@@ -160,7 +160,7 @@
         if self._coordinator() != self._own_address:
             self._report.add(report)
             return
-        self._view.paces.add(report.samples, self._loop.time())
+        self._view.paces.record(report.samples, self._loop.time())
         self._view.add_requests(report.requests)
 
     async def tell(self, record: ServerRecord) -> bool:
@@ -288,7 +288,7 @@
             self._last_coordinator = coordinator
             view.changed.notify()
         if coordinator == self._own_address:
-            view.set_slow_servers(view.paces.slow(now))
+            view.set_slow_servers(view.paces.slow_servers(now))
         if is_leader:
             view.set_silent_servers(view.directory.silent(now))
             view.update_host_count()
--- a/packages/fleet/src/kingcuplug_fleet/_mesh_messages.py
+++ b/packages/fleet/src/kingcuplug_fleet/_mesh_messages.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from kingcuplug_routing import Samples
+from kingcuplug_routing import LatencySamples
 
 from kingcuplug_fleet._server_record import ServerRecord
 
@@ -25,7 +25,7 @@
         Number of callers' requests.
     """
 
-    samples: Samples = field(default_factory=dict)
+    samples: LatencySamples = field(default_factory=dict)
     requests: int = 0
 
     def add(self, other: "Report") -> None:
--- a/packages/gateway/src/kingcuplug_gateway/__init__.py
+++ b/packages/gateway/src/kingcuplug_gateway/__init__.py
@@ -10,7 +10,7 @@
     WeightedService,
 )
 from kingcuplug_gateway._scatter import RECORD_BYTES, merge_records
-from kingcuplug_gateway._servers import KnownServer
+from kingcuplug_gateway._servers import ServerInfo
 from kingcuplug_gateway._settings import GatewaySettings
 
 __all__ = [
@@ -18,10 +18,10 @@
     "Gateway",
     "GatewaySettings",
     "HeaderNames",
-    "KnownServer",
     "NotGathering",
     "Route",
     "RouteTable",
+    "ServerInfo",
     "ServiceSettings",
     "WeightedService",
     "merge_records",
--- a/packages/gateway/src/kingcuplug_gateway/_call.py
+++ b/packages/gateway/src/kingcuplug_gateway/_call.py
@@ -8,7 +8,7 @@
 
 from kingcuplug_common import Metrics
 from kingcuplug_http import Failure, OutboundConnection, Response
-from kingcuplug_routing import Timing, choose_replica
+from kingcuplug_routing import LatencyEstimator, choose_replica
 
 from kingcuplug_gateway._header_names import HeaderNames
 from kingcuplug_gateway._servers import Server, ServerTable, ServicePool
@@ -129,7 +129,7 @@
         pool: ServicePool,
         outbound: OutboundRequest,
         header_names: HeaderNames,
-        timing: Timing,
+        timing: LatencyEstimator,
         metrics: Metrics,
         max_attempts: int,
         random: random_module.Random,
@@ -201,7 +201,7 @@
     def start(self) -> None:
         """Send the first attempt."""
         if self._first_attempt_kind == "first":
-            self._retry_budget.request(self._loop.time())
+            self._retry_budget.record_request(self._loop.time())
         if not self._send(self._first_attempt_kind):
             self._finish()
 
@@ -241,14 +241,14 @@
         state = attempt.server.state
         response_class = _classify_response(response, self._header_names)
         if response_class is ResponseClass.SUCCESS:
-            self._timing.record(state.answer(attempt, now))
+            self._timing.record(state.record_answer(attempt, now))
         elif response.status == _MISDIRECTED_STATUS:
             # Another server now uses this address.
-            state.fail(attempt, now, unreachable=True)
+            state.record_failure(attempt, now, unreachable=True)
         elif response_class is ResponseClass.NOT_RUN:
-            state.reject(attempt, now)
+            state.record_rejection(attempt, now)
         else:
-            state.fail(attempt, now, unreachable=False)
+            state.record_failure(attempt, now, unreachable=False)
         attempt.record.end(response_class.value, now)
         self._metrics.observe(
             "attempt",
@@ -275,7 +275,7 @@
         self._open_attempts.remove(attempt)
         unreachable = failure is Failure.CONNECT
         now = self._loop.time()
-        attempt.server.state.fail(attempt, now, unreachable)
+        attempt.server.state.record_failure(attempt, now, unreachable)
         attempt.record.end(failure.name.lower(), now)
         if self.finished:
             return
@@ -310,21 +310,21 @@
         states = [server.state for server in servers]
         typical_s = self._timing.typical_s
         server = servers[choose_replica(states, now, typical_s, self._random)]
-        expected_s = server.state.expected_s(now, typical_s)
+        expected_s = server.state.expected_latency_s(now, typical_s)
         record = AttemptRecord(server.info.id, kind, now, expected_s)
         self.result.attempts.append(record)
         attempt = _Attempt(self, server, self._header_names, record)
         self._tried_server_ids.add(server.info.id)
         self._open_attempts.append(attempt)
         self._attempt_count += 1
-        server.state.begin(attempt, now, typical_s)
+        server.state.record_start(attempt, now, typical_s)
         may_send_another = (
             self.outbound.repeatable and self._attempt_count < self._max_attempts
         )
         if may_send_another and not self._hedging_blocked:
             self._cancel_hedge_timer()
             self._hedge_timer = self._loop.call_later(
-                self._timing.hedge_after_s, self._hedge
+                self._timing.hedge_delay_s, self._hedge
             )
         server.connections.submit(attempt, new_connection=not self.outbound.repeatable)
         return True
@@ -335,12 +335,12 @@
             return
         now = self._loop.time()
         for attempt in self._open_attempts:
-            attempt.server.state.late(attempt, now)
+            attempt.server.state.report_late(attempt, now)
         self._send("hedge")
 
     def _spend_retry_budget(self, kind: str, now: float) -> bool:
         share = self._server_table.retry_share(now, self._for_peer)
-        if self._retry_budget.take(now, share, hedge=kind == "hedge"):
+        if self._retry_budget.try_acquire(now, share, hedge=kind == "hedge"):
             return True
         self.result.denied_attempts.append(kind)
         return False
@@ -420,7 +420,7 @@
     def abandon(self) -> None:
         self.active = False
         now = asyncio.get_running_loop().time()
-        self.server.state.forget(self, now)
+        self.server.state.record_abandonment(self, now)
         if self._connection is not None:
             self._connection.abandon()
             self._release_connection()
@@ -443,7 +443,7 @@
         or response.status == _MISDIRECTED_STATUS
     ):
         return ResponseClass.NOT_RUN
-    if response.header(header_names.seal.lower()) is None:
+    if response.header(header_names.signature.lower()) is None:
         return ResponseClass.UNSIGNED
     encoding = response.header(b"content-encoding")
     if encoding is not None and encoding.lower() != b"identity":
--- a/packages/gateway/src/kingcuplug_gateway/_gateway.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gateway.py
@@ -17,12 +17,12 @@
     error_response,
 )
 from kingcuplug_routing import (
-    AnswerRule,
     Delegation,
-    Timing,
+    LatencyEstimator,
+    PartialAnswerPolicy,
+    concurrency_limit,
     delegate,
-    places,
-    wait_until,
+    startup_wait_until,
 )
 
 from kingcuplug_gateway._call import OutboundRequest, ServiceCall
@@ -37,7 +37,7 @@
 from kingcuplug_gateway._request_log import RequestLog, RequestResult
 from kingcuplug_gateway._routes import Route, RouteTable
 from kingcuplug_gateway._scatter import ScatterQuery
-from kingcuplug_gateway._servers import KnownServer, ServerTable, ServicePool
+from kingcuplug_gateway._servers import ServerInfo, ServerTable, ServicePool
 from kingcuplug_gateway._settings import GatewaySettings
 from kingcuplug_gateway._weighted_round_robin import WeightedRoundRobin
 
@@ -74,10 +74,10 @@
         log: EventLog,
         metrics: Metrics,
         random: random_module.Random | None = None,
-        ask_peer: CallPeer | None = None,
+        call_peer: CallPeer | None = None,
     ) -> None:
         self._settings = settings
-        self._call_peer = ask_peer if settings.has_narrow_link else None
+        self._call_peer = call_peer if settings.has_narrow_link else None
         self._gatherer_directory = GathererDirectory(log)
         self._is_gatherer = False
         self._header_names = settings.names
@@ -86,7 +86,7 @@
             self._header_names.attempt_id.lower(), log, metrics
         )
         self._random = random or random_module.Random()
-        self._timings: dict[str, Timing] = {}
+        self._timings: dict[str, LatencyEstimator] = {}
         self._round_robins: dict[str, WeightedRoundRobin] = {}
         self._reserved_headers = frozenset(
             name.lower()
@@ -94,8 +94,8 @@
                 self._header_names.deadline_ms,
                 self._header_names.expected_server,
                 self._header_names.not_run,
-                self._header_names.seal,
-                self._header_names.part_seals,
+                self._header_names.signature,
+                self._header_names.part_signatures,
                 self._header_names.missing_parts,
             )
         )
@@ -112,11 +112,11 @@
         self._gather_server = GatherServer(
             partial(self._make_call, for_peer=True),
             self._route_timing,
-            self._header_names.seal.lower(),
+            self._header_names.signature.lower(),
             log,
         )
 
-    def adopt(self, table: RouteTable) -> bool:
+    def install_routes(self, table: RouteTable) -> bool:
         """Install a route table if it is newer than the one in force."""
         if self.table is not None and table.version <= self.table.version:
             return False
@@ -128,9 +128,9 @@
         self._state_changed.notify()
         return True
 
-    def use(
+    def update_fleet(
         self,
-        servers: list[KnownServer],
+        servers: list[ServerInfo],
         hosts: int,
         fleet_requests: int = 0,
         gatherers: Mapping[str, Sequence[str]] = MappingProxyType({}),
@@ -139,7 +139,7 @@
 
         Parameters
         ----------
-        servers : list of KnownServer
+        servers : list of ServerInfo
             Servers that requests may be sent to.
         hosts, fleet_requests : int
             Number of live hosts, and of their requests in the last window; 0 if
@@ -169,14 +169,14 @@
             idle_timeout_ms=table.idle_timeout_ms,
         )
 
-    async def gather(self, message: Any, begins: bool = True) -> Any:
+    async def handle_gather(self, message: Any, accept_new: bool = True) -> Any:
         """Handle the message of a host that has this one gather parts.
 
         Parameters
         ----------
         message : Any
             JSON value of the message.
-        begins : bool
+        accept_new : bool
             Whether new gather operations are accepted; those in progress continue in
             any case.
 
@@ -197,7 +197,7 @@
         if not self._is_gatherer:
             self._is_gatherer = True
             self._update_connection_limits()
-        return await self._gather_server.handle(message, begins)
+        return await self._gather_server.handle(message, accept_new)
 
     async def handle(self, request: Request) -> Response:
         """Return the response to a caller's request."""
@@ -253,7 +253,7 @@
             self._record_disconnect(request, route, call)
             raise
         finally:
-            pool.limiter.leave(places(pool.slots, self._host_count))
+            pool.limiter.release(concurrency_limit(pool.slots, self._host_count))
         result = call.result
         if result.response is not None:
             return self._finish(
@@ -273,11 +273,11 @@
         )
         now = asyncio.get_running_loop().time()
         reachable = sum(pool.has_reachable_server(now) for pool in pools)
-        if reachable < rule.needed:
+        if reachable < rule.required_shards:
             return self._refuse(request, route, "shards_unreachable")
         if not await self._wait_for_admission(pools[0], route, outbound):
             return self._refuse(request, route, "no_turn")
-        scatter = ScatterQuery(rule, self._header_names.seal.lower())
+        scatter = ScatterQuery(rule, self._header_names.signature.lower())
         gather_records: list[GatherRecord] = []
         try:
             await scatter.run(
@@ -291,7 +291,9 @@
             )
             raise
         finally:
-            pools[0].limiter.leave(places(pools[0].slots, self._host_count))
+            pools[0].limiter.release(
+                concurrency_limit(pools[0].slots, self._host_count)
+            )
         merged = scatter.merge(route.top_records)
         if merged is None:
             past_deadline = asyncio.get_running_loop().time() >= rule.final_at
@@ -301,7 +303,7 @@
                 request, route, response, *scatter.calls, gather_records=gather_records
             )
         headers: Headers = [
-            (self._header_names.part_seals, b", ".join(merged.signatures)),
+            (self._header_names.part_signatures, b", ".join(merged.signatures)),
             (self._header_names.missing_parts, b"%d" % merged.missing_count),
             (b"Content-Type", b"application/octet-stream"),
         ]
@@ -315,7 +317,7 @@
         route: Route,
         outbound: OutboundRequest,
         scatter: ScatterQuery,
-        rule: AnswerRule,
+        rule: PartialAnswerPolicy,
         gather_records: list[GatherRecord],
     ) -> list[Coroutine[Any, Any, None]]:
         """Start calls to shards, and return the coroutines that delegate the others."""
@@ -323,7 +325,7 @@
         delegated_shards = {shard for d in delegations for shard in d.shards}
         now = asyncio.get_running_loop().time()
         for shard in delegated_shards:
-            self.servers.pool(shard).caller_retry_budget.request(now)
+            self.servers.pool(shard).caller_retry_budget.record_request(now)
 
         timing = self._route_timing(route.name, route.target_ms)
 
@@ -388,7 +390,7 @@
             return
         now = asyncio.get_running_loop().time()
         deadline_at = self._deadline_at(request, wait_ms)
-        until = wait_until(request.received_at, deadline_at, self._started_at)
+        until = startup_wait_until(request.received_at, deadline_at, self._started_at)
         if now < until:
             await self._state_changed.until(is_ready, until - now)
 
@@ -396,7 +398,7 @@
         self, pool: ServicePool, route: Route, outbound: OutboundRequest
     ) -> bool:
         """Wait for admission by the limiter; return whether it came in time."""
-        if pool.limiter.enter(places(pool.slots, self._host_count)):
+        if pool.limiter.try_acquire(concurrency_limit(pool.slots, self._host_count)):
             return True
         admission: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
@@ -406,7 +408,7 @@
             admission.set_result(None)
             return True
 
-        pool.limiter.wait(route.rank, admit)
+        pool.limiter.enqueue(route.priority, admit)
         try:
             async with asyncio.timeout_at(self._answer_due_at(outbound)):
                 await admission
@@ -414,7 +416,7 @@
             return False
         except asyncio.CancelledError:
             if admission.done() and not admission.cancelled():
-                pool.limiter.leave(places(pool.slots, self._host_count))
+                pool.limiter.release(concurrency_limit(pool.slots, self._host_count))
             raise
         return True
 
@@ -443,7 +445,7 @@
         self,
         service: str,
         outbound: OutboundRequest,
-        timing: Timing,
+        timing: LatencyEstimator,
         max_attempts: int,
         on_finished: Callable[[ServiceCall], None],
         first_attempt_kind: str = "first",
@@ -463,15 +465,15 @@
             for_peer=for_peer,
         )
 
-    def _route_timing(self, route: str, target_ms: int) -> Timing:
+    def _route_timing(self, route: str, target_ms: int) -> LatencyEstimator:
         timing = self._timings.get(route)
         if timing is None:
-            timing = self._timings[route] = Timing(target_ms)
+            timing = self._timings[route] = LatencyEstimator(target_ms)
         return timing
 
     def _answer_rule(
         self, request: Request, route: Route, outbound: OutboundRequest
-    ) -> AnswerRule:
+    ) -> PartialAnswerPolicy:
         # The caller measures from before it connects, so the first request on a
         # connection includes the TCP handshake.
         trips = _TRIPS_WITH_CONNECT if request.first else 2
@@ -479,10 +481,10 @@
         target_ms = route.target_ms - network_ms - self._settings.answer_margin_ms
         final_at = self._answer_due_at(outbound)
         target_at = request.received_at + max(target_ms, 1.0) / _MS_PER_S
-        return AnswerRule(
-            total=len(route.shards),
-            minimum=route.minimum_coverage,
-            begun_at=request.received_at,
+        return PartialAnswerPolicy(
+            shard_count=len(route.shards),
+            min_coverage=route.minimum_coverage,
+            received_at=request.received_at,
             target_at=min(target_at, final_at),
             final_at=final_at,
         )
@@ -556,7 +558,7 @@
         *calls: ServiceCall,
         gather_records: Sequence[GatherRecord] = (),
     ) -> Response:
-        is_own_response = response.header(self._header_names.seal.lower()) is None
+        is_own_response = response.header(self._header_names.signature.lower()) is None
         reason = (
             response.body
             if is_own_response and response.status >= _MIN_ERROR_STATUS
--- a/packages/gateway/src/kingcuplug_gateway/_gatherer.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gatherer.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from kingcuplug_common import EventLog
-from kingcuplug_routing import AnswerRule, Timing
+from kingcuplug_routing import LatencyEstimator, PartialAnswerPolicy
 
 from kingcuplug_gateway._call import OutboundRequest, ServiceCall
 from kingcuplug_gateway._gather_messages import (
@@ -29,7 +29,8 @@
 _TIMER_RESOLUTION_S = 0.001  # Event loop timers may fire early by less than this.
 
 CallFactory = Callable[
-    [str, OutboundRequest, Timing, int, Callable[[ServiceCall], None]], ServiceCall
+    [str, OutboundRequest, LatencyEstimator, int, Callable[[ServiceCall], None]],
+    ServiceCall,
 ]
 
 
@@ -55,7 +56,7 @@
     def __init__(
         self,
         make_call: CallFactory,
-        route_timing: Callable[[str, int], Timing],
+        route_timing: Callable[[str, int], LatencyEstimator],
         signature_header: bytes,
         log: EventLog,
     ) -> None:
@@ -102,7 +103,7 @@
                 until = loop.time() + request.reply_within_ms / _MS_PER_S
                 reply = await operation.wait_for_parts(until, stop_at_stragglers=False)
             else:
-                until = operation.started_at + operation.timing.hedge_after_s
+                until = operation.started_at + operation.timing.hedge_delay_s
                 reply = await operation.wait_for_parts(until, stop_at_stragglers=True)
         except asyncio.CancelledError:
             self._finish(operation, "caller_left")
@@ -167,7 +168,7 @@
     """
 
     def __init__(
-        self, request: GatherRequest, timing: Timing, signature_header: bytes
+        self, request: GatherRequest, timing: LatencyEstimator, signature_header: bytes
     ) -> None:
         self._loop = asyncio.get_running_loop()
         self._signature_header = signature_header
@@ -188,7 +189,7 @@
             repeatable=True,
             no_response_body=False,
         )
-        self._rule = AnswerRule(
+        self._rule = PartialAnswerPolicy(
             len(request.shards), 1.0, self.started_at, deadline_at, deadline_at
         )
 
@@ -242,8 +243,8 @@
         """
         while self._pending_count:
             now = self._loop.time()
-            if stop_at_stragglers and self._pending_count <= self._rule.stragglers:
-                until = min(until, self._rule.hurry_at(now))
+            if stop_at_stragglers and self._pending_count <= self._rule.max_stragglers:
+                until = min(until, self._rule.straggler_hedge_at(now))
                 stop_at_stragglers = False
             if now >= until:
                 break
--- a/packages/gateway/src/kingcuplug_gateway/_gathering.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gathering.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from kingcuplug_common import EventLog, KingcuplugError, identifier
-from kingcuplug_routing import AnswerRule, Delegation, Timing
+from kingcuplug_routing import Delegation, LatencyEstimator, PartialAnswerPolicy
 
 from kingcuplug_gateway._call import OutboundRequest
 from kingcuplug_gateway._gather_messages import (
@@ -128,9 +128,9 @@
     delegation: Delegation,
     route: Route,
     outbound: OutboundRequest,
-    timing: Timing,
+    timing: LatencyEstimator,
     scatter: ScatterQuery,
-    rule: AnswerRule,
+    rule: PartialAnswerPolicy,
     record: GatherRecord,
     call_shards_directly: Callable[[Sequence[str], bool], None],
 ) -> None:
@@ -164,7 +164,7 @@
         value = await call_peer(
             address,
             request.to_json(),
-            timing.latest_hedge_after_s + _FIRST_REPLY_SLACK_S,
+            timing.max_hedge_delay_s + _FIRST_REPLY_SLACK_S,
         )
     except KingcuplugError as error:
         refused = isinstance(error, NotGathering)
@@ -176,7 +176,7 @@
     reply = _add_reply(GatherReply.from_json(value), scatter, record)
     failed_count = 0
     # At each of these times the parts received by then may be sufficient.
-    for due_at in (rule.target_at, rule.late_at, rule.final_at):
+    for due_at in (rule.target_at, rule.late_answer_at, rule.final_at):
         scatter.mark_missing(len(reply.failed_shards) - failed_count)
         failed_count = len(reply.failed_shards)
         if not reply.pending_shards:
--- a/packages/gateway/src/kingcuplug_gateway/_header_names.py
+++ b/packages/gateway/src/kingcuplug_gateway/_header_names.py
@@ -17,11 +17,11 @@
         Milliseconds for which the sender waits for the response.
     expected_server : bytes
         Id of the only server that may run the request.
-    seal : bytes
+    signature : bytes
         Server's signature of its response.
     not_run : bytes
         Present on a response if the server did not run the request.
-    part_seals : bytes
+    part_signatures : bytes
         Signatures of the parts of a merged answer.
     missing_parts : bytes
         Number of shards without a part in a merged answer.
@@ -30,7 +30,7 @@
     attempt_id: bytes
     deadline_ms: bytes
     expected_server: bytes
-    seal: bytes
+    signature: bytes
     not_run: bytes
-    part_seals: bytes
+    part_signatures: bytes
     missing_parts: bytes
--- a/packages/gateway/src/kingcuplug_gateway/_request_log.py
+++ b/packages/gateway/src/kingcuplug_gateway/_request_log.py
@@ -62,7 +62,7 @@
         """Count the request, and log it if its kind is within the rate limit."""
         now = asyncio.get_running_loop().time()
         elapsed_s = now - request.received_at
-        priority = route.rank if route else -1
+        priority = route.priority if route else -1
         self._metrics.count(f"requests.{result.outcome}")
         self._metrics.observe("request", (str(priority), result.outcome), elapsed_s)
         failed = not result.outcome.startswith("2")
--- a/packages/gateway/src/kingcuplug_gateway/_routes.py
+++ b/packages/gateway/src/kingcuplug_gateway/_routes.py
@@ -38,7 +38,7 @@
     target_ms : int
         Time within which the answer should reach the caller. Later answers are of
         less value.
-    rank : int
+    priority : int
         Priority of the requests under load; 0 is the highest.
     top_records : int
         Number of records in the merged answer.
@@ -55,7 +55,7 @@
     max_attempts: int
     timeout_ms: int
     target_ms: int
-    rank: int
+    priority: int
     top_records: int = 0
     minimum_coverage: float = 1.0
 
--- a/packages/gateway/src/kingcuplug_gateway/_scatter.py
+++ b/packages/gateway/src/kingcuplug_gateway/_scatter.py
@@ -6,7 +6,7 @@
 from heapq import nlargest
 from typing import Any
 
-from kingcuplug_routing import AnswerRule
+from kingcuplug_routing import PartialAnswerPolicy
 
 from kingcuplug_gateway._call import ServiceCall
 
@@ -59,14 +59,14 @@
         Calls to the shards that this host queries itself.
     """
 
-    def __init__(self, rule: AnswerRule, signature_header: bytes) -> None:
+    def __init__(self, rule: PartialAnswerPolicy, signature_header: bytes) -> None:
         self._signature_header = signature_header
         self._loop = asyncio.get_running_loop()
         self._rule = rule
         self._finished: asyncio.Future[None] = self._loop.create_future()
         self._timers: list[asyncio.TimerHandle] = []
         self._gather_tasks: list[asyncio.Task[None]] = []
-        self._pending_count = rule.total
+        self._pending_count = rule.shard_count
         self._received_count = 0
         self._signatures: list[bytes] = []
         self._bodies: list[bytes] = []
@@ -111,7 +111,7 @@
             self.mark_missing(1)
         if (
             not self._hedged_stragglers
-            and 0 < self._pending_count <= self._rule.stragglers
+            and 0 < self._pending_count <= self._rule.max_stragglers
         ):
             self._hedge_stragglers()
 
@@ -130,9 +130,9 @@
 
     def merge(self, record_count: int) -> MergedAnswer | None:
         """Return the merged answer, or ``None`` if too few parts were received."""
-        if self._received_count < self._rule.needed:
+        if self._received_count < self._rule.required_shards:
             return None
-        missing = self._rule.total - self._received_count
+        missing = self._rule.shard_count - self._received_count
         return MergedAnswer(
             self._signatures, missing, merge_records(self._bodies, record_count)
         )
@@ -140,7 +140,7 @@
     def _hedge_stragglers(self) -> None:
         """Bring forward hedged attempts to the last shards after most have answered."""
         self._hedged_stragglers = True
-        at = self._rule.hurry_at(self._loop.time())
+        at = self._rule.straggler_hedge_at(self._loop.time())
         for call in self.calls:
             if not call.finished:
                 call.hedge_by(at)
@@ -149,7 +149,7 @@
         rule = self._rule
         self._timers = [
             self._loop.call_at(rule.target_at, self._finish_if_ready, True),
-            self._loop.call_at(rule.late_at, self._finish_if_ready),
+            self._loop.call_at(rule.late_answer_at, self._finish_if_ready),
             self._loop.call_at(rule.final_at, self._finish_if_ready),
         ]
 
@@ -157,7 +157,9 @@
         now = self._loop.time()
         if self._finished.done():
             return
-        if self._rule.ready(self._received_count, self._pending_count, now, at_target):
+        if self._rule.should_answer(
+            self._received_count, self._pending_count, now, at_target
+        ):
             self._finished.set_result(None)
 
     def _cancel_outstanding(self, cancelled: bool) -> None:
--- a/packages/gateway/src/kingcuplug_gateway/_servers.py
+++ b/packages/gateway/src/kingcuplug_gateway/_servers.py
@@ -6,18 +6,18 @@
 from dataclasses import dataclass
 
 from kingcuplug_routing import (
-    AllowanceSettings,
+    ConcurrencyLimiter,
+    LatencySamples,
     ReplicaState,
-    RetryAllowance,
-    Samples,
-    Turnstile,
-    WindowCount,
-    fixed_part,
+    RetryBudget,
+    RetryBudgetSettings,
+    SlidingWindowCounter,
+    host_share,
 )
 
 from kingcuplug_gateway._connection_pool import ConnectionPool
 
-__all__ = ["KnownServer", "Server", "ServerTable", "ServicePool"]
+__all__ = ["Server", "ServerInfo", "ServerTable", "ServicePool"]
 
 _MS_PER_S = 1_000
 # Callers are not spread evenly over the hosts, so the hosts' shares together stay
@@ -35,16 +35,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KnownServer:
+class ServerInfo:
     """A backend server that requests may be sent to.
 
     Attributes
     ----------
-    cold_ms : int
+    slow_start_ms : int
         Remaining time of the server's slow start, when this host was informed.
-    silent : bool
+    heartbeats_missing : bool
         Whether the heartbeats of the server have stopped.
-    pace : float
+    latency_factor : float
         Response time of the server relative to the typical one if the samples of all
         hosts show it as slow; otherwise 1.
     """
@@ -54,16 +54,16 @@
     address: str
     availability_zone: str
     slots: int
-    cold_ms: int
-    silent: bool
-    pace: float = 1.0
+    slow_start_ms: int
+    heartbeats_missing: bool
+    latency_factor: float = 1.0
 
 
 class Server:
     """One backend server with its connections and its state as observed here."""
 
     def __init__(
-        self, info: KnownServer, in_other_zone: bool, connection_limit: int
+        self, info: ServerInfo, in_other_zone: bool, connection_limit: int
     ) -> None:
         self.info = info
         self.state = ReplicaState(slots=max(1, info.slots), remote=in_other_zone)
@@ -76,17 +76,17 @@
     def __init__(
         self,
         name: str,
-        budget_settings: AllowanceSettings,
+        budget_settings: RetryBudgetSettings,
         random: random_module.Random,
         budget_share: float,
     ) -> None:
         self.name = name
         self.servers: dict[str, Server] = {}
-        self.caller_retry_budget = RetryAllowance(budget_settings, random, budget_share)
-        self.peer_retry_budget = RetryAllowance(
+        self.caller_retry_budget = RetryBudget(budget_settings, random, budget_share)
+        self.peer_retry_budget = RetryBudget(
             budget_settings, random, _GATHERER_RETRY_SHARE
         )
-        self.limiter = Turnstile()
+        self.limiter = ConcurrencyLimiter()
 
     @property
     def slots(self) -> int:
@@ -104,14 +104,14 @@
         return {
             server.info.availability_zone
             for server in self.servers.values()
-            if not server.info.silent
-            and server.info.pace <= 1.0
-            and now >= server.state.paused_until
+            if not server.info.heartbeats_missing
+            and server.info.latency_factor <= 1.0
+            and now >= server.state.unreachable_until
         }
 
     def has_reachable_server(self, now: float) -> bool:
         """Return whether some server is not known to refuse connections."""
-        return any(now >= s.state.paused_until for s in self.servers.values())
+        return any(now >= s.state.unreachable_until for s in self.servers.values())
 
 
 class ServerTable:
@@ -135,7 +135,7 @@
     def __init__(
         self,
         availability_zone: str,
-        budget_settings: AllowanceSettings,
+        budget_settings: RetryBudgetSettings,
         random: random_module.Random,
         uses_gatherers: bool = False,
     ) -> None:
@@ -145,7 +145,7 @@
         self._budget_settings = budget_settings
         self._pools: dict[str, ServicePool] = {}
         self._connection_limits: dict[str, int] = {}
-        self._request_window = WindowCount(budget_settings.window_s)
+        self._request_window = SlidingWindowCounter(budget_settings.window_s)
         self._unreported_requests = 0
         self._retry_share = 0.0
         self._gatherer_count = 0
@@ -170,13 +170,13 @@
             return 1 / self._gatherer_count if self._gatherer_count else 0.0
         if self.fleet_requests > 0:
             own = self._request_window.total(now)
-            self._retry_share = fixed_part(own, self.fleet_requests, self.hosts)
+            self._retry_share = host_share(own, self.fleet_requests, self.hosts)
         elif self._retry_share == 0:
-            return fixed_part(0, 0, self.hosts)
+            return host_share(0, 0, self.hosts)
         # While the total is unknown, the last shares of all hosts still add up to 1.
         return self._retry_share
 
-    def take_requests(self) -> int:
+    def pop_request_count(self) -> int:
         """Return the number of requests since the previous call."""
         count, self._unreported_requests = self._unreported_requests, 0
         return count
@@ -208,21 +208,21 @@
             for server in pool.servers.values():
                 server.connections.limit = limit
 
-    def replace_servers(self, servers: Iterable[KnownServer]) -> None:
+    def replace_servers(self, servers: Iterable[ServerInfo]) -> None:
         """Replace the servers of all services; requests in progress continue."""
         now = asyncio.get_running_loop().time()
-        by_service: dict[str, dict[str, KnownServer]] = {}
+        by_service: dict[str, dict[str, ServerInfo]] = {}
         for server in servers:
             by_service.setdefault(server.service, {})[server.id] = server
         for service in by_service.keys() | self._pools.keys():
             self._replace_pool(self.pool(service), by_service.get(service, {}), now)
 
-    def take_samples(self) -> Samples:
+    def pop_samples(self) -> LatencySamples:
         """Return the servers' latency samples since the previous call."""
         samples = {}
         for pool in self._pools.values():
             for identifier, server in pool.servers.items():
-                observed = server.state.take_samples()
+                observed = server.state.drain_samples()
                 if observed != (0, 0.0):
                     samples[identifier] = observed
         return samples
@@ -240,7 +240,7 @@
                 server.connections.close()
 
     def _replace_pool(
-        self, pool: ServicePool, wanted: dict[str, KnownServer], now: float
+        self, pool: ServicePool, wanted: dict[str, ServerInfo], now: float
     ) -> None:
         for identifier in pool.servers.keys() - wanted.keys():
             pool.servers.pop(identifier).connections.close()
@@ -253,10 +253,10 @@
                 server = Server(
                     info, in_other_zone, self._host_connection_limit(pool.name)
                 )
-                server.state.cold_until = now + info.cold_ms / _MS_PER_S
+                server.state.cold_until = now + info.slow_start_ms / _MS_PER_S
                 pool.servers[identifier] = server
-            server.state.silent = info.silent
-            server.state.shared_pace = info.pace
+            server.state.heartbeat_lost = info.heartbeats_missing
+            server.state.shared_latency_ratio = info.latency_factor
 
     def _host_connection_limit(self, service: str) -> int:
         total = self._connection_limits.get(service)
--- a/packages/gateway/src/kingcuplug_gateway/_settings.py
+++ b/packages/gateway/src/kingcuplug_gateway/_settings.py
@@ -3,13 +3,13 @@
 import math
 from dataclasses import dataclass
 
-from kingcuplug_routing import AllowanceSettings
+from kingcuplug_routing import RetryBudgetSettings
 
 from kingcuplug_gateway._header_names import HeaderNames
 
 __all__ = ["GatewaySettings"]
 
-_DEFAULT_RETRY_BUDGET = AllowanceSettings()
+_DEFAULT_RETRY_BUDGET = RetryBudgetSettings()
 # At 50 Mbit/s, the 36 parts of a query at 1.2 KB each take 7 ms to receive, about as
 # long as the time reserved before a deadline.
 _NARROW_LINK_MBPS = 50.0
@@ -35,7 +35,7 @@
 
     availability_zone: str
     names: HeaderNames
-    retry_budget: AllowanceSettings = _DEFAULT_RETRY_BUDGET
+    retry_budget: RetryBudgetSettings = _DEFAULT_RETRY_BUDGET
     caller_delay_ms: float = 3.0
     answer_margin_ms: float = 4.0
     link_mbps: float = math.inf
--- a/packages/node/src/kingcuplug_node/_host.py
+++ b/packages/node/src/kingcuplug_node/_host.py
@@ -40,9 +40,9 @@
     Gateway,
     GatewaySettings,
     HeaderNames,
-    KnownServer,
     NotGathering,
     RouteTable,
+    ServerInfo,
 )
 from kingcuplug_http import Limits, Listener, Request, Response, error_response
 from kingcuplug_log import LostLeadership, NotLeader, StorageFailed
@@ -133,7 +133,7 @@
             ),
             log,
             self._metrics,
-            ask_peer=self._call_gatherer,
+            call_peer=self._call_gatherer,
         )
         self._caller_listener = Listener(
             self._handle_caller_request, self._gateway.limits
@@ -444,7 +444,9 @@
                 self._fleet_view, self._is_connected_control_host, own_address, value
             )
         if path == _GATHER_PATH:
-            return await self._gateway.gather(value, begins=not self._stopping)
+            return await self._gateway.handle_gather(
+                value, accept_new=not self._stopping
+            )
         if path == REPORT_PATH:
             self._mesh.take_report(Report.from_json(value))
             return {}
@@ -508,7 +510,7 @@
         if fleet_view.routes_version == 0:
             return
         is_first = table is None
-        self._gateway.adopt(self._decode_routes(fleet_view.routes_document))
+        self._gateway.install_routes(self._decode_routes(fleet_view.routes_document))
         self._log.write(
             "routes_in_force",
             {"version": fleet_view.routes_version, "first": is_first},
@@ -518,15 +520,15 @@
     def _apply_servers(self) -> None:
         fleet_view = self._fleet_view
         servers = [
-            KnownServer(
+            ServerInfo(
                 id=record.id,
                 service=record.service,
                 address=record.address,
                 availability_zone=record.availability_zone,
                 slots=record.slots,
-                cold_ms=record.cold_ms,
-                silent=record.id in fleet_view.silent,
-                pace=fleet_view.slow.get(record.id, 1.0),
+                slow_start_ms=record.cold_ms,
+                heartbeats_missing=record.id in fleet_view.silent,
+                latency_factor=fleet_view.slow.get(record.id, 1.0),
             )
             for record in fleet_view.directory.usable()
         ]
@@ -535,7 +537,9 @@
         for address in fleet_view.reachable:
             zone = fleet_view.zones.get(address, "")
             gatherers.setdefault(zone, []).append(address)
-        self._gateway.use(servers, fleet_view.hosts, fleet_view.requests, gatherers)
+        self._gateway.update_fleet(
+            servers, fleet_view.hosts, fleet_view.requests, gatherers
+        )
 
     async def _update_control_hosts(self, replica: Core) -> None:
         while True:
@@ -548,7 +552,7 @@
         while True:
             await asyncio.sleep(_REPORT_INTERVAL_S)
             servers = self._gateway.servers
-            report = Report(servers.take_samples(), servers.take_requests())
+            report = Report(servers.pop_samples(), servers.pop_request_count())
             if self._is_connected_control_host():
                 self._mesh.take_report(report)
             else:
--- a/packages/node/src/kingcuplug_node/_settings.py
+++ b/packages/node/src/kingcuplug_node/_settings.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from kingcuplug_routing import AllowanceSettings
+from kingcuplug_routing import RetryBudgetSettings
 
 __all__ = ["NodeSettings"]
 
@@ -55,7 +55,7 @@
     data_folder: Path | None
     heartbeat_interval_ms: int
     termination_grace_ms: int
-    retry_budget: AllowanceSettings
+    retry_budget: RetryBudgetSettings
     processor_cores: float = 1.0
     link_mbps: float = math.inf
     control_bind_address: str | None = None
--- a/packages/query/src/kingcuplug_query/_gather.py
+++ b/packages/query/src/kingcuplug_query/_gather.py
@@ -322,7 +322,7 @@
         started_at = self._loop.time()
         attempt = _InFlightAttempt(ticket, sub_request, started_at, is_hedge)
         self._in_flight.setdefault(shard, []).append(attempt)
-        self._crash_guard.started(
+        self._crash_guard.attempt_started(
             sub_request.attempt_id,
             self._fingerprint,
             ticket.server,
@@ -367,7 +367,7 @@
             if attempt.abandoned:
                 outcome = AttemptOutcome.CANCELLED
             ticket.finish(outcome, (self._loop.time() - started_at) * _MS_PER_S)
-            self._crash_guard.ended(sub_request.attempt_id, outcome)
+            self._crash_guard.attempt_ended(sub_request.attempt_id, outcome)
             self._in_flight[shard].remove(attempt)
             hop.end(
                 shard=shard,
@@ -383,7 +383,9 @@
         The report helps to detect the loss of a zone. Nothing was sent, so the attempt
         ends first and this query is not suspected of crashing the server.
         """
-        self._crash_guard.ended(sub_request.attempt_id, AttemptOutcome.CANCELLED)
+        self._crash_guard.attempt_ended(
+            sub_request.attempt_id, AttemptOutcome.CANCELLED
+        )
         self._crash_guard.server_crashed(
             ticket.server,
             ticket.incarnation,
--- a/packages/query/src/kingcuplug_query/_orders.py
+++ b/packages/query/src/kingcuplug_query/_orders.py
@@ -352,7 +352,7 @@
     ) -> None:
         loop = asyncio.get_running_loop()
         started_at = loop.time()
-        self._crash_guard.started(
+        self._crash_guard.attempt_started(
             sub_request.attempt_id,
             _fingerprint(request),
             ticket.server,
@@ -367,7 +367,7 @@
             )
         finally:
             ticket.finish(outcome, (loop.time() - started_at) * _ONE_SECOND_MS)
-            self._crash_guard.ended(sub_request.attempt_id, outcome)
+            self._crash_guard.attempt_ended(sub_request.attempt_id, outcome)
             hop.end(
                 shard=sub_request.shard,
                 server=ticket.server,
--- a/packages/routing/src/kingcuplug_routing/__init__.py
+++ b/packages/routing/src/kingcuplug_routing/__init__.py
@@ -1,18 +1,18 @@
 """Replica choice, limits, hedging, retry budgets and the crash guard."""
 
 from kingcuplug_routing._admission import Admission, AdmissionContext
-from kingcuplug_routing._blames import Blame, CrashGuardSettings
-from kingcuplug_routing._completeness import AnswerRule
+from kingcuplug_routing._blames import CrashGuardSettings, CrashSuspect
+from kingcuplug_routing._completeness import PartialAnswerPolicy
 from kingcuplug_routing._crash_guard import CrashGuard
 from kingcuplug_routing._delegation import Delegation, delegate
-from kingcuplug_routing._paces import PaceBoard, Samples
+from kingcuplug_routing._paces import LatencySamples, SlowServerDetector
 from kingcuplug_routing._policy import RoutingPolicy, baseline_policy
 from kingcuplug_routing._replicas import ReplicaState, choose_replica
 from kingcuplug_routing._retry_budget import (
-    AllowanceSettings,
-    RetryAllowance,
-    WindowCount,
-    fixed_part,
+    RetryBudget,
+    RetryBudgetSettings,
+    SlidingWindowCounter,
+    host_share,
 )
 from kingcuplug_routing._router import Router
 from kingcuplug_routing._selection import (
@@ -22,8 +22,8 @@
     random_replica,
 )
 from kingcuplug_routing._ticket import Ticket
-from kingcuplug_routing._timing import Timing
-from kingcuplug_routing._turnstile import Turnstile, places
+from kingcuplug_routing._timing import LatencyEstimator
+from kingcuplug_routing._turnstile import ConcurrencyLimiter, concurrency_limit
 from kingcuplug_routing._types import (
     Attempt,
     AttemptOutcome,
@@ -33,42 +33,42 @@
     ServerView,
     SnapshotView,
 )
-from kingcuplug_routing._warm_up import wait_until
+from kingcuplug_routing._warm_up import startup_wait_until
 
 __all__ = [
     "Admission",
     "AdmissionContext",
-    "AllowanceSettings",
-    "AnswerRule",
     "Attempt",
     "AttemptOutcome",
-    "Blame",
+    "ConcurrencyLimiter",
     "CrashGuard",
     "CrashGuardSettings",
+    "CrashSuspect",
     "Delegation",
     "Holding",
     "HoldingView",
-    "PaceBoard",
+    "LatencyEstimator",
+    "LatencySamples",
+    "PartialAnswerPolicy",
     "Priority",
     "ReplicaState",
-    "RetryAllowance",
+    "RetryBudget",
+    "RetryBudgetSettings",
     "Router",
     "RoutingPolicy",
-    "Samples",
     "ServerView",
+    "SlidingWindowCounter",
+    "SlowServerDetector",
     "SnapshotView",
     "Ticket",
-    "Timing",
-    "Turnstile",
-    "WindowCount",
     "baseline_policy",
     "choose_replica",
+    "concurrency_limit",
     "delegate",
-    "fixed_part",
+    "host_share",
     "least_expected_time",
     "least_in_flight",
-    "places",
     "power_of_two_choices",
     "random_replica",
-    "wait_until",
+    "startup_wait_until",
 ]
--- a/packages/routing/src/kingcuplug_routing/_admission.py
+++ b/packages/routing/src/kingcuplug_routing/_admission.py
@@ -82,7 +82,7 @@
         await self._wait(priority, deadline, cost, now)
         return cost
 
-    def leave(self, cost: float, duration_s: float) -> None:
+    def release(self, cost: float, duration_s: float) -> None:
         """Correct the charged slot time of a query by the observed one."""
         self._mean_duration_s += _DURATION_WEIGHT * (duration_s - self._mean_duration_s)
         occupied_ms = self._router.statistics.total_occupancy_ms
@@ -214,7 +214,7 @@
         exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        self._admission.leave(self._cost, _now() - self._admitted_at)
+        self._admission.release(self._cost, _now() - self._admitted_at)
 
 
 def _time_out(future: asyncio.Future[bool]) -> None:
--- a/packages/routing/src/kingcuplug_routing/_blames.py
+++ b/packages/routing/src/kingcuplug_routing/_blames.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-__all__ = ["Blame", "Crash", "CrashGuardSettings", "CrashHistory"]
+__all__ = ["Crash", "CrashGuardSettings", "CrashHistory", "CrashSuspect"]
 
 _MIN_CRASHED_SERVERS = 2
 _SUSPECT_EXCHANGE_S = 0.5  # two session exchanges and one of the mesh
@@ -44,12 +44,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Blame:
+class CrashSuspect:
     """One fingerprint in flight at one crash; shared between entry hosts.
 
     Parameters
     ----------
-    proven : bool
+    completed_before : bool
         Whether the fingerprint had completed somewhere before this attempt, so that
         the attempt was not sent as a canary.
     age_ms : float
@@ -61,7 +61,7 @@
     server: str
     incarnation: int
     availability_zone: str
-    proven: bool
+    completed_before: bool
     age_ms: float = 0.0
 
 
@@ -120,9 +120,11 @@
         self._order += 1
         return self._order
 
-    def add_suspect(self, crash: Crash, fingerprint: str, proven: bool) -> None:
+    def add_suspect(
+        self, crash: Crash, fingerprint: str, completed_before: bool
+    ) -> None:
         """Make a fingerprint a suspect of a crash."""
-        crash.suspects[fingerprint] = proven
+        crash.suspects[fingerprint] = completed_before
         crashes = self._crashes_by_suspect.setdefault(fingerprint, [])
         if crash not in crashes:
             crashes.append(crash)
--- a/packages/routing/src/kingcuplug_routing/_completeness.py
+++ b/packages/routing/src/kingcuplug_routing/_completeness.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["AnswerRule"]
+__all__ = ["PartialAnswerPolicy"]
 
 # Multiple of the target time for which a late query waits for its last shards: once
 # the target is missed, a complete answer is worth more than an earlier one, but the
@@ -21,50 +21,50 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerRule:
+class PartialAnswerPolicy:
     """Decides when one query is answered.
 
     Attributes
     ----------
-    total : int
+    shard_count : int
         Number of shards of the query.
-    minimum : float
+    min_coverage : float
         Smallest share of the shards that an answer must cover.
     target_at, final_at : float
         Event loop times by which an answer must be sent to be on time, and to reach
         the caller before its deadline.
-    begun_at : float
+    received_at : float
         Event loop time at which the query was received.
     """
 
-    total: int
-    minimum: float
-    begun_at: float
+    shard_count: int
+    min_coverage: float
+    received_at: float
     target_at: float
     final_at: float
 
     @property
-    def needed(self) -> int:
+    def required_shards(self) -> int:
         """Least number of shards that an answer must cover."""
-        whole, fraction = divmod(self.total * self.minimum, 1)
+        whole, fraction = divmod(self.shard_count * self.min_coverage, 1)
         return max(1, int(whole) + (fraction > 1e-9))
 
     @property
-    def stragglers(self) -> int:
+    def max_stragglers(self) -> int:
         """Greatest number of pending shards that count as stragglers."""
-        return max(1, int(self.total * _STRAGGLER_SHARE))
+        return max(1, int(self.shard_count * _STRAGGLER_SHARE))
 
-    def hurry_at(self, now: float) -> float:
+    def straggler_hedge_at(self, now: float) -> float:
         """Return when to hedge the stragglers if all others have answered by `now`."""
-        return self.begun_at + (now - self.begun_at) * _STRAGGLER_FACTOR
+        return self.received_at + (now - self.received_at) * _STRAGGLER_FACTOR
 
     @property
-    def late_at(self) -> float:
+    def late_answer_at(self) -> float:
         """Time from which a late query is answered without its last shards."""
-        target_s = self.target_at - self.begun_at
+        target_s = self.target_at - self.received_at
         return min(self.target_at + target_s * _MAX_LATENESS_TARGETS, self.final_at)
 
-    def ready(
+    def should_answer(
         self,
         answered_shards: int,
         pending_shards: int,
@@ -84,6 +84,6 @@
         """
         if pending_shards == 0 or now >= self.final_at:
             return True
-        if answered_shards < self.needed:
-            return answered_shards + pending_shards < self.needed
-        return at_target or now >= self.late_at
+        if answered_shards < self.required_shards:
+            return answered_shards + pending_shards < self.required_shards
+        return at_target or now >= self.late_answer_at
--- a/packages/routing/src/kingcuplug_routing/_crash_guard.py
+++ b/packages/routing/src/kingcuplug_routing/_crash_guard.py
@@ -12,7 +12,7 @@
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, replace
 
-from kingcuplug_routing._blames import Blame, CrashGuardSettings, CrashHistory
+from kingcuplug_routing._blames import CrashGuardSettings, CrashHistory, CrashSuspect
 from kingcuplug_routing._refusals import fingerprint_quarantined
 from kingcuplug_routing._types import AttemptOutcome
 
@@ -24,7 +24,7 @@
     fingerprint: str
     server: str
     incarnation: int
-    proven: bool
+    completed_before: bool
     started_order: int
     broken_at: float | None = None
 
@@ -51,7 +51,7 @@
         self._broken_attempts: deque[tuple[str, _TrackedAttempt]] = deque()
         self._completed: OrderedDict[str, None] = OrderedDict()
         self._canaries: dict[str, asyncio.Future[None]] = {}
-        self._new_suspects: list[tuple[float, Blame]] = []
+        self._new_suspects: list[tuple[float, CrashSuspect]] = []
 
     def check(self, fingerprint: str) -> None:
         """Raise `Refusal` (``NOT_RUN``) if a fingerprint is quarantined."""
@@ -93,7 +93,7 @@
             del self._canaries[fingerprint]
             ended.set_result(None)
 
-    def started(
+    def attempt_started(
         self, attempt_id: str, fingerprint: str, server: str, incarnation: int
     ) -> None:
         """Record that an attempt is about to be sent to a server."""
@@ -105,7 +105,7 @@
         self._attempts[attempt_id] = attempt
         self._attempts_by_server.setdefault(server, {})[attempt_id] = attempt
 
-    def ended(self, attempt_id: str, outcome: AttemptOutcome) -> None:
+    def attempt_ended(self, attempt_id: str, outcome: AttemptOutcome) -> None:
         """Record the outcome of an attempt; unknown attempts are ignored."""
         attempt = self._attempts.pop(attempt_id, None)
         if attempt is None:
@@ -121,7 +121,7 @@
 
     def server_crashed(
         self, server: str, incarnation: int, service: str, availability_zone: str
-    ) -> tuple[Blame, ...]:
+    ) -> tuple[CrashSuspect, ...]:
         """Record a crash; the fingerprints in flight at the server become suspects.
 
         Call this when a connection broke and a new one is refused, and when a server
@@ -130,7 +130,7 @@
 
         Returns
         -------
-        tuple of Blame
+        tuple of CrashSuspect
             The suspects, which `drain_new_suspects` returns too.
         """
         now = _now()
@@ -138,10 +138,10 @@
         crash = self._history.record(
             service, server, incarnation, availability_zone, now, now
         )
-        suspects: dict[str, Blame] = {}
+        suspects: dict[str, CrashSuspect] = {}
         for attempt in self._attempts_by_server.get(server, {}).values():
             if attempt.incarnation <= incarnation:
-                suspects[attempt.fingerprint] = Blame(
+                suspects[attempt.fingerprint] = CrashSuspect(
                     attempt.fingerprint,
                     service,
                     server,
@@ -150,7 +150,9 @@
                     self._pop_completion(attempt),
                 )
         for suspect in suspects.values():
-            self._history.add_suspect(crash, suspect.fingerprint, suspect.proven)
+            self._history.add_suspect(
+                crash, suspect.fingerprint, suspect.completed_before
+            )
             self._new_suspects.append((now, suspect))
         return tuple(suspects.values())
 
@@ -160,9 +162,9 @@
         Its next request is a canary, in case a new index made it crash servers.
         """
         completion = self._completed.pop(attempt.fingerprint, attempt)
-        return attempt.proven or completion is None
+        return attempt.completed_before or completion is None
 
-    def fresh(self) -> list[Blame]:
+    def drain_new_suspects(self) -> list[CrashSuspect]:
         """Return the suspects added since the last call, for the session to send."""
         now = _now()
         suspects = [
@@ -172,7 +174,7 @@
         self._new_suspects.clear()
         return suspects
 
-    def merge(self, suspects: Iterable[Blame]) -> None:
+    def add_suspects(self, suspects: Iterable[CrashSuspect]) -> None:
         """Add the suspects that other entry hosts recorded."""
         now = _now()
         for suspect in suspects:
@@ -184,9 +186,11 @@
                 now - suspect.age_ms / 1_000,
                 now,
             )
-            self._history.add_suspect(crash, suspect.fingerprint, suspect.proven)
+            self._history.add_suspect(
+                crash, suspect.fingerprint, suspect.completed_before
+            )
 
-    def condemned(self) -> dict[str, float]:
+    def quarantined(self) -> dict[str, float]:
         """Return the quarantined fingerprints with their remaining time in ms."""
         now = _now()
         quarantine_ends = {
--- a/packages/routing/src/kingcuplug_routing/_paces.py
+++ b/packages/routing/src/kingcuplug_routing/_paces.py
@@ -10,11 +10,11 @@
 import math
 from dataclasses import dataclass
 
-__all__ = ["PaceBoard", "Samples"]
+__all__ = ["LatencySamples", "SlowServerDetector"]
 
 # Number and sum of latency ratios by server; a ratio is the duration of an attempt
 # relative to the typical one.
-Samples = dict[str, tuple[int, float]]
+LatencySamples = dict[str, tuple[int, float]]
 
 _HALF_LIFE_S = 1.0
 # Fewer samples than this, decayed for a second or two, may all come from one pause.
@@ -40,13 +40,13 @@
         self.updated_at = now
 
 
-class PaceBoard:
+class SlowServerDetector:
     """Exponentially decaying means of all hosts' latency ratios by server."""
 
     def __init__(self) -> None:
         self._means: dict[str, _DecayingMean] = {}
 
-    def add(self, samples: Samples, now: float) -> None:
+    def record(self, samples: LatencySamples, now: float) -> None:
         """Add the samples that a host has reported."""
         for server, (count, ratio_sum) in samples.items():
             mean = self._means.setdefault(server, _DecayingMean(0.0, 0.0, now))
@@ -54,7 +54,7 @@
             mean.weight += count
             mean.weighted_sum += ratio_sum
 
-    def slow(self, now: float) -> dict[str, float]:
+    def slow_servers(self, now: float) -> dict[str, float]:
         """Return the latency ratios of the slow servers, rounded to steps."""
         slow_servers = {}
         for server, mean in tuple(self._means.items()):
--- a/packages/routing/src/kingcuplug_routing/_replicas.py
+++ b/packages/routing/src/kingcuplug_routing/_replicas.py
@@ -57,13 +57,13 @@
         Latency ratio: duration of its answers relative to the route's typical one.
     error_rate : float
         Recent share of failed attempts.
-    paused_until : float
+    unreachable_until : float
         Event loop time until which it counts as unreachable.
     cold_until : float
         Event loop time until which it is slow after its start.
-    silent : bool
+    heartbeat_lost : bool
         Whether its heartbeats have stopped.
-    shared_pace : float
+    shared_latency_ratio : float
         Latency ratio from the samples of all hosts; 1 unless the server is slow.
     reported_ratios : dict
         Latency ratios that were reported for attempts that are still open.
@@ -76,20 +76,20 @@
     error_rate: float = 0.0
     error_rate_at: float = 0.0
     consecutive_failures: int = 0
-    paused_until: float = 0.0
+    unreachable_until: float = 0.0
     cold_until: float = 0.0
-    silent: bool = False
-    shared_pace: float = 1.0
+    heartbeat_lost: bool = False
+    shared_latency_ratio: float = 1.0
     sample_count: int = 0
     sample_sum: float = 0.0
     open_attempts: dict[object, tuple[float, float]] = field(default_factory=dict)
     reported_ratios: dict[object, float] = field(default_factory=dict)
 
-    def begin(self, attempt: object, now: float, typical_s: float) -> None:
+    def record_start(self, attempt: object, now: float, typical_s: float) -> None:
         """Record that an attempt was sent."""
         self.open_attempts[attempt] = (now, typical_s)
 
-    def answer(self, attempt: object, now: float) -> float:
+    def record_answer(self, attempt: object, now: float) -> float:
         """Record a successful answer and return its duration in seconds."""
         started_at, typical_s = self.open_attempts.pop(attempt, (now, 0.0))
         duration_s = now - started_at
@@ -98,10 +98,10 @@
         self.error_rate = self._current_error_rate(now) * (1 - _ERROR_WEIGHT)
         self.error_rate_at = now
         self.consecutive_failures = 0
-        self.paused_until = 0.0
+        self.unreachable_until = 0.0
         return duration_s
 
-    def late(self, attempt: object, now: float) -> None:
+    def report_late(self, attempt: object, now: float) -> None:
         """Report the latency ratio of a late attempt before it has ended.
 
         When a server becomes slow, its answers arrive too late to warn other hosts.
@@ -110,14 +110,14 @@
         if typical_s > 0 and attempt not in self.reported_ratios:
             self._report_ratio(attempt, (now - started_at) / typical_s)
 
-    def reject(self, attempt: object, now: float) -> None:
+    def record_rejection(self, attempt: object, now: float) -> None:
         """Record that the server, running but busy, shed an attempt."""
         self.open_attempts.pop(attempt, None)
         self.reported_ratios.pop(attempt, None)
         self.latency_ratio = min(self._own_ratio(now) + 1.0, _RATIO_RANGE[1])
         self.latency_ratio_at = now
 
-    def fail(self, attempt: object, now: float, unreachable: bool) -> None:
+    def record_failure(self, attempt: object, now: float, unreachable: bool) -> None:
         """Record a failure.
 
         Parameters
@@ -138,22 +138,22 @@
                 _FIRST_UNREACHABLE_S * 2**self.consecutive_failures, _MAX_UNREACHABLE_S
             )
             self.consecutive_failures += 1
-            self.paused_until = max(self.paused_until, now + unreachable_s)
+            self.unreachable_until = max(self.unreachable_until, now + unreachable_s)
 
-    def forget(self, attempt: object, now: float) -> None:
+    def record_abandonment(self, attempt: object, now: float) -> None:
         """Record that an attempt was abandoned, with its age as a sample."""
         started_at, typical_s = self.open_attempts.pop(attempt, (now, 0.0))
         if typical_s > 0 and now - started_at > typical_s * self._current_ratio(now):
             self._add_sample(attempt, (now - started_at) / typical_s, now)
         self.reported_ratios.pop(attempt, None)
 
-    def take_samples(self) -> tuple[int, float]:
+    def drain_samples(self) -> tuple[int, float]:
         """Return and reset the number and sum of the samples since the last call."""
         drained = (self.sample_count, self.sample_sum)
         self.sample_count, self.sample_sum = 0, 0.0
         return drained
 
-    def expected_s(self, now: float, typical_s: float) -> float:
+    def expected_latency_s(self, now: float, typical_s: float) -> float:
         """Return the expected latency of an answer, with penalties."""
         ratio = self._current_ratio(now)
         if now < self.cold_until:
@@ -163,9 +163,9 @@
             expected_s = expected_s * _REMOTE_FACTOR + _REMOTE_ROUND_TRIP_S
         expected_s += self._overdue_s(now, ratio)
         expected_s += self._current_error_rate(now) * _ERROR_COST_S
-        if now < self.paused_until:
+        if now < self.unreachable_until:
             expected_s += _UNREACHABLE_COST_S
-        if self.silent:
+        if self.heartbeat_lost:
             expected_s += _NO_HEARTBEAT_COST_S
         return expected_s
 
@@ -187,7 +187,7 @@
         self.reported_ratios[attempt] = sample
 
     def _current_ratio(self, now: float) -> float:
-        return max(self._own_ratio(now), self.shared_pace)
+        return max(self._own_ratio(now), self.shared_latency_ratio)
 
     def _own_ratio(self, now: float) -> float:
         return 1 + (self.latency_ratio - 1) * _decay_factor(now - self.latency_ratio_at)
@@ -226,6 +226,6 @@
 
     def score(index: int) -> float:
         jitter = random.uniform(*_JITTER)
-        return replicas[index].expected_s(now, typical_s) * jitter
+        return replicas[index].expected_latency_s(now, typical_s) * jitter
 
     return min(range(len(replicas)), key=score)
--- a/packages/routing/src/kingcuplug_routing/_retry_budget.py
+++ b/packages/routing/src/kingcuplug_routing/_retry_budget.py
@@ -12,7 +12,7 @@
 import random as random_module
 from dataclasses import dataclass
 
-__all__ = ["AllowanceSettings", "RetryAllowance", "WindowCount", "fixed_part"]
+__all__ = ["RetryBudget", "RetryBudgetSettings", "SlidingWindowCounter", "host_share"]
 
 _BUCKET_COUNT = 10
 # Bounds of a host's share, in multiples of an even share. The minimum serves a host
@@ -27,25 +27,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AllowanceSettings:
+class RetryBudgetSettings:
     """Bound on the attempts that all hosts together may add to a service's load.
 
     Attributes
     ----------
     ratio : float
         Additional attempts as a share of the requests in a window.
-    fixed : int
+    fixed_attempts : int
         Additional attempts in a window beyond that share.
     window_s : float
         Length of the window.
     """
 
     ratio: float = 0.2
-    fixed: int = 60
+    fixed_attempts: int = 60
     window_s: float = 10.0
 
 
-class WindowCount:
+class SlidingWindowCounter:
     """Counts events in a sliding window.
 
     Parameters
@@ -77,7 +77,7 @@
         self._bucket = max(self._bucket, bucket)
 
 
-def fixed_part(own: int, total: int, hosts: int) -> float:
+def host_share(own: int, total: int, hosts: int) -> float:
     """Return a host's share of what all hosts together may use, between 0 and 1.
 
     Parameters
@@ -96,7 +96,7 @@
     return min(own_share, _MAX_EVEN_SHARES / hosts, 1.0)
 
 
-class RetryAllowance:
+class RetryBudget:
     """Counts requests and additional attempts of one service in a sliding window.
 
     Parameters
@@ -111,21 +111,21 @@
 
     def __init__(
         self,
-        settings: AllowanceSettings,
+        settings: RetryBudgetSettings,
         random: random_module.Random,
         share: float = 1.0,
     ) -> None:
         self._settings = settings
         self._share = share
         self._rounding = random.random()
-        self._requests = WindowCount(settings.window_s)
-        self._extra_attempts = WindowCount(settings.window_s)
+        self._requests = SlidingWindowCounter(settings.window_s)
+        self._extra_attempts = SlidingWindowCounter(settings.window_s)
 
-    def request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a request for the service."""
         self._requests.add(now)
 
-    def take(self, now: float, fixed_share: float, hedge: bool) -> bool:
+    def try_acquire(self, now: float, fixed_share: float, hedge: bool) -> bool:
         """Return whether one more attempt may be sent, and count it if so.
 
         Parameters
@@ -137,7 +137,8 @@
         """
         settings = self._settings
         allowed = (
-            self._requests.total(now) * settings.ratio + settings.fixed * fixed_share
+            self._requests.total(now) * settings.ratio
+            + settings.fixed_attempts * fixed_share
         )
         allowed *= self._share * _SAFETY_FACTOR * (_HEDGE_SHARE if hedge else 1.0)
         if self._extra_attempts.total(now) + 1 > allowed + self._rounding:
--- a/packages/routing/src/kingcuplug_routing/_timing.py
+++ b/packages/routing/src/kingcuplug_routing/_timing.py
@@ -6,7 +6,7 @@
 the target time.
 """
 
-__all__ = ["Timing"]
+__all__ = ["LatencyEstimator"]
 
 _MS_PER_S = 1_000
 _TYPICAL_WEIGHT = 0.05  # About the last twenty answers count.
@@ -19,7 +19,7 @@
 _MAX_DELAY_SHARE_OF_TARGET = 0.45
 
 
-class Timing:
+class LatencyEstimator:
     """Estimates of the typical and the 90th percentile latency of one route.
 
     Parameters
@@ -43,12 +43,12 @@
             self._quantile_s *= 1 - _QUANTILE_STEP * (1 - _QUANTILE)
 
     @property
-    def latest_hedge_after_s(self) -> float:
+    def max_hedge_delay_s(self) -> float:
         """Upper bound of `hedge_delay_s`, here and at other hosts."""
         return self._target_s * _MAX_DELAY_SHARE_OF_TARGET
 
     @property
-    def hedge_after_s(self) -> float:
+    def hedge_delay_s(self) -> float:
         """Age of an attempt at which to send a hedge."""
         delay_s = max(self._quantile_s * _HEDGE_MARGIN_FACTOR, _MIN_HEDGE_DELAY_S)
-        return min(delay_s, self.latest_hedge_after_s)
+        return min(delay_s, self.max_hedge_delay_s)
--- a/packages/routing/src/kingcuplug_routing/_turnstile.py
+++ b/packages/routing/src/kingcuplug_routing/_turnstile.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from itertools import count
 
-__all__ = ["Turnstile", "places"]
+__all__ = ["ConcurrencyLimiter", "concurrency_limit"]
 
 # Servers queue about six requests for each slot; the margin allows for uneven shares of
 # the hosts.
@@ -21,7 +21,7 @@
 _MIN_CONCURRENCY = 4
 
 
-def places(slots: int, hosts: int) -> int:
+def concurrency_limit(slots: int, hosts: int) -> int:
     """Return the limit on concurrent requests of a host to servers with `slots` in all.
 
     Parameters
@@ -32,7 +32,7 @@
     return max(_MIN_CONCURRENCY, math.ceil(slots * _REQUESTS_PER_SLOT / max(1, hosts)))
 
 
-class Turnstile:
+class ConcurrencyLimiter:
     """Counts the requests in flight and queues the others in order of rank."""
 
     def __init__(self) -> None:
@@ -40,14 +40,14 @@
         self._waiting: list[tuple[int, int, Callable[[], bool]]] = []
         self._sequence = count()
 
-    def enter(self, limit: int) -> bool:
+    def try_acquire(self, limit: int) -> bool:
         """Return whether a request may be sent at once, and count it if so."""
         if self._in_flight >= limit or self._waiting:
             return False
         self._in_flight += 1
         return True
 
-    def wait(self, rank: int, admit: Callable[[], bool]) -> None:
+    def enqueue(self, rank: int, admit: Callable[[], bool]) -> None:
         """Queue a request.
 
         Parameters
@@ -58,7 +58,7 @@
         """
         heapq.heappush(self._waiting, (rank, next(self._sequence), admit))
 
-    def leave(self, limit: int) -> None:
+    def release(self, limit: int) -> None:
         """End one request and admit as many waiting ones as the limit allows."""
         self._in_flight -= 1
         while self._waiting and self._in_flight < limit:
--- a/packages/routing/src/kingcuplug_routing/_warm_up.py
+++ b/packages/routing/src/kingcuplug_routing/_warm_up.py
@@ -6,7 +6,7 @@
 to wait, and a refusal would only make them resend before anything has changed.
 """
 
-__all__ = ["wait_until"]
+__all__ = ["startup_wait_until"]
 
 # An election after a restart of all hosts takes 1.2 s, a round of the servers'
 # announcements about as long. A host that has run for longer without routes is
@@ -16,7 +16,9 @@
 _WAIT_SHARE_OF_TIMEOUT = 0.45
 
 
-def wait_until(received_at: float, deadline_at: float, started_at: float) -> float:
+def startup_wait_until(
+    received_at: float, deadline_at: float, started_at: float
+) -> float:
     """Return the event loop time until which a request may wait for routes or servers.
 
     Parameters
--- a/packages/soak/src/kingcuplug_soak/_backends.py
+++ b/packages/soak/src/kingcuplug_soak/_backends.py
@@ -180,6 +180,6 @@
                     connection.abort()
         return Response(
             200 if succeeded else 500,
-            [*echoed_headers, (header_names.seal, seal.encode())],
+            [*echoed_headers, (header_names.signature, seal.encode())],
             body,
         )
--- a/packages/soak/src/kingcuplug_soak/_checks.py
+++ b/packages/soak/src/kingcuplug_soak/_checks.py
@@ -112,7 +112,7 @@
     def _check_single_response(
         self, attempt: CallerAttempt, response: Response
     ) -> None:
-        seal = (response.header(HEADER_NAMES.seal.lower()) or b"").decode()
+        seal = (response.header(HEADER_NAMES.signature.lower()) or b"").decode()
         execution = self._find_execution(attempt, seal)
         if (
             execution is None
@@ -125,7 +125,7 @@
 
     def _check_query_response(self, attempt: CallerAttempt, response: Response) -> None:
         seals = (
-            (response.header(HEADER_NAMES.part_seals.lower()) or b"")
+            (response.header(HEADER_NAMES.part_signatures.lower()) or b"")
             .decode()
             .split(", ")
         )
--- a/packages/soak/src/kingcuplug_soak/_traffic.py
+++ b/packages/soak/src/kingcuplug_soak/_traffic.py
@@ -38,7 +38,7 @@
             max_attempts=2,
             timeout_ms=_REQUEST_TIMEOUT_MS,
             target_ms=_TARGET_LATENCY_MS,
-            rank=1,
+            priority=1,
             **fields,
         )
 
--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -16,22 +16,22 @@
     Gateway,
     GatewaySettings,
     HeaderNames,
-    KnownServer,
     Route,
     RouteTable,
+    ServerInfo,
     ServiceSettings,
     WeightedService,
 )
 from kingcuplug_http import Limits, Listener, Request, Response
-from kingcuplug_routing import AllowanceSettings
+from kingcuplug_routing import RetryBudgetSettings
 
 NAMES = HeaderNames(
     attempt_id=b"Try-Id",
     deadline_ms=b"Left-Ms",
     expected_server=b"Only-At",
-    seal=b"Seal",
+    signature=b"Seal",
     not_run=b"Unrun",
-    part_seals=b"Seals",
+    part_signatures=b"Seals",
     missing_parts=b"Missing",
 )
 ServerHandler = Callable[[Request], Awaitable[Response]]
@@ -55,7 +55,7 @@
         "max_attempts": 2,
         "timeout_ms": 2_000,
         "target_ms": 400,
-        "rank": 1,
+        "priority": 1,
         "top_records": 5,
         "minimum_coverage": 0.5,
     }
@@ -69,7 +69,7 @@
     gateway: Gateway
     received: dict[str, list[Request]] = field(default_factory=dict)
     listeners: list[Listener] = field(default_factory=list)
-    server_infos: list[KnownServer] = field(default_factory=list)
+    server_infos: list[ServerInfo] = field(default_factory=list)
 
     async def add_server(self, service: str, handler: ServerHandler) -> str:
         """Start a server of a service and return its id."""
@@ -91,9 +91,9 @@
     def register_server(self, identifier: str, service: str, address: str) -> None:
         """Add a server, running or not, to the gateway's servers."""
         self.server_infos.append(
-            KnownServer(identifier, service, address, "z", 3, 0, False)
+            ServerInfo(identifier, service, address, "z", 3, 0, False)
         )
-        self.gateway.use(self.server_infos, hosts=1)
+        self.gateway.update_fleet(self.server_infos, hosts=1)
 
     def set_routes(self, *routes: Route, version: int = 1) -> None:
         """Install a route table with the routes."""
@@ -103,7 +103,7 @@
             name: ServiceSettings(name, "/health", 32) for name in service_names
         }
         table = RouteTable(version, routes, services, 8_192, 65_536, 3_000, 15_000)
-        self.gateway.adopt(table)
+        self.gateway.install_routes(table)
 
     async def send(
         self,
@@ -131,7 +131,7 @@
 
 @asynccontextmanager
 async def _open_gateway(
-    retry_budget: AllowanceSettings | None = None,
+    retry_budget: RetryBudgetSettings | None = None,
     startup_over: bool = True,
     link_mbps: float = math.inf,
 ) -> AsyncIterator[GatewayHarness]:
@@ -139,7 +139,7 @@
     settings = GatewaySettings(
         "z",
         NAMES,
-        retry_budget or AllowanceSettings(),
+        retry_budget or RetryBudgetSettings(),
         caller_delay_ms=0,
         link_mbps=link_mbps,
     )
--- a/tests/gateway/test_gathering.py
+++ b/tests/gateway/test_gathering.py
@@ -48,7 +48,7 @@
             message_kinds.append(value[0])
             try:
                 async with asyncio.timeout(timeout_s):
-                    return await wide.gateway.gather(value)
+                    return await wide.gateway.handle_gather(value)
             except TimeoutError as error:
                 raise NoReply("no answer", "ask the shards") from error
 
@@ -63,7 +63,9 @@
     address = narrow.server_infos[-1].address
     narrow.wide.register_server(identifier, service, address)
     for harness in (narrow, narrow.wide):
-        harness.gateway.use(harness.server_infos, hosts=1, gatherers={"z": ["wide"]})
+        harness.gateway.update_fleet(
+            harness.server_infos, hosts=1, gatherers={"z": ["wide"]}
+        )
     return identifier
 
 
@@ -140,13 +142,13 @@
             for shard in SHARDS:
                 await _add_server(narrow, shard, _respond_records("a"))
             _set_routes(narrow)
-            handle_gather = narrow.wide.gateway.gather
+            handle_gather = narrow.wide.gateway.handle_gather
 
             async def handle_without_reply(value):
                 await handle_gather(value)
                 await asyncio.sleep(60)
 
-            narrow.wide.gateway.gather = handle_without_reply
+            narrow.wide.gateway.handle_gather = handle_without_reply
             response = await narrow.send()
             assert response.status == 200
             assert dict(response.headers)[b"Missing"] == b"0"
@@ -172,7 +174,7 @@
             async def refuse(value):
                 raise NotGathering("the host is stopping")
 
-            narrow.wide.gateway.gather = refuse
+            narrow.wide.gateway.handle_gather = refuse
             assert (await narrow.send()).status == 200
             assert (await narrow.send()).status == 200
             assert narrow.message_kinds == ["begin"]
@@ -191,14 +193,14 @@
                 await _add_server(narrow, shard, _respond_records("a"))
             await _add_server(narrow, "s0", _respond_records("k", delay_s=3.0))
             _set_routes(narrow, minimum_coverage=0.75)
-            handle_gather = narrow.wide.gateway.gather
+            handle_gather = narrow.wide.gateway.handle_gather
 
             async def fail_second_request(value):
                 if value[0] == "rest":
                     raise NotGathering("gone")
                 return await handle_gather(value)
 
-            narrow.wide.gateway.gather = fail_second_request
+            narrow.wide.gateway.handle_gather = fail_second_request
             response = await narrow.send()
             assert response.status == 200
             assert dict(response.headers)[b"Missing"] == b"1"
@@ -277,12 +279,12 @@
                 await _add_server(narrow, shard, _respond_records("a"))
             await _add_server(narrow, "s0", _respond_records("k", delay_s=0.3))
             _set_routes(narrow, minimum_coverage=1.0)
-            handle_gather = narrow.wide.gateway.gather
+            handle_gather = narrow.wide.gateway.handle_gather
 
             async def handle_while_stopping(value):
-                return await handle_gather(value, begins=value[0] == "begin")
+                return await handle_gather(value, accept_new=value[0] == "begin")
 
-            narrow.wide.gateway.gather = handle_while_stopping
+            narrow.wide.gateway.handle_gather = handle_while_stopping
             response = await narrow.send()
             assert response.status == 200
             assert dict(response.headers)[b"Missing"] == b"0"
@@ -291,7 +293,7 @@
                 "g", "r", SHARDS, b"", b"", b"t1", 900, 400, 2, 5
             )
             with pytest.raises(NotGathering):
-                await handle_gather(gather_request.to_json(), begins=False)
+                await handle_gather(gather_request.to_json(), accept_new=False)
 
     asyncio.run(run())
 
@@ -302,7 +304,7 @@
     async def run() -> None:
         async with open_gateway(link_mbps=7.0) as narrow:
             with pytest.raises(NotGathering):
-                await narrow.gateway.gather(["rest", "x", 1.0])
+                await narrow.gateway.handle_gather(["rest", "x", 1.0])
 
     asyncio.run(run())
 
@@ -319,13 +321,15 @@
             for shard in SHARDS:
                 await wide.add_server(shard, _respond_records("a"))
             wide.set_routes(make_route(**ROUTE_FIELDS))
-            wide.gateway.use(wide.server_infos, hosts=1, gatherers={"z": ["wide"]})
+            wide.gateway.update_fleet(
+                wide.server_infos, hosts=1, gatherers={"z": ["wide"]}
+            )
             gather_request = GatherRequest(
                 "g", "r", SHARDS, b"GET /x HTTP/1.1\r\n", b"", b"t1", 900, 400, 2, 5
             )
 
             async def answer(request: Request) -> Response:
-                reply = await wide.gateway.gather(json.loads(request.body))
+                reply = await wide.gateway.handle_gather(json.loads(request.body))
                 return Response(200, [], json.dumps(reply).encode())
 
             calls_made = []
--- a/tests/node/test_lease.py
+++ b/tests/node/test_lease.py
@@ -8,7 +8,7 @@
 from kingcuplug_gateway import HeaderNames, RouteTable
 from kingcuplug_http import Request
 from kingcuplug_node import Host, NodeSettings
-from kingcuplug_routing import AllowanceSettings
+from kingcuplug_routing import RetryBudgetSettings
 
 HEADER_NAMES = HeaderNames(b"I", b"D", b"E", b"S", b"N", b"P", b"M")
 ROUTE_TABLE = RouteTable(1, (), {}, 8_192, 65_536, 3_000, 15_000)
@@ -27,7 +27,7 @@
         data_folder=None,
         heartbeat_interval_ms=1_000,
         termination_grace_ms=6_000,
-        retry_budget=AllowanceSettings(),
+        retry_budget=RetryBudgetSettings(),
         serve_without_control=serve_without_control,
     )
     log = EventLog(os.open(os.devnull, os.O_WRONLY), "host")
@@ -48,7 +48,7 @@
 
     async def run() -> tuple[int, bool]:
         host = _make_host(serve_without_control)
-        host._gateway.adopt(ROUTE_TABLE)
+        host._gateway.install_routes(ROUTE_TABLE)
         now = asyncio.get_running_loop().time()
         host._poller.confirmed_at = now - since_contact_s
         headers = {b"host": b"a"}
--- a/tests/platform_formats/test_formats.py
+++ b/tests/platform_formats/test_formats.py
@@ -156,7 +156,7 @@
     """Guards against a host that fails to start on unknown settings fields."""
     settings = decode_settings(json.dumps(SETTINGS | {"new": 1}).encode())
     assert settings.data_folder is None
-    assert settings.retry_budget.fixed == 60
+    assert settings.retry_budget.fixed_attempts == 60
     assert settings.termination_grace_ms == 6_000
 
 
--- a/tests/routing/test_crash_guard.py
+++ b/tests/routing/test_crash_guard.py
@@ -26,12 +26,12 @@
         """Start an attempt and return its identifier."""
         self.number += 1
         attempt_id = f"attempt-{self.number}"
-        self.guard.started(attempt_id, fingerprint, server, incarnation)
+        self.guard.attempt_started(attempt_id, fingerprint, server, incarnation)
         return attempt_id
 
     def complete(self, fingerprint: str, server: str) -> None:
         """Run an attempt to its answer."""
-        self.guard.ended(self.start(fingerprint, server), AttemptOutcome.OK)
+        self.guard.attempt_ended(self.start(fingerprint, server), AttemptOutcome.OK)
 
     def crash(
         self,
@@ -43,7 +43,7 @@
     ) -> None:
         """Break the connection and report the crash."""
         for attempt_id in attempts:
-            self.guard.ended(attempt_id, AttemptOutcome.CONNECTION_LOST)
+            self.guard.attempt_ended(attempt_id, AttemptOutcome.CONNECTION_LOST)
         self.crashed.append(server)
         self.guard.server_crashed(server, incarnation, service, zone)
 
@@ -75,7 +75,7 @@
             attempts.guard.check(CRASHING)
         assert caught.value.kind is RefusalKind.NOT_RUN
         assert caught.value.reason is RefusalReason.CRASHING_REQUEST
-        assert set(attempts.guard.condemned()) == {CRASHING}
+        assert set(attempts.guard.quarantined()) == {CRASHING}
         await asyncio.sleep(600.0)
         assert not _is_quarantined(attempts.guard, CRASHING)
 
@@ -174,7 +174,7 @@
         attempts.complete(CRASHING, "server-0")
         sent = [attempts.start(CRASHING, f"server-{i}") for i in range(6)]
         attempts.crash("server-1", (sent[1],), zone="zone-1")
-        attempts.guard.ended(sent[2], AttemptOutcome.OK)
+        attempts.guard.attempt_ended(sent[2], AttemptOutcome.OK)
         attempts.crash("server-3", (sent[3],), zone="zone-0")
         # A request that completed before is sent as a canary until the suspects of
         # other entry hosts have arrived.
@@ -196,7 +196,7 @@
                 sent = (attempts.start("ordinary", server),)
             attempts.crash(server, sent, zone=f"zone-{index % 4}")
             await asyncio.sleep(0.01)
-        assert attempts.guard.condemned() == {}
+        assert attempts.guard.quarantined() == {}
 
     run_virtual(main())
 
@@ -211,7 +211,7 @@
                 busy.append(attempts.start(f"query-{query}", f"server-{number}"))
             crashing = attempts.start(CRASHING, f"server-{number}")
             attempts.crash(f"server-{number}", (*busy, crashing))
-        assert set(attempts.guard.condemned()) == {CRASHING}
+        assert set(attempts.guard.quarantined()) == {CRASHING}
 
     run_virtual(main())
 
@@ -250,7 +250,7 @@
             attempts.crash(server, (attempt_id,), service)
             await asyncio.sleep(0.01)
         assert not _is_quarantined(attempts.guard, "popular")
-        assert attempts.guard.condemned() == {}
+        assert attempts.guard.quarantined() == {}
 
     run_virtual(main())
 
@@ -264,7 +264,7 @@
             sent = [attempts.start(f"request-{i}", server) for i in range(9)]
             attempts.crash(server, tuple(sent), zone=server)
             await asyncio.sleep(10.0)
-        assert attempts.guard.condemned() == {}
+        assert attempts.guard.quarantined() == {}
 
     run_virtual(main())
 
@@ -283,7 +283,7 @@
             for i in range(7):
                 attempts.complete(f"other-{i}", "server-2")
             await asyncio.sleep(2.0)
-        assert set(attempts.guard.condemned()) == {CRASHING}
+        assert set(attempts.guard.quarantined()) == {CRASHING}
 
     run_virtual(main())
 
@@ -296,7 +296,7 @@
     async def main() -> None:
         for server, delay_s in (("server-0", 2.0), ("server-1", 6.0)):
             attempt_id = attempts.start(CRASHING, server)
-            attempts.guard.ended(attempt_id, AttemptOutcome.CONNECTION_LOST)
+            attempts.guard.attempt_ended(attempt_id, AttemptOutcome.CONNECTION_LOST)
             await asyncio.sleep(delay_s)
             attempts.crash(server)
         assert not _is_quarantined(attempts.guard, CRASHING)
@@ -311,14 +311,14 @@
     async def main() -> None:
         first, second = Attempts(CrashGuard()), Attempts(CrashGuard())
         first.crash("server-0", (first.start(CRASHING, "server-0"),))
-        suspects = first.guard.fresh()
-        assert first.guard.fresh() == []
-        second.guard.merge(suspects)
-        second.guard.merge(suspects)
+        suspects = first.guard.drain_new_suspects()
+        assert first.guard.drain_new_suspects() == []
+        second.guard.add_suspects(suspects)
+        second.guard.add_suspects(suspects)
         assert not _is_quarantined(second.guard, CRASHING)
         second.crash("server-1", (second.start(CRASHING, "server-1"),))
         assert _is_quarantined(second.guard, CRASHING)
-        first.guard.merge(second.guard.fresh())
+        first.guard.add_suspects(second.guard.drain_new_suspects())
         assert _is_quarantined(first.guard, CRASHING)
 
     run_virtual(main())
@@ -336,7 +336,7 @@
             sent = attempts.start(f"suspect-{index}", f"other-{index}")
             attempts.crash(f"other-{index}", (sent,), zone="zone-1")
             await asyncio.sleep(3.0)
-        assert 5 <= len(attempts.guard.condemned()) <= 20
+        assert 5 <= len(attempts.guard.quarantined()) <= 20
 
     run_virtual(main())
 
@@ -418,7 +418,7 @@
             return
 
         async def act() -> None:
-            assert set(self.attempts.guard.condemned()) <= {CRASHING}
+            assert set(self.attempts.guard.quarantined()) <= {CRASHING}
 
         self.loop.run_until_complete(act())
 
--- a/tests/routing/test_replicas.py
+++ b/tests/routing/test_replicas.py
@@ -17,8 +17,8 @@
         chosen = choose_replica(replicas, now, TYPICAL_S, random)
         counts[chosen] += 1
         key = object()
-        replicas[chosen].begin(key, now, TYPICAL_S)
-        replicas[chosen].answer(key, now + durations_s[chosen])
+        replicas[chosen].record_start(key, now, TYPICAL_S)
+        replicas[chosen].record_answer(key, now + durations_s[chosen])
     return [count / requests for count in counts]
 
 
@@ -39,8 +39,8 @@
     """Guards against ten seconds of traffic to other zones after a pause of 200 ms."""
     local, remote = ReplicaState(3), ReplicaState(3, remote=True)
     key = object()
-    local.begin(key, 0.0, TYPICAL_S)
-    local.answer(key, 0.23)
+    local.record_start(key, 0.0, TYPICAL_S)
+    local.record_answer(key, 0.23)
     random = Random(5)
     chosen = [
         choose_replica([local, remote], 5.0, TYPICAL_S, random) for _ in range(50)
@@ -51,7 +51,7 @@
 def test_stalled_replica_is_avoided_before_it_answers():
     """Guards against sending more requests to a server in the middle of a pause."""
     stalled, other = ReplicaState(3), ReplicaState(3, remote=True)
-    stalled.begin(object(), 0.0, TYPICAL_S)
+    stalled.record_start(object(), 0.0, TYPICAL_S)
     random = Random(5)
     chosen = [
         choose_replica([stalled, other], 0.15, TYPICAL_S, random) for _ in range(50)
@@ -69,12 +69,12 @@
             choose_replica([failing, healthy], now, TYPICAL_S, random)
         ]
         key = object()
-        replica.begin(key, now, TYPICAL_S)
+        replica.record_start(key, now, TYPICAL_S)
         if replica is failing:
             to_failing += 1
-            replica.fail(key, now + 0.001, unreachable=False)
+            replica.record_failure(key, now + 0.001, unreachable=False)
         else:
-            replica.answer(key, now + TYPICAL_S)
+            replica.record_answer(key, now + TYPICAL_S)
     assert to_failing < 20
 
 
@@ -82,8 +82,8 @@
     """Guards against a server that is never used again after a restart."""
     down, up = ReplicaState(3), ReplicaState(3)
     key = object()
-    down.begin(key, 0.0, TYPICAL_S)
-    down.fail(key, 0.0, unreachable=True)
+    down.record_start(key, 0.0, TYPICAL_S)
+    down.record_failure(key, 0.0, unreachable=True)
     random = Random(5)
     soon = [choose_replica([down, up], 0.1, TYPICAL_S, random) for _ in range(50)]
     later = [choose_replica([down, up], 60.0, TYPICAL_S, random) for _ in range(50)]
--- a/tools/measure_fleet.py
+++ b/tools/measure_fleet.py
@@ -15,7 +15,7 @@
     teach,
 )
 from kingcuplug_platform import decode_statement
-from kingcuplug_routing import PaceBoard
+from kingcuplug_routing import SlowServerDetector
 
 SERVER_COUNTS = (1_000, 10_000, 57_000)
 REPORTED_SERVERS = 1_839  # 57,000 servers over 31 control hosts.
@@ -80,11 +80,11 @@
     print(
         f"decode a statement: {(time.process_time() - started) / 20_000 * 1e6:.1f} us"
     )
-    board = PaceBoard()
+    board = SlowServerDetector()
     samples = {f"i-{number:010x}": (2, 2.1) for number in range(36)}
     started = time.process_time()
     for number in range(2_000):
-        board.add(samples, number * 0.01)
+        board.record(samples, number * 0.01)
     elapsed_s = time.process_time() - started
     print(
         f"take a report of 36 servers: {elapsed_s / 2_000 * 1e6:.0f} us, "
--- a/tools/measure_gateway.py
+++ b/tools/measure_gateway.py
@@ -17,9 +17,9 @@
     Gateway,
     GatewaySettings,
     HeaderNames,
-    KnownServer,
     Route,
     RouteTable,
+    ServerInfo,
     ServiceSettings,
 )
 from kingcuplug_http import Limits, Listener, Request, Response
@@ -56,12 +56,14 @@
     )
     route = Route("r", "a", "/", True, (), tuple(names), 2, 60_000, 50_000, 1, 50, 1.0)
     services = {name: ServiceSettings(name, "/", 64) for name in names}
-    gateway.adopt(RouteTable(1, (route,), services, 8_192, 65_536, 3_000, 15_000))
+    gateway.install_routes(
+        RouteTable(1, (route,), services, 8_192, 65_536, 3_000, 15_000)
+    )
     known = [
-        KnownServer(f"i-{name}", name, address, "z", 4, 0, False)
+        ServerInfo(f"i-{name}", name, address, "z", 4, 0, False)
         for name, address in zip(names, addresses, strict=True)
     ]
-    gateway.use(known, hosts=1)
+    gateway.update_fleet(known, hosts=1)
     return gateway
 
 
