--- a/packages/daemon/src/kingcuplug_daemon/_caller_app.py
+++ b/packages/daemon/src/kingcuplug_daemon/_caller_app.py
@@ -305,7 +305,7 @@
                 # A server that withdraws may stop once it has this response, so the
                 # change must first be delivered to the other entry hosts.
                 async with asyncio.timeout(_WITHDRAWAL_TIMEOUT_S):
-                    await session.delivered(session.leases.version)
+                    await session.wait_delivered(session.leases.version)
             return lease
 
         return await self._handle_server_request(request, announce)
--- a/packages/daemon/src/kingcuplug_daemon/_control_node.py
+++ b/packages/daemon/src/kingcuplug_daemon/_control_node.py
@@ -29,7 +29,7 @@
     ConfigurationSource,
     LeaderSource,
     MembershipSettings,
-    Mesh,
+    MeshReplicator,
     SessionServer,
 )
 
@@ -94,7 +94,7 @@
         self.state_machine = SystemStateMachine()
         self.replica: Replica
         self.sessions: SessionServer
-        self.mesh: Mesh
+        self.mesh: MeshReplicator
 
     async def start(self) -> None:
         """Open the data folder, start the log replica and serve sessions.
@@ -127,17 +127,17 @@
             boot_time,
             self._membership_settings,
         )
-        self.mesh = Mesh(
+        self.mesh = MeshReplicator(
             self._address,
             self.sessions.directory,
             self.sessions.verdicts,
-            self.sessions.continuity,
+            self.sessions.completeness,
             self._other_member_addresses,
             self._peers.bind_path("/peer/v1/mesh", _MESH_POLL_TIMEOUT_S),
             boot_time,
             self._membership_settings,
         )
-        self.state_machine.revision_callbacks.append(self.sessions.wake)
+        self.state_machine.revision_callbacks.append(self.sessions.wake_polls)
         await self.replica.start()
         self._background_task = asyncio.create_task(self._run_exchanges())
 
@@ -212,7 +212,7 @@
     async def change_members(self, change: dict[str, Any]) -> dict[str, Any]:
         """Add the control host at an address, or remove a member by its id."""
         if "remove" in change:
-            await self.replica.change(remove=str(change["remove"]))
+            await self.replica.change_members(remove=str(change["remove"]))
             return {"removed": change["remove"]}
         address = str(change["add"])
         role = _parse_role(str(change.get("role", MemberRole.VOTER.value)))
@@ -224,7 +224,7 @@
                 "start it with the role 'control' and pass its peer_address",
             ) from error
         member = Member(identity["member"], identity["host"], address, role)
-        await self.replica.change(add=member)
+        await self.replica.change_members(add=member)
         return {"added": member.id, "role": role.value}
 
     def identity(self) -> dict[str, Any]:
@@ -293,7 +293,7 @@
         except TimeoutError:
             # The list may be empty: leases of an earlier leader also delay a revision.
             in_force = False
-            lagging_hosts = self.sessions.barrier.lagging(revision)
+            lagging_hosts = self.sessions.leader_exchange.lagging(revision)
         return {
             "revision": revision,
             "in_force": in_force,
@@ -350,7 +350,7 @@
     def _leader_source(self) -> LeaderSource:
         status = self.replica.status
         return LeaderSource(
-            leading_until=self.replica.leading_until,
+            leading_until=self.replica.lease_expires_at,
             leader=self._leader_address,
             term=lambda: status().term,
             commit_index=lambda: status().commit_index,
@@ -373,7 +373,7 @@
 
 def leader_address(error: NotLeader) -> str | None:
     """Return the address of the leader that an error refers to."""
-    return None if error.hint is None else error.hint.address
+    return None if error.leader is None else error.leader.address
 
 
 def _deltas_to_json(deltas: Sequence[Any] | None) -> list[Any] | None:
--- a/packages/daemon/src/kingcuplug_daemon/_crash_verdicts.py
+++ b/packages/daemon/src/kingcuplug_daemon/_crash_verdicts.py
@@ -5,7 +5,7 @@
 
 import asyncio
 
-from kingcuplug_membership import SessionClient, Verdict
+from kingcuplug_membership import CrashVerdict, SessionClient
 from kingcuplug_routing import CrashGuard, CrashSuspect
 
 __all__ = ["CrashVerdictExchange"]
@@ -27,7 +27,7 @@
     def __init__(self, session: SessionClient, crash_guard: CrashGuard) -> None:
         self._session = session
         self._crash_guard = crash_guard
-        session.verdicts.watch(self._receive_verdict)
+        session.verdicts.subscribe(self._receive_verdict)
 
     async def run(self) -> None:
         """Report new suspects until cancelled."""
@@ -36,15 +36,15 @@
                 self._session.report(_verdict_from_suspect(suspect))
             await asyncio.sleep(_REPORT_INTERVAL_S)
 
-    def _receive_verdict(self, verdict: Verdict) -> None:
-        if not verdict.condemned:
+    def _receive_verdict(self, verdict: CrashVerdict) -> None:
+        if not verdict.quarantined:
             self._crash_guard.add_suspects(
                 [_suspect_from_verdict(verdict, self._session.verdict_ms)]
             )
 
 
-def _verdict_from_suspect(suspect: CrashSuspect) -> Verdict:
-    return Verdict(
+def _verdict_from_suspect(suspect: CrashSuspect) -> CrashVerdict:
+    return CrashVerdict(
         fingerprint=suspect.fingerprint,
         server=suspect.server,
         incarnation=suspect.incarnation,
@@ -54,7 +54,7 @@
     )
 
 
-def _suspect_from_verdict(verdict: Verdict, verdict_ms: int) -> CrashSuspect:
+def _suspect_from_verdict(verdict: CrashVerdict, verdict_ms: int) -> CrashSuspect:
     return CrashSuspect(
         fingerprint=verdict.fingerprint,
         service=verdict.service,
--- a/packages/daemon/src/kingcuplug_daemon/_peer_app.py
+++ b/packages/daemon/src/kingcuplug_daemon/_peer_app.py
@@ -30,7 +30,7 @@
         return Starlette()
 
     async def handle_barrier(message: dict[str, Any]) -> dict[str, Any]:
-        return control.sessions.barrier.handle(message)
+        return control.sessions.leader_exchange.handle(message)
 
     async def handle_identity(message: dict[str, Any]) -> dict[str, Any]:
         return control.identity()
--- a/packages/daemon/src/kingcuplug_daemon/_peer_client.py
+++ b/packages/daemon/src/kingcuplug_daemon/_peer_client.py
@@ -6,7 +6,7 @@
 import aiohttp
 import orjson
 from kingcuplug_common import KingcuplugError, TlsSettings, traceparent
-from kingcuplug_membership import Call
+from kingcuplug_membership import PeerCall
 
 from kingcuplug_daemon._tls import client_context, reload_identity
 
@@ -66,7 +66,7 @@
         if self._session is not None:
             await self._session.close()
 
-    def bind_path(self, path: str, timeout_s: float) -> Call:
+    def bind_path(self, path: str, timeout_s: float) -> PeerCall:
         """Return a function that posts messages to one path of any peer.
 
         The function raises `NotSent` if the peer cannot have received the message,
--- a/packages/daemon/src/kingcuplug_daemon/_router_updater.py
+++ b/packages/daemon/src/kingcuplug_daemon/_router_updater.py
@@ -45,7 +45,7 @@
         self._live_entry_hosts = 1
         self._last_entries: dict[tuple[str, str], ServerEntry] = {}
         self._addresses: dict[str, set[str]] = {}
-        session.directory.watch(self._entry_changed)
+        session.directory.subscribe(self._entry_changed)
 
     def update_all(self) -> None:
         """Update every router, after a new revision or number of entry hosts."""
--- a/packages/daemon/src/kingcuplug_daemon/_state_reads.py
+++ b/packages/daemon/src/kingcuplug_daemon/_state_reads.py
@@ -56,7 +56,7 @@
                 "host": status.host,
                 "incarnation": status.incarnation,
                 "availability_zone": status.availability_zone,
-                "confirmed_revision": status.confirmed,
+                "confirmed_revision": status.confirmed_revision,
                 "control_host": status.control_host,
             }
             for status in sessions.hosts()
--- a/packages/daemon/src/kingcuplug_daemon/_tracing.py
+++ b/packages/daemon/src/kingcuplug_daemon/_tracing.py
@@ -4,7 +4,7 @@
 
 from kingcuplug_common import request_span, start_hop
 from kingcuplug_ledger import Submit
-from kingcuplug_membership import Call
+from kingcuplug_membership import PeerCall
 from opentelemetry.trace import Tracer
 
 __all__ = ["traced_session", "traced_submit"]
@@ -20,7 +20,7 @@
     return traced
 
 
-def traced_session(call: Call, tracer: Tracer) -> Call:
+def traced_session(call: PeerCall, tracer: Tracer) -> PeerCall:
     """Return `call` with a separate trace per exchange of the session."""
 
     async def traced(address: str, message: dict[str, Any]) -> dict[str, Any]:
--- a/packages/fleet/src/kingcuplug_fleet/__init__.py
+++ b/packages/fleet/src/kingcuplug_fleet/__init__.py
@@ -1,46 +1,50 @@
 """Discovery and replication of backend servers, hosts and routes."""
 
-from kingcuplug_fleet._control_replica import Core, CoreSettings, CoreUnavailable
+from kingcuplug_fleet._control_replica import (
+    ControlReplica,
+    ControlReplicaSettings,
+    CoreUnavailable,
+)
 from kingcuplug_fleet._directory import Directory
 from kingcuplug_fleet._directory_file import DirectoryFile
-from kingcuplug_fleet._fleet_view import Knowledge
+from kingcuplug_fleet._fleet_view import FleetView
 from kingcuplug_fleet._membership import JoinRequest, next_membership_change
-from kingcuplug_fleet._mesh import REPORT_PATH, SHARE_PATH, Mesh
-from kingcuplug_fleet._mesh_messages import Report, ShareMessage
+from kingcuplug_fleet._mesh import PUSH_PATH, REPORT_PATH, Mesh
+from kingcuplug_fleet._mesh_messages import PushMessage, Report
 from kingcuplug_fleet._peer_client import (
+    PeerClient,
     PeerFailed,
     PeerRefused,
-    Peers,
     decode_body,
     encode_body,
 )
-from kingcuplug_fleet._polling import LEARN_PATH, Learner, teach
+from kingcuplug_fleet._polling import POLL_PATH, ControlHostPoller, answer_poll
 from kingcuplug_fleet._route_register import RouteRegister
 from kingcuplug_fleet._server_record import ServerRecord, ServerState
 
 __all__ = [
-    "LEARN_PATH",
+    "POLL_PATH",
+    "PUSH_PATH",
     "REPORT_PATH",
-    "SHARE_PATH",
-    "Core",
-    "CoreSettings",
+    "ControlHostPoller",
+    "ControlReplica",
+    "ControlReplicaSettings",
     "CoreUnavailable",
     "Directory",
     "DirectoryFile",
+    "FleetView",
     "JoinRequest",
-    "Knowledge",
-    "Learner",
     "Mesh",
+    "PeerClient",
     "PeerFailed",
     "PeerRefused",
-    "Peers",
+    "PushMessage",
     "Report",
     "RouteRegister",
     "ServerRecord",
     "ServerState",
-    "ShareMessage",
+    "answer_poll",
     "decode_body",
     "encode_body",
     "next_membership_change",
-    "teach",
 ]
--- a/packages/fleet/src/kingcuplug_fleet/_control_replica.py
+++ b/packages/fleet/src/kingcuplug_fleet/_control_replica.py
@@ -32,10 +32,10 @@
 )
 
 from kingcuplug_fleet._membership import JoinRequest, next_membership_change
-from kingcuplug_fleet._peer_client import PeerFailed, Peers
+from kingcuplug_fleet._peer_client import PeerClient, PeerFailed
 from kingcuplug_fleet._route_register import RouteRegister
 
-__all__ = ["Core", "CoreSettings", "CoreUnavailable"]
+__all__ = ["ControlReplica", "ControlReplicaSettings", "CoreUnavailable"]
 
 LOG_PATH = "/peer/v2/log"
 BARRIER_PATH = "/peer/v2/barrier"
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True)
-class CoreSettings:
+class ControlReplicaSettings:
     """Settings of the control part.
 
     Attributes
@@ -106,7 +106,7 @@
     return waited_s > _FORMATION_TIMEOUT_S and voters > seeds // 2
 
 
-class Core:
+class ControlReplica:
     """Runs a replica of the log, and reopens it after a failure of the disk.
 
     Parameters
@@ -117,8 +117,8 @@
 
     def __init__(
         self,
-        settings: CoreSettings,
-        client: Peers,
+        settings: ControlReplicaSettings,
+        client: PeerClient,
         register: RouteRegister,
         known_control_hosts: Callable[[], set[str]],
         log: EventLog,
@@ -147,7 +147,7 @@
 
     def connected(self) -> bool:
         """Return whether the applied state is at most one second old."""
-        return self._replica is not None and self._replica.connected()
+        return self._replica is not None and self._replica.has_active_leader()
 
     def members(self) -> list[str]:
         """Return the addresses of all members of the group."""
@@ -157,12 +157,12 @@
 
     def leader(self) -> str | None:
         """Return the leader's address while connected to it, otherwise ``None``."""
-        if self._replica is None or not self._replica.connected():
+        if self._replica is None or not self._replica.has_active_leader():
             return None
         leader = self._replica.status().leader
         return leader.address if leader is not None else None
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Return whether this host is the leader of the group."""
         return self._replica is not None and self._replica.leading
 
@@ -213,7 +213,7 @@
             raise CoreUnavailable(f"read not confirmed: {error!r}") from error
         return self._register
 
-    async def answer(self, path: str, value: Any) -> Any:
+    async def handle_call(self, path: str, value: Any) -> Any:
         """Execute a call of another control host and return the reply.
 
         Raises
@@ -298,9 +298,9 @@
                 await asyncio.sleep(_MEMBERSHIP_INTERVAL_S)
                 continue
             self._replacements = 0
-            own = replica.find(member.id)
+            own = replica.find_member(member.id)
             is_voter = own is not None and own.role is MemberRole.VOTER
-            if not is_voter or not replica.connected():
+            if not is_voter or not replica.has_active_leader():
                 await self._request_join(member)
             await asyncio.sleep(_JOIN_INTERVAL_S)
         raise OSError("log storage failed")
@@ -355,7 +355,7 @@
         removed = change if isinstance(change, str) else None
         try:
             async with asyncio.timeout(_CHANGE_TIMEOUT_S):
-                await replica.change(add=added, remove=removed)
+                await replica.change_members(add=added, remove=removed)
         except (ChangeRefused, NotLeader, LostLeadership, StorageFailed, TimeoutError):
             return
         self._update_replacements(added, requests)
@@ -375,7 +375,7 @@
 
     async def _send(self, peer: str, message: dict[str, Any]) -> dict[str, Any]:
         replica = self._replica
-        member = replica.find(peer) if replica is not None else None
+        member = replica.find_member(peer) if replica is not None else None
         if member is None:
             raise ConnectionError(f"{peer} is not a member of the group")
         timeout_s = LOG_SETTINGS.rpc_timeout_ms / _MS_PER_S
--- a/packages/fleet/src/kingcuplug_fleet/_directory.py
+++ b/packages/fleet/src/kingcuplug_fleet/_directory.py
@@ -23,7 +23,7 @@
     record: ServerRecord
     version: int
     heartbeat_at: float
-    first_hand: bool
+    direct: bool
 
 
 class Directory:
@@ -53,7 +53,7 @@
         self.direct_version = 0
         self.digest = 0
 
-    def merge(self, record: ServerRecord, now: float, first_hand: bool = False) -> bool:
+    def merge(self, record: ServerRecord, now: float, direct: bool = False) -> bool:
         """Merge a record; return whether it must be propagated to other hosts.
 
         Parameters
@@ -69,21 +69,21 @@
             entry.heartbeat_at = now
             return False
         self.version += 1
-        if first_hand:
+        if direct:
             self.direct_version = self.version
         if entry is not None:
             self.digest ^= _digest(entry.record)
         self.digest ^= _digest(record)
-        self._entries[record.id] = _Entry(record, self.version, now, first_hand)
+        self._entries[record.id] = _Entry(record, self.version, now, direct)
         self._claim_address(record)
         return True
 
     def record_heartbeat(
-        self, server_id: str, born_ms: int, sequence: int, now: float
+        self, server_id: str, start_ms: int, sequence: int, now: float
     ) -> None:
         """Record a heartbeat that another host has received from a server."""
         entry = self._entries.get(server_id)
-        if entry is None or entry.record.born_ms != born_ms:
+        if entry is None or entry.record.start_ms != start_ms:
             return
         if sequence >= entry.record.sequence:
             entry.heartbeat_at = now
@@ -99,7 +99,7 @@
             if identifier not in silent:
                 entry.heartbeat_at = now
 
-    def since(self, version: int, first_hand: bool = False) -> list[ServerRecord]:
+    def changed_since(self, version: int, direct: bool = False) -> list[ServerRecord]:
         """Return the records that changed after a version.
 
         Parameters
@@ -110,7 +110,7 @@
         return [
             entry.record
             for entry in self._entries.values()
-            if entry.version > version and (entry.first_hand or not first_hand)
+            if entry.version > version and (entry.direct or not direct)
         ]
 
     def not_ready(self) -> list[ServerRecord]:
@@ -152,7 +152,7 @@
 
     def _claim_address(self, record: ServerRecord) -> None:
         current = self.find(self._newest_by_address.get(record.address, ""))
-        if current is None or current.born_ms <= record.born_ms:
+        if current is None or current.start_ms <= record.start_ms:
             self._newest_by_address[record.address] = record.id
 
 
@@ -162,7 +162,7 @@
         return 0
     content = (
         record.id,
-        record.born_ms,
+        record.start_ms,
         record.service,
         record.address,
         record.slots,
--- a/packages/fleet/src/kingcuplug_fleet/_directory_file.py
+++ b/packages/fleet/src/kingcuplug_fleet/_directory_file.py
@@ -12,7 +12,7 @@
 import orjson
 from kingcuplug_common import EventLog
 
-from kingcuplug_fleet._fleet_view import Knowledge
+from kingcuplug_fleet._fleet_view import FleetView
 from kingcuplug_fleet._server_record import ServerRecord
 
 __all__ = ["DirectoryFile"]
@@ -26,7 +26,7 @@
 class DirectoryFile:
     """Saves the directory to a file on changes, and loads it at startup."""
 
-    def __init__(self, folder: Path, view: Knowledge, log: EventLog) -> None:
+    def __init__(self, folder: Path, view: FleetView, log: EventLog) -> None:
         self._path = folder / _FILE_NAME
         self._view = view
         self._log = log
@@ -44,7 +44,7 @@
             # restore the directory.
             self._log.write("directory_file_unreadable", {"error": repr(error)})
             return
-        self._view.learn_servers(records)
+        self._view.merge_servers(records)
         self._view.assume_host_count(hosts)
         self._log.write("directory_loaded", {"servers": len(records)}, always=True)
 
@@ -56,8 +56,8 @@
                 lambda old=written_version: directory.version != old  # type: ignore[misc]
             )
             version = directory.version
-            records = [record.to_json() for record in directory.since(0)]
-            data = orjson.dumps({"servers": records, "hosts": self._view.hosts})
+            records = [record.to_json() for record in directory.changed_since(0)]
+            data = orjson.dumps({"servers": records, "hosts": self._view.host_count})
             try:
                 await asyncio.to_thread(self._write, data)
                 written_version = version
--- a/packages/fleet/src/kingcuplug_fleet/_fleet_view.py
+++ b/packages/fleet/src/kingcuplug_fleet/_fleet_view.py
@@ -12,7 +12,7 @@
 from kingcuplug_fleet._directory import Directory
 from kingcuplug_fleet._server_record import ServerRecord
 
-__all__ = ["Knowledge"]
+__all__ = ["FleetView"]
 
 # A host polls its control host at least once a second.
 _HOST_TIMEOUT_S = 3.5
@@ -24,7 +24,7 @@
 _STATE_DIGEST_BYTES = 8
 
 
-class Knowledge:
+class FleetView:
     """A host's view of servers, the newest routes, control hosts and live hosts.
 
     Parameters
@@ -72,14 +72,14 @@
         self.directory = Directory(silent_after_s)
         self.routes_version = 0
         self.routes_document = ""
-        self.control: tuple[str, ...] = ()
-        self.hosts = 0
-        self.silent: set[str] = set()
-        self.slow: dict[str, float] = {}
+        self.control_hosts: tuple[str, ...] = ()
+        self.host_count = 0
+        self.silent_servers: set[str] = set()
+        self.slow_servers: dict[str, float] = {}
         self.paces = SlowServerDetector()
         self.zones: dict[str, str] = {}
-        self.reachable: tuple[str, ...] = ()
-        self.requests = 0
+        self.reachable_control_hosts: tuple[str, ...] = ()
+        self.request_count = 0
         self._request_window = SlidingWindowCounter(_REQUESTS_WINDOW_S)
         self._request_window_started_at = self._started_at
         self._encoded_state = b""
@@ -88,16 +88,16 @@
     def state(self) -> list[Any]:
         """Return the state that hosts copy from their control host, without servers."""
         return [
-            sorted(self.silent),
-            dict(sorted(self.slow.items())),
-            list(self.control),
+            sorted(self.silent_servers),
+            dict(sorted(self.slow_servers.items())),
+            list(self.control_hosts),
             dict(sorted(self.zones.items())),
-            self.hosts,
-            self.requests,
-            list(self.reachable),
+            self.host_count,
+            self.request_count,
+            list(self.reachable_control_hosts),
         ]
 
-    def state_key(self) -> str:
+    def state_digest(self) -> str:
         """Return a digest of `state`."""
         data = orjson.dumps(self.state())
         if data != self._encoded_state:
@@ -106,45 +106,43 @@
             self._state_digest = digest.hexdigest()
         return self._state_digest
 
-    def learn_routes(self, version: int, document: str) -> None:
+    def update_routes(self, version: int, document: str) -> None:
         """Replace the route document if the version is newer."""
         if version > self.routes_version:
             self.routes_version, self.routes_document = version, document
             self.changed.notify()
 
-    def learn_servers(
-        self, records: list[ServerRecord], first_hand: bool = False
-    ) -> bool:
+    def merge_servers(self, records: list[ServerRecord], direct: bool = False) -> bool:
         """Merge records into the directory; return whether one must be propagated."""
         now, merge = self._loop.time(), self.directory.merge
-        changes = [record for record in records if merge(record, now, first_hand)]
+        changes = [record for record in records if merge(record, now, direct)]
         if changes:
             self.changed.notify()
         return bool(changes)
 
-    def learn_control(self, addresses: list[str]) -> None:
+    def set_control_hosts(self, addresses: list[str]) -> None:
         """Replace the addresses of the control hosts, unless the list is empty."""
         control_hosts = tuple(sorted(addresses))
-        if control_hosts and control_hosts != self.control:
-            self.control = control_hosts
+        if control_hosts and control_hosts != self.control_hosts:
+            self.control_hosts = control_hosts
             self.changed.notify()
 
     def set_silent_servers(self, server_ids: set[str]) -> None:
         """Replace the ids of the servers whose heartbeats have stopped."""
-        if server_ids != self.silent:
-            self.silent = server_ids
+        if server_ids != self.silent_servers:
+            self.silent_servers = server_ids
             self.changed.notify()
 
     def set_slow_servers(self, paces: dict[str, float]) -> None:
         """Replace the paces of slow servers, by id."""
-        if paces != self.slow:
-            self.slow = paces
+        if paces != self.slow_servers:
+            self.slow_servers = paces
             self.changed.notify()
 
     def set_reachable_control_hosts(self, addresses: tuple[str, ...]) -> None:
         """Replace the addresses of the control hosts that the leader can reach."""
-        if addresses != self.reachable:
-            self.reachable = addresses
+        if addresses != self.reachable_control_hosts:
+            self.reachable_control_hosts = addresses
             self.changed.notify()
 
     def assume_host_count(self, count: int) -> None:
@@ -153,7 +151,7 @@
         self._assumed_host_count = count
         self.set_host_count(count)
 
-    def near(self, availability_zone: str, key: str) -> str | None:
+    def control_host_in_zone(self, availability_zone: str, key: str) -> str | None:
         """Return a reachable control host in an availability zone, if there is one.
 
         Parameters
@@ -162,7 +160,11 @@
             Key for rendezvous hashing: the same key selects the same control host
             while that host is reachable.
         """
-        near = [a for a in self.reachable if self.zones.get(a) == availability_zone]
+        near = [
+            a
+            for a in self.reachable_control_hosts
+            if self.zones.get(a) == availability_zone
+        ]
         return max(near, key=lambda a: crc32(f"{key} {a}".encode()), default=None)
 
     def update_host_count(self) -> None:
@@ -177,14 +179,14 @@
 
     def set_host_count(self, count: int) -> None:
         """Set the number of live hosts."""
-        if count != self.hosts:
-            self.hosts = count
+        if count != self.host_count:
+            self.host_count = count
             self.changed.notify()
 
     def set_request_count(self, count: int) -> None:
         """Set the number of requests of all hosts in the last ten seconds."""
-        if count != self.requests:
-            self.requests = count
+        if count != self.request_count:
+            self.request_count = count
             self.changed.notify()
 
     def restart_request_count(self) -> None:
@@ -200,7 +202,10 @@
         if now - self._request_window_started_at < _REQUESTS_WINDOW_S:
             return
         total = self._request_window.total(now)
-        if abs(total - self.requests) > self.requests * _MIN_REQUEST_CHANGE_RATIO:
+        if (
+            abs(total - self.request_count)
+            > self.request_count * _MIN_REQUEST_CHANGE_RATIO
+        ):
             self.set_request_count(total)
 
     def record_host_poll(self, name: str) -> None:
--- a/packages/fleet/src/kingcuplug_fleet/_mesh.py
+++ b/packages/fleet/src/kingcuplug_fleet/_mesh.py
@@ -21,14 +21,14 @@
 
 from kingcuplug_common import EventLog
 
-from kingcuplug_fleet._fleet_view import Knowledge
-from kingcuplug_fleet._mesh_messages import Heartbeats, Report, ShareMessage, Summary
-from kingcuplug_fleet._peer_client import PeerFailed, Peers
+from kingcuplug_fleet._fleet_view import FleetView
+from kingcuplug_fleet._mesh_messages import Heartbeats, PushMessage, Report, Summary
+from kingcuplug_fleet._peer_client import PeerClient, PeerFailed
 from kingcuplug_fleet._server_record import ServerRecord
 
-__all__ = ["REPORT_PATH", "SHARE_PATH", "Mesh"]
+__all__ = ["PUSH_PATH", "REPORT_PATH", "Mesh"]
 
-SHARE_PATH = "/peer/v2/share"
+PUSH_PATH = "/peer/v2/share"
 REPORT_PATH = "/peer/v2/report"
 
 # Short enough for several reports within the time-outs of servers and hosts.
@@ -112,8 +112,8 @@
     def __init__(
         self,
         host: str,
-        view: Knowledge,
-        client: Peers,
+        view: FleetView,
+        client: PeerClient,
         own_address: str,
         availability_zone: str,
         leader: Callable[[], str | None],
@@ -147,11 +147,11 @@
             for peer in self._peers.values():
                 peer.task.cancel()
 
-    def hear(self, record: ServerRecord) -> None:
+    def record_heartbeat(self, record: ServerRecord) -> None:
         """Record a heartbeat of a server for the next report."""
-        self._heartbeats[record.id] = (record.born_ms, record.sequence)
+        self._heartbeats[record.id] = (record.start_ms, record.sequence)
 
-    def take_report(self, report: Report) -> None:
+    def receive_report(self, report: Report) -> None:
         """Add the report of a host, which may be this one.
 
         Only the coordinator aggregates reports, because sending all reports to all
@@ -163,7 +163,7 @@
         self._view.paces.record(report.samples, self._loop.time())
         self._view.add_requests(report.requests)
 
-    async def tell(self, record: ServerRecord) -> bool:
+    async def replicate(self, record: ServerRecord) -> bool:
         """Push a record until one other control host has acknowledged it.
 
         Returns
@@ -188,17 +188,17 @@
     async def _push_acknowledged(self, address: str, value: Any) -> bool:
         """Push a message; return whether the other control host acknowledged it."""
         try:
-            await self._client.call(address, SHARE_PATH, value, _REPLICATE_TIMEOUT_S)
+            await self._client.call(address, PUSH_PATH, value, _REPLICATE_TIMEOUT_S)
         except PeerFailed:
             return False
         return True
 
-    def take(self, value: Any) -> dict[str, Any]:
+    def receive_push(self, value: Any) -> dict[str, Any]:
         """Apply a push of another control host and return the reply."""
-        message = ShareMessage.from_json(value)
+        message = PushMessage.from_json(value)
         view, now = self._view, self._loop.time()
-        view.learn_servers(message.servers)
-        for server_id, (start_ms, sequence) in message.heard.items():
+        view.merge_servers(message.servers)
+        for server_id, (start_ms, sequence) in message.heartbeats.items():
             view.directory.record_heartbeat(server_id, start_ms, sequence, now)
         for host in message.hosts:
             view.record_remote_host_poll(host)
@@ -226,7 +226,7 @@
         if self._leader() is None:
             return
         view.set_silent_servers(set(summary.silent))
-        view.directory.reset_heartbeat_times(now, view.silent)
+        view.directory.reset_heartbeat_times(now, view.silent_servers)
         view.set_host_count(summary.hosts)
         view.set_request_count(summary.requests)
         view.zones.update(summary.reachable)
@@ -243,7 +243,7 @@
         return [a for a, peer in self._peers.items() if peer.last_push_at > limit]
 
     def _update_peers(self) -> None:
-        addresses = set(self._view.control) - {self._own_address}
+        addresses = set(self._view.control_hosts) - {self._own_address}
         for address in self._peers.keys() - addresses:
             self._peers.pop(address).task.cancel()
         for address in addresses - self._peers.keys():
@@ -280,8 +280,8 @@
         if is_leader and not self._was_leader:
             # Reports were sent to another leader until now, so the local times of
             # heartbeats and polls are out of date.
-            view.directory.reset_heartbeat_times(now, view.silent)
-            view.assume_host_count(view.hosts)
+            view.directory.reset_heartbeat_times(now, view.silent_servers)
+            view.assume_host_count(view.host_count)
             view.restart_request_count()
         self._was_leader = is_leader
         if coordinator != self._last_coordinator:
@@ -315,8 +315,8 @@
         directory = self._view.directory
         version, summary = directory.version, self._summary()
         full_sync = peer.needs_full_sync(self._loop.time())
-        records = directory.since(
-            0 if full_sync else peer.acknowledged_version, first_hand=not full_sync
+        records = directory.changed_since(
+            0 if full_sync else peer.acknowledged_version, direct=not full_sync
         )
         coordinator = self._coordinator()
         include_report = self._leader() is None or coordinator == address
@@ -326,7 +326,7 @@
         message = self._message(records, heartbeats, summary, with_hosts=include_report)
         try:
             reply = await self._client.call(
-                address, SHARE_PATH, message.to_json(), _PUSH_TIMEOUT_S
+                address, PUSH_PATH, message.to_json(), _PUSH_TIMEOUT_S
             )
         except PeerFailed:
             # The heartbeats of this report are lost; servers soon repeat them.
@@ -372,26 +372,26 @@
             return None
         view = self._view
         return Summary(
-            sorted(view.silent),
-            view.slow,
-            view.hosts,
-            view.requests,
-            {a: view.zones.get(a, "") for a in view.reachable},
+            sorted(view.silent_servers),
+            view.slow_servers,
+            view.host_count,
+            view.request_count,
+            {a: view.zones.get(a, "") for a in view.reachable_control_hosts},
         )
 
     def _message(
         self,
         records: list[ServerRecord],
-        heard: Heartbeats | None = None,
+        heartbeats: Heartbeats | None = None,
         summary: Summary | None = None,
         with_hosts: bool = False,
-    ) -> ShareMessage:
-        return ShareMessage(
+    ) -> PushMessage:
+        return PushMessage(
             self._own_address,
             self._zone,
             self._view.directory.digest,
             records,
-            heard or {},
+            heartbeats or {},
             self._view.local_hosts() if with_hosts else [],
             summary,
         )
--- a/packages/fleet/src/kingcuplug_fleet/_mesh_messages.py
+++ b/packages/fleet/src/kingcuplug_fleet/_mesh_messages.py
@@ -7,7 +7,7 @@
 
 from kingcuplug_fleet._server_record import ServerRecord
 
-__all__ = ["Heartbeats", "Report", "ShareMessage", "Summary"]
+__all__ = ["Heartbeats", "PushMessage", "Report", "Summary"]
 
 # Start time and sequence of each server's last heartbeat, by server id.
 Heartbeats = dict[str, tuple[int, int]]
@@ -76,7 +76,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ShareMessage:
+class PushMessage:
     """One push from one control host to another.
 
     Attributes
@@ -97,7 +97,7 @@
     availability_zone: str
     digest: int
     servers: list[ServerRecord] = field(default_factory=list)
-    heard: Heartbeats = field(default_factory=dict)
+    heartbeats: Heartbeats = field(default_factory=dict)
     hosts: list[str] = field(default_factory=list)
     summary: Summary | None = None
 
@@ -109,13 +109,13 @@
             self.availability_zone,
             self.digest,
             [record.to_json() for record in self.servers],
-            self.heard,
+            self.heartbeats,
             self.hosts,
             summary.to_json() if summary is not None else None,
         ]
 
     @classmethod
-    def from_json(cls, value: list[Any]) -> "ShareMessage":
+    def from_json(cls, value: list[Any]) -> "PushMessage":
         """Return the message described by a JSON array of another host."""
         address, zone, digest, servers, heartbeats, hosts, summary = value
         return cls(
--- a/packages/fleet/src/kingcuplug_fleet/_peer_client.py
+++ b/packages/fleet/src/kingcuplug_fleet/_peer_client.py
@@ -13,7 +13,7 @@
 from kingcuplug_common import KingcuplugError
 from kingcuplug_http import Headers, OutboundConnection, Reply, Response, connect
 
-__all__ = ["PeerFailed", "PeerRefused", "Peers", "decode_body", "encode_body"]
+__all__ = ["PeerClient", "PeerFailed", "PeerRefused", "decode_body", "encode_body"]
 
 # Shorter than the idle time-out of the listeners of other hosts.
 _IDLE_TIMEOUT_S = 8.0
@@ -64,7 +64,7 @@
     """Another host responded that it did not execute the call."""
 
 
-class Peers:
+class PeerClient:
     """Client for calls to other hosts, with a pool of idle connections."""
 
     def __init__(self) -> None:
--- a/packages/fleet/src/kingcuplug_fleet/_polling.py
+++ b/packages/fleet/src/kingcuplug_fleet/_polling.py
@@ -15,15 +15,15 @@
 
 from kingcuplug_common import EventLog
 
-from kingcuplug_fleet._fleet_view import Knowledge
+from kingcuplug_fleet._fleet_view import FleetView
 from kingcuplug_fleet._mesh import REPORT_PATH
 from kingcuplug_fleet._mesh_messages import Report
-from kingcuplug_fleet._peer_client import PeerFailed, Peers
+from kingcuplug_fleet._peer_client import PeerClient, PeerFailed
 from kingcuplug_fleet._server_record import ServerRecord
 
-__all__ = ["LEARN_PATH", "Learner", "teach"]
+__all__ = ["POLL_PATH", "ControlHostPoller", "answer_poll"]
 
-LEARN_PATH = "/peer/v2/learn"
+POLL_PATH = "/peer/v2/learn"
 
 _MAX_WAIT_S = 0.8
 # One round trip and the processing time of a busy control host, in addition to the
@@ -42,8 +42,8 @@
 _REPORT_TIMEOUT_S = 0.5
 
 
-async def teach(
-    view: Knowledge, connected: Callable[[], bool], own_address: str, value: Any
+async def answer_poll(
+    view: FleetView, connected: Callable[[], bool], own_address: str, value: Any
 ) -> dict[str, Any]:
     """Return the response to a host's poll.
 
@@ -63,9 +63,9 @@
     if not connected() and _zone_has_control_host(view, own_address, value["zone"]):
         # Without a leader the polling host goes on to the next control host, so it
         # gets no records.
-        return {"connected": False, "slow": view.slow}
+        return {"connected": False, "slow": view.slow_servers}
     view.record_host_poll(value["host"])
-    view.learn_servers([ServerRecord.from_json(r) for r in value["servers"]])
+    view.merge_servers([ServerRecord.from_json(r) for r in value["servers"]])
     directory = view.directory
     cursor = 0
     if value["epoch"] == view.epoch:
@@ -78,7 +78,7 @@
         return (
             directory.version > cursor
             or view.routes_version > value["routes"]
-            or view.state_key() != value["state_key"]
+            or view.state_digest() != value["state_key"]
         )
 
     if connected() and value["wait"]:
@@ -87,28 +87,28 @@
     reply: dict[str, Any] = {
         "epoch": view.epoch,
         "cursor": directory.version,
-        "servers": [record.to_json() for record in directory.since(cursor)],
+        "servers": [record.to_json() for record in directory.changed_since(cursor)],
         "connected": connected(),
     }
     if view.routes_version > value["routes"]:
         reply["routes"] = view.routes_version
         reply["document"] = view.routes_document
     if not connected():
-        reply["slow"] = view.slow
-    elif view.state_key() != value["state_key"]:
+        reply["slow"] = view.slow_servers
+    elif view.state_digest() != value["state_key"]:
         reply["state"] = view.state()
-        reply["state_key"] = view.state_key()
+        reply["state_key"] = view.state_digest()
     return reply
 
 
-def _should_redirect(view: Knowledge, own_address: str, zone: str | None) -> bool:
+def _should_redirect(view: FleetView, own_address: str, zone: str | None) -> bool:
     """Return whether a reachable control host is nearer to the polling host."""
     if not _zone_has_control_host(view, own_address, zone):
         return False
-    return zone is not None and view.near(zone, own_address) is not None
+    return zone is not None and view.control_host_in_zone(zone, own_address) is not None
 
 
-def _zone_has_control_host(view: Knowledge, own_address: str, zone: str | None) -> bool:
+def _zone_has_control_host(view: FleetView, own_address: str, zone: str | None) -> bool:
     """Return whether a zone that is not this control host's has control hosts."""
     if zone is None or view.zones.get(own_address) == zone:
         return False
@@ -121,7 +121,7 @@
     version: int = 0
 
 
-class Learner:
+class ControlHostPoller:
     """Polls one control host for changes, and fails over to others.
 
     Parameters
@@ -146,8 +146,8 @@
     def __init__(
         self,
         host: str,
-        view: Knowledge,
-        client: Peers,
+        view: FleetView,
+        client: PeerClient,
         seeds: Callable[[], tuple[str, ...]],
         paused: Callable[[], bool],
         own_address: str,
@@ -169,7 +169,7 @@
         # Receives reports while no control host is connected to a leader.
         self._last_responder: str | None = None
         self._state_digest = ""
-        self.teacher: str | None = None
+        self.control_host: str | None = None
         self.confirmed_at = -math.inf
 
     async def run(self) -> None:
@@ -179,7 +179,7 @@
             if self._paused():
                 await asyncio.sleep(_MAX_WAIT_S / 2)
                 continue
-            address = self.teacher or self._select_control_host()
+            address = self.control_host or self._select_control_host()
             if address is not None and await self._poll(address):
                 failures = 0
                 continue
@@ -189,7 +189,7 @@
 
     async def report(self, report: Report) -> None:
         """Send a report to the control host, without a retry if it is lost."""
-        address = self.teacher or self._last_responder
+        address = self.control_host or self._last_responder
         if address is not None and report != Report():
             with contextlib.suppress(PeerFailed):
                 await self._client.call(
@@ -200,7 +200,7 @@
         """Return a control host, preferably one that has not failed recently."""
         now = asyncio.get_running_loop().time()
         # The seeds may be the only reachable ones if all discovered ones are gone.
-        candidates = set(self._view.control) | set(self._seeds())
+        candidates = set(self._view.control_hosts) | set(self._seeds())
         candidates.discard(self._own_address)
         limit = now - _FAILURE_COOLDOWN_S
         healthy = [a for a in candidates if self._avoided_since.get(a, limit) <= limit]
@@ -226,12 +226,12 @@
     def _mark_failed(self, address: str | None) -> None:
         if address is not None:
             self._avoided_since[address] = asyncio.get_running_loop().time()
-        if self.teacher is not None:
+        if self.control_host is not None:
             self._log.write("control_host_lost", {"address": address}, always=True)
             # Without reports the number of requests is out of date.
             self._view.set_request_count(0)
             self._state_digest = ""
-        self.teacher = None
+        self.control_host = None
 
     async def _poll(self, address: str) -> bool:
         """Poll once; return whether to poll the same control host again."""
@@ -253,14 +253,14 @@
             "zone": None if self._near_poll_failed() else self._zone,
             # The first response is not delayed, so that it shows at once that the
             # control host is alive.
-            "wait": self.teacher == address,
+            "wait": self.control_host == address,
         }
         sent_at = asyncio.get_running_loop().time()
         timeout_s = _RESPONSE_TIMEOUT_S + (
-            _MAX_WAIT_S if self.teacher == address else 0
+            _MAX_WAIT_S if self.control_host == address else 0
         )
         try:
-            reply = await self._client.call(address, LEARN_PATH, value, timeout_s)
+            reply = await self._client.call(address, POLL_PATH, value, timeout_s)
         except PeerFailed:
             self._poll_failed_at[address] = asyncio.get_running_loop().time()
             return False
@@ -269,8 +269,8 @@
             return False
         if "nearer" in reply:
             view.zones = reply["nearer"]
-            view.learn_control(list(reply["nearer"]))
-            self.teacher = None
+            view.set_control_hosts(list(reply["nearer"]))
+            self.control_host = None
             return self._is_near(self._select_control_host() or "")
         self._apply_reply(reply)
         self._last_responder = address
@@ -288,18 +288,18 @@
             self._select_control_host() or ""
         ):
             # Traffic between availability zones is billed.
-            self.teacher = None
+            self.control_host = None
             return True
-        if self.teacher != address:
-            self.teacher = address
+        if self.control_host != address:
+            self.control_host = address
             self._log.write("control_host_found", {"address": address}, always=True)
         return True
 
     def _apply_reply(self, reply: Any) -> None:
         view = self._view
         if "document" in reply:
-            view.learn_routes(reply["routes"], reply["document"])
-        view.learn_servers([ServerRecord.from_json(r) for r in reply["servers"]])
+            view.update_routes(reply["routes"], reply["document"])
+        view.merge_servers([ServerRecord.from_json(r) for r in reply["servers"]])
         if "state" in reply:
             self._apply_state(reply["state"])
             self._state_digest = reply["state_key"]
@@ -308,7 +308,7 @@
 
     def _apply_slow_servers(self, slow: dict[str, float]) -> None:
         """Apply the slow servers sent by a control host that has no leader."""
-        if self.teacher is None:
+        if self.control_host is None:
             self._view.set_slow_servers(slow)
             self._state_digest = ""
 
@@ -317,7 +317,7 @@
         silent, slow, control_hosts, zones, host_count, request_count, reachable = state
         view.set_silent_servers(set(silent))
         view.set_slow_servers(slow)
-        view.learn_control(control_hosts)
+        view.set_control_hosts(control_hosts)
         view.zones = zones
         view.set_host_count(host_count)
         view.set_request_count(request_count)
--- a/packages/fleet/src/kingcuplug_fleet/_server_record.py
+++ b/packages/fleet/src/kingcuplug_fleet/_server_record.py
@@ -34,7 +34,7 @@
     """
 
     id: str
-    born_ms: int
+    start_ms: int
     sequence: int
     service: str
     address: str
@@ -46,7 +46,7 @@
     @property
     def rank(self) -> tuple[int, bool, int]:
         """Sort key of records: start time, whether the run has ended, sequence."""
-        return self.born_ms, self.state is ServerState.ENDED, self.sequence
+        return self.start_ms, self.state is ServerState.ENDED, self.sequence
 
     def ended(self) -> "ServerRecord":
         """Return the record for the end of this run of the server."""
@@ -54,8 +54,8 @@
 
     def differs_materially(self, other: "ServerRecord") -> bool:
         """Return whether it differs in a field that other hosts must learn."""
-        return (self.born_ms, self.service, self.address, self.slots, self.state) != (
-            other.born_ms,
+        return (self.start_ms, self.service, self.address, self.slots, self.state) != (
+            other.start_ms,
             other.service,
             other.address,
             other.slots,
@@ -66,7 +66,7 @@
         """Return the fields as a JSON array."""
         return [
             self.id,
-            self.born_ms,
+            self.start_ms,
             self.sequence,
             self.service,
             self.address,
--- a/packages/gateway/src/kingcuplug_gateway/_gateway.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gateway.py
@@ -13,7 +13,7 @@
     Limits,
     Request,
     Response,
-    end_to_end,
+    end_to_end_headers,
     error_response,
 )
 from kingcuplug_routing import (
@@ -476,7 +476,7 @@
     ) -> PartialAnswerPolicy:
         # The caller measures from before it connects, so the first request on a
         # connection includes the TCP handshake.
-        trips = _TRIPS_WITH_CONNECT if request.first else 2
+        trips = _TRIPS_WITH_CONNECT if request.first_on_connection else 2
         network_ms = trips * self._settings.caller_delay_ms
         target_ms = route.target_ms - network_ms - self._settings.answer_margin_ms
         final_at = self._answer_due_at(outbound)
@@ -492,7 +492,7 @@
     def _outbound_request(self, request: Request, route: Route) -> OutboundRequest:
         header_names = self._header_names
         lines = [b"%s %s HTTP/1.1\r\n" % (request.method, request.target)]
-        for name, value in end_to_end(request.headers, self._reserved_headers):
+        for name, value in end_to_end_headers(request.headers, self._reserved_headers):
             lines.append(b"%s: %s\r\n" % (name, value))
         if (
             request.body
@@ -597,5 +597,5 @@
 
 def _relayed_response(response: Response) -> Response:
     """Return a server's response without its hop-by-hop headers."""
-    headers = end_to_end(response.headers)
+    headers = end_to_end_headers(response.headers)
     return Response(response.status, headers, response.body, response.fields)
--- a/packages/http/src/kingcuplug_http/__init__.py
+++ b/packages/http/src/kingcuplug_http/__init__.py
@@ -15,7 +15,7 @@
     Request,
     Response,
     encode_response,
-    end_to_end,
+    end_to_end_headers,
     error_response,
 )
 from kingcuplug_http._outbound import (
@@ -40,6 +40,6 @@
     "Response",
     "connect",
     "encode_response",
-    "end_to_end",
+    "end_to_end_headers",
     "error_response",
 ]
--- a/packages/http/src/kingcuplug_http/_inbound.py
+++ b/packages/http/src/kingcuplug_http/_inbound.py
@@ -95,7 +95,7 @@
             connection.close_if_idle()
 
     @property
-    def busy(self) -> int:
+    def busy_connections(self) -> int:
         """Number of connections with a request in progress."""
         return sum(connection.busy for connection in self.connections)
 
@@ -231,7 +231,7 @@
             body=b"".join(self._body),
             keep_alive=self._parser.should_keep_alive(),
             received_at=self._loop.time(),
-            first=self._response_count == 0 and not self._queue,
+            first_on_connection=self._response_count == 0 and not self._queue,
             fields=self._fields,
         )
         self._input_closed = not request.keep_alive
--- a/packages/http/src/kingcuplug_http/_messages.py
+++ b/packages/http/src/kingcuplug_http/_messages.py
@@ -8,7 +8,7 @@
     "Request",
     "Response",
     "encode_response",
-    "end_to_end",
+    "end_to_end_headers",
     "error_response",
 ]
 
@@ -57,7 +57,7 @@
     body: bytes
     keep_alive: bool
     received_at: float
-    first: bool
+    first_on_connection: bool
     fields: dict[bytes, bytes] = field(default_factory=dict)
 
     def header(self, name: bytes) -> bytes | None:
@@ -79,7 +79,9 @@
         return self.fields.get(name)
 
 
-def end_to_end(headers: Headers, excluded: frozenset[bytes] = frozenset()) -> Headers:
+def end_to_end_headers(
+    headers: Headers, excluded: frozenset[bytes] = frozenset()
+) -> Headers:
     """Return the headers to forward to the next hop, without those in `excluded`.
 
     Headers listed in ``Connection`` are hop-by-hop headers and are removed, too.
--- a/packages/log/src/kingcuplug_log/_errors.py
+++ b/packages/log/src/kingcuplug_log/_errors.py
@@ -23,17 +23,17 @@
 
     Parameters
     ----------
-    hint : Member or None
+    leader : Member or None
         The current leader, if this replica knows it.
     """
 
-    def __init__(self, hint: "Member | None") -> None:
-        leader_id = hint.id if hint else "unknown"
+    def __init__(self, leader: "Member | None") -> None:
+        leader_id = leader.id if leader else "unknown"
         super().__init__(
             f"this replica does not hold the leader's lease; leader: {leader_id}",
             "send the request to the leader, or try again after an election",
         )
-        self.hint = hint
+        self.leader = leader
 
 
 class LostLeadership(KingcuplugError):
--- a/packages/log/src/kingcuplug_log/_replica.py
+++ b/packages/log/src/kingcuplug_log/_replica.py
@@ -135,17 +135,17 @@
         """Whether this replica considers itself the leader; it may be partitioned."""
         return self._state.leadership is not None
 
-    def find(self, identifier: str) -> Member | None:
+    def find_member(self, identifier: str) -> Member | None:
         """Return the member with this identifier."""
         return self._state.group.find_member(identifier)
 
-    def connected(self) -> bool:
+    def has_active_leader(self) -> bool:
         """Return whether this replica holds the lease or follows an active leader.
 
         Its applied state is then at most an election timeout behind.
         """
         if self.leading:
-            return self.leading_until() > self._state.clock()
+            return self.lease_expires_at() > self._state.clock()
         return self._state.leader is not None and self._state.must_refuse_votes()
 
     async def bootstrap(self, cluster_id: str) -> None:
@@ -215,7 +215,7 @@
         state = self._state
         await state.changed.until(lambda: state.applied_index >= index)
 
-    async def change(
+    async def change_members(
         self, add: Member | None = None, remove: str | None = None
     ) -> None:
         """Add or remove one member and return once the change is committed.
@@ -251,7 +251,7 @@
             self._state.handle_storage_failure()
             return to_json(Rejected("storage_failed"))
 
-    def leading_until(self) -> float:
+    def lease_expires_at(self) -> float:
         """Return the expiry time of this leader's lease on the clock, or -inf."""
         leadership = self._state.leadership
         if leadership is None or not leadership.lease_valid():
--- a/packages/membership/src/kingcuplug_membership/__init__.py
+++ b/packages/membership/src/kingcuplug_membership/__init__.py
@@ -24,27 +24,27 @@
 from kingcuplug_membership._hosts import HostStatus
 from kingcuplug_membership._leader_exchange import LeaderExchange
 from kingcuplug_membership._leases import LeaseGranted, LeaseTable
-from kingcuplug_membership._mesh import Mesh
+from kingcuplug_membership._mesh import MeshReplicator
 from kingcuplug_membership._rendezvous import rendezvous_order
 from kingcuplug_membership._session_client import SessionClient
 from kingcuplug_membership._session_server import SessionServer
 from kingcuplug_membership._settings import MembershipSettings
 from kingcuplug_membership._sources import (
-    Call,
     ConfigurationSink,
     ConfigurationSource,
     LeaderSource,
+    PeerCall,
 )
-from kingcuplug_membership._verdicts import CrashVerdictTable, Verdict
+from kingcuplug_membership._verdicts import CrashVerdict, CrashVerdictTable
 
 __all__ = [
     "Announcement",
     "AnnouncementInvalid",
     "AnnouncementStale",
-    "Call",
     "CompletenessTracker",
     "ConfigurationSink",
     "ConfigurationSource",
+    "CrashVerdict",
     "CrashVerdictTable",
     "Directory",
     "DirectoryChanges",
@@ -57,13 +57,13 @@
     "LeaseTable",
     "LeaseUnknown",
     "MembershipSettings",
-    "Mesh",
+    "MeshReplicator",
     "MessageInvalid",
     "NotLeading",
+    "PeerCall",
     "ServerEntry",
     "SessionClient",
     "SessionServer",
-    "Verdict",
     "holder_name",
     "join_entries",
     "parse_announcement",
--- a/packages/membership/src/kingcuplug_membership/_directory.py
+++ b/packages/membership/src/kingcuplug_membership/_directory.py
@@ -71,7 +71,7 @@
         """Return the version of the last change that this host replicates."""
         return self._changes.local_version
 
-    def watch(self, callback: Callable[[ServerEntry], None]) -> None:
+    def subscribe(self, callback: Callable[[ServerEntry], None]) -> None:
         """Call `callback` with every entry that changes or is removed."""
         self._subscribers.append(callback)
 
--- a/packages/membership/src/kingcuplug_membership/_hosts.py
+++ b/packages/membership/src/kingcuplug_membership/_hosts.py
@@ -32,7 +32,7 @@
     host: str
     incarnation: int
     availability_zone: str
-    confirmed: int
+    confirmed_revision: int
     control_host: str
 
     @classmethod
@@ -128,7 +128,7 @@
         waiting += [
             f"entry host {status.host}"
             for status in self.statuses().values()
-            if status.confirmed < revision
+            if status.confirmed_revision < revision
         ]
         return waiting
 
@@ -161,4 +161,4 @@
 
 
 def _recency(status: HostStatus) -> tuple[int, int]:
-    return (status.incarnation, status.confirmed)
+    return (status.incarnation, status.confirmed_revision)
--- a/packages/membership/src/kingcuplug_membership/_leader_exchange.py
+++ b/packages/membership/src/kingcuplug_membership/_leader_exchange.py
@@ -25,7 +25,7 @@
 )
 from kingcuplug_membership._sessions import SessionTable
 from kingcuplug_membership._settings import MembershipSettings
-from kingcuplug_membership._sources import Call, LeaderSource
+from kingcuplug_membership._sources import LeaderSource, PeerCall
 
 __all__ = ["LeaderExchange"]
 
@@ -53,17 +53,17 @@
         name: str,
         directory: Directory,
         sessions: SessionTable,
-        continuity: CompletenessTracker,
+        completeness: CompletenessTracker,
         leader: LeaderSource,
         revision: Callable[[], int],
-        call: Call,
+        call: PeerCall,
         clock: Callable[[], float],
         settings: MembershipSettings | None = None,
     ) -> None:
         self._name = name
         self._directory = directory
         self._sessions = sessions
-        self._completeness = continuity
+        self._completeness = completeness
         self._leader = leader
         self._revision = revision
         self._call = call
@@ -74,7 +74,7 @@
             name,
             directory,
             sessions,
-            continuity,
+            completeness,
             leader,
             revision,
             clock,
@@ -225,7 +225,7 @@
         if failing != self._was_failing:
             state = "unconfirmed" if failing else "confirmed by the leader"
             state_change("control host", state, name=self._name)
-            self._sessions.wake()
+            self._sessions.wake_polls()
         self._was_failing = failing
 
     def _record_leading(self) -> None:
@@ -260,7 +260,7 @@
         self._completeness.record_leader_contact()
         self._uploaded_version = upload.version
         if upload.entries:
-            self._sessions.wake()
+            self._sessions.wake_polls()
         self._apply_reply(request, reply)
         if reply.more or upload.more:
             return False
@@ -344,4 +344,4 @@
         state_change("control host", "collects the directory again", name=self._name)
         self._completeness.restart()
         self._directory.reset()
-        self._sessions.wake()
+        self._sessions.wake_polls()
--- a/packages/membership/src/kingcuplug_membership/_leader_role.py
+++ b/packages/membership/src/kingcuplug_membership/_leader_role.py
@@ -31,7 +31,7 @@
         name: str,
         directory: Directory,
         sessions: SessionTable,
-        continuity: CompletenessTracker,
+        completeness: CompletenessTracker,
         leader: LeaderSource,
         revision: Callable[[], int],
         clock: Callable[[], float],
@@ -40,7 +40,7 @@
         self._name = name
         self._directory = directory
         self._sessions = sessions
-        self._completeness = continuity
+        self._completeness = completeness
         self._leader = leader
         self._revision = revision
         self._clock = clock
--- a/packages/membership/src/kingcuplug_membership/_mesh.py
+++ b/packages/membership/src/kingcuplug_membership/_mesh.py
@@ -14,10 +14,10 @@
 from kingcuplug_membership._directory import Directory
 from kingcuplug_membership._messages import MeshReply, MeshRequest, decode, encode
 from kingcuplug_membership._settings import MembershipSettings
-from kingcuplug_membership._sources import Call
+from kingcuplug_membership._sources import PeerCall
 from kingcuplug_membership._verdicts import CrashVerdictTable
 
-__all__ = ["Mesh"]
+__all__ = ["MeshReplicator"]
 
 _PEER_REFRESH_PERIOD_S = 1.0
 
@@ -32,7 +32,7 @@
     verdict_version: int = 0
 
 
-class Mesh:
+class MeshReplicator:
     """Polls every peer in a task of its own; a reply is held until there are changes.
 
     Parameters
@@ -50,16 +50,16 @@
         name: str,
         directory: Directory,
         verdicts: CrashVerdictTable,
-        continuity: CompletenessTracker,
+        completeness: CompletenessTracker,
         peers: Callable[[], Iterable[str]],
-        call: Call,
+        call: PeerCall,
         clock: Callable[[], float],
         settings: MembershipSettings | None = None,
     ) -> None:
         self._name = name
         self._directory = directory
         self._verdicts = verdicts
-        self._completeness = continuity
+        self._completeness = completeness
         self._peers = peers
         self._call = call
         self._clock = clock
@@ -67,8 +67,8 @@
         self._changed = asyncio.Event()
         self._notified_versions = (directory.local_version, verdicts.local_version)
         self._replied_at: dict[str, float] = {}
-        directory.watch(lambda entry: self._wake_polls())
-        verdicts.watch(lambda verdict: self._wake_polls())
+        directory.subscribe(lambda entry: self._wake_polls())
+        verdicts.subscribe(lambda verdict: self._wake_polls())
 
     def _wake_polls(self) -> None:
         versions = (self._directory.local_version, self._verdicts.local_version)
--- a/packages/membership/src/kingcuplug_membership/_messages.py
+++ b/packages/membership/src/kingcuplug_membership/_messages.py
@@ -11,7 +11,7 @@
 
 from kingcuplug_membership._entry import ServerEntry
 from kingcuplug_membership._errors import MessageInvalid
-from kingcuplug_membership._verdicts import Verdict
+from kingcuplug_membership._verdicts import CrashVerdict
 
 __all__ = [
     "BarrierReply",
@@ -64,7 +64,7 @@
     verdict_version: int = 0
     services: tuple[str, ...] | None = None
     updates: tuple[ServerEntry, ...] = ()
-    verdicts: tuple[Verdict, ...] = ()
+    verdicts: tuple[CrashVerdict, ...] = ()
     asked: tuple[str, ...] = ()
 
 
@@ -107,7 +107,7 @@
     directory: int = 0
     more: bool = False
     refused: tuple[ServerEntry, ...] = ()
-    verdicts: tuple[Verdict, ...] = ()
+    verdicts: tuple[CrashVerdict, ...] = ()
     verdict_version: int = 0
     live_entry_hosts: int = 0
     live: dict[str, int | None] | None = None
@@ -215,7 +215,7 @@
     version: int = 0
     entries: tuple[ServerEntry, ...] = ()
     more: bool = False
-    verdicts: tuple[Verdict, ...] = ()
+    verdicts: tuple[CrashVerdict, ...] = ()
     verdict_version: int = 0
 
 
--- a/packages/membership/src/kingcuplug_membership/_session_client.py
+++ b/packages/membership/src/kingcuplug_membership/_session_client.py
@@ -19,8 +19,8 @@
 )
 from kingcuplug_membership._rendezvous import rendezvous_order
 from kingcuplug_membership._settings import MembershipSettings
-from kingcuplug_membership._sources import Call, ConfigurationSink
-from kingcuplug_membership._verdicts import CrashVerdictTable, Verdict
+from kingcuplug_membership._sources import ConfigurationSink, PeerCall
+from kingcuplug_membership._verdicts import CrashVerdict, CrashVerdictTable
 
 __all__ = ["SessionClient"]
 
@@ -75,7 +75,7 @@
         renew_address: str,
         seeds: Callable[[], Iterable[str]],
         configuration: ConfigurationSink,
-        call: Call,
+        call: PeerCall,
         clock: Callable[[], float],
         settings: MembershipSettings | None = None,
     ) -> None:
@@ -129,12 +129,12 @@
         """Return for how long verdicts are kept."""
         return self._settings.verdict_ms
 
-    def report(self, verdict: Verdict) -> None:
+    def report(self, verdict: CrashVerdict) -> None:
         """Send a crash verdict to all entry hosts."""
         if self.verdicts.add(verdict, local=True):
             self._local_change.set()
 
-    async def delivered(self, version: int) -> None:
+    async def wait_delivered(self, version: int) -> None:
         """Wait until the log's leader has the lease changes up to `version`.
 
         One session lease later they are in force everywhere, even if hosts are cut
--- a/packages/membership/src/kingcuplug_membership/_session_server.py
+++ b/packages/membership/src/kingcuplug_membership/_session_server.py
@@ -17,8 +17,8 @@
 )
 from kingcuplug_membership._sessions import Session, SessionTable
 from kingcuplug_membership._settings import MembershipSettings
-from kingcuplug_membership._sources import Call, ConfigurationSource, LeaderSource
-from kingcuplug_membership._verdicts import CrashVerdictTable, Verdict
+from kingcuplug_membership._sources import ConfigurationSource, LeaderSource, PeerCall
+from kingcuplug_membership._verdicts import CrashVerdict, CrashVerdictTable
 
 __all__ = ["SessionServer"]
 
@@ -61,7 +61,7 @@
         peers: Callable[[], Iterable[str]],
         configuration: ConfigurationSource,
         leader: LeaderSource,
-        call_barrier: Call,
+        call_barrier: PeerCall,
         clock: Callable[[], float],
         settings: MembershipSettings | None = None,
     ) -> None:
@@ -71,38 +71,38 @@
         self._sessions = SessionTable(clock)
         self.directory = Directory(clock, self._settings.tombstone_ms)
         self.verdicts = CrashVerdictTable(clock, self._settings)
-        self.continuity = CompletenessTracker(clock, peers, self._settings)
-        self.barrier = LeaderExchange(
+        self.completeness = CompletenessTracker(clock, peers, self._settings)
+        self.leader_exchange = LeaderExchange(
             name,
             self.directory,
             self._sessions,
-            self.continuity,
+            self.completeness,
             leader,
             configuration.revision,
             call_barrier,
             clock,
             self._settings,
         )
-        self.directory.watch(lambda entry: self._sessions.wake(entry.key[0]))
-        self.verdicts.watch(lambda verdict: self._sessions.wake())
+        self.directory.subscribe(lambda entry: self._sessions.wake_polls(entry.key[0]))
+        self.verdicts.subscribe(lambda verdict: self._sessions.wake_polls())
 
     async def run(self) -> None:
         """Exchange with the leader and purge tombstones until cancelled."""
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self.barrier.run())
+            tasks.create_task(self.leader_exchange.run())
             tasks.create_task(self._purge_periodically())
 
-    def wake(self) -> None:
+    def wake_polls(self) -> None:
         """Complete all pending polls; call it when a revision has been applied."""
-        self._sessions.wake()
+        self._sessions.wake_polls()
 
     def hosts(self) -> list[HostStatus]:
         """Return the entry hosts known here; all of them on the leader."""
-        return self.barrier.hosts()
+        return self.leader_exchange.hosts()
 
     async def wait_in_force(self, revision: int) -> None:
         """Wait until no host can serve an older revision; see `LeaderExchange`."""
-        await self.barrier.wait_in_force(revision)
+        await self.leader_exchange.wait_in_force(revision)
 
     async def _purge_periodically(self) -> None:
         while True:
@@ -147,7 +147,7 @@
         """
         try:
             async with asyncio.timeout(self._settings.barrier_ms / 1_000):
-                await self.barrier.wait_confirmed(received_at)
+                await self.leader_exchange.wait_confirmed(received_at)
         except TimeoutError:
             return False
         return True
@@ -192,7 +192,9 @@
         return tuple(refused)
 
     def _needs_prompt_reply(self, request: SessionRequest) -> bool:
-        answerable = request.asked and self.barrier.live_incarnations() is not None
+        answerable = (
+            request.asked and self.leader_exchange.live_incarnations() is not None
+        )
         return bool(
             request.updates or request.verdicts or answerable or request.whole_text
         )
@@ -227,15 +229,17 @@
             self._refusal_reason(request) != ""
             or request.confirmed != self._configuration.revision()
             or self.verdicts.version > request.verdict_version
-            or 0 < session.undelivered_version <= self.barrier.uploaded_version()
+            or 0
+            < session.undelivered_version
+            <= self.leader_exchange.uploaded_version()
             or self.directory.has_changes(request.directory, session.services)
         )
 
     def _refusal_reason(self, request: SessionRequest) -> str:
         """Return why this host grants no lease now; empty if it grants one."""
-        if self.barrier.is_failing():
+        if self.leader_exchange.is_failing():
             return "the leader does not confirm this control host"
-        if not self.continuity.is_complete():
+        if not self.completeness.is_complete():
             return "the directory is not complete yet"
         if request.confirmed > self._configuration.revision():
             return "this control host is behind"
@@ -252,7 +256,9 @@
         reason = self._refusal_reason(request)
         if reason:
             return SessionReply(reason=reason, refused=refused)
-        until = min(received_at + self._settings.lease_s, self.barrier.grant_until())
+        until = min(
+            received_at + self._settings.lease_s, self.leader_exchange.grant_until()
+        )
         self._sessions.record_grant(session, until)
         revision, digest, deltas, text = self._configuration_changes(request)
         changes = self.directory.changes_since(
@@ -261,7 +267,9 @@
             limit=self._settings.session_batch_limit,
         )
         session.truncated = changes.more
-        delivered = session.undelivered_version <= self.barrier.uploaded_version()
+        delivered = (
+            session.undelivered_version <= self.leader_exchange.uploaded_version()
+        )
         if delivered:
             session.undelivered_version = 0
         return SessionReply(
@@ -278,7 +286,7 @@
             refused=refused,
             verdicts=self._new_verdicts(request),
             verdict_version=self.verdicts.version,
-            live_entry_hosts=self.barrier.entry_host_count(),
+            live_entry_hosts=self.leader_exchange.entry_host_count(),
             live=self._liveness_answers(request),
             delivered=delivered,
         )
@@ -297,7 +305,7 @@
             return revision, source.digest(), None, source.text()
         return revision, source.digest(), tuple(deltas), None
 
-    def _new_verdicts(self, request: SessionRequest) -> tuple[Verdict, ...]:
+    def _new_verdicts(self, request: SessionRequest) -> tuple[CrashVerdict, ...]:
         sent = {verdict.key for verdict in request.verdicts}
         added = self.verdicts.added_since(request.verdict_version)
         return tuple(verdict for verdict in added if verdict.key not in sent)
@@ -305,7 +313,7 @@
     def _liveness_answers(
         self, request: SessionRequest
     ) -> dict[str, int | None] | None:
-        live = self.barrier.live_incarnations()
+        live = self.leader_exchange.live_incarnations()
         if not request.asked or live is None:
             return None
         return {host: live.get(host) for host in request.asked}
--- a/packages/membership/src/kingcuplug_membership/_sessions.py
+++ b/packages/membership/src/kingcuplug_membership/_sessions.py
@@ -39,7 +39,7 @@
     availability_zone: str
     number: int
     services: frozenset[str]
-    confirmed: int = -1
+    confirmed_revision: int = -1
     granted_until: float = 0.0
     replied_at: float = 0.0
     reported: bool = False
@@ -50,7 +50,7 @@
     def to_row(self) -> HostRow:
         """Return the row that is sent to the leader."""
         return HostRow(
-            self.host, self.incarnation, self.availability_zone, self.confirmed
+            self.host, self.incarnation, self.availability_zone, self.confirmed_revision
         )
 
 
@@ -94,14 +94,14 @@
             session.reported = previous.reported
             if previous.incarnation == request.incarnation:
                 session.granted_until = previous.granted_until
-                session.confirmed = previous.confirmed
+                session.confirmed_revision = previous.confirmed_revision
         self._sessions[request.host] = session
         return session
 
     def record_revision(self, session: Session, revision: int) -> None:
         """Record the revision in force at the host of `session`."""
-        if revision > session.confirmed:
-            session.confirmed = revision
+        if revision > session.confirmed_revision:
+            session.confirmed_revision = revision
             if session.reported:
                 self._changes.record_change(session.host)
 
@@ -125,7 +125,7 @@
                 del self._sessions[session.host]
                 session.wakeup.set()
 
-    def wake(self, service: str | None = None) -> None:
+    def wake_polls(self, service: str | None = None) -> None:
         """Complete all pending polls, or those of hosts that route `service`."""
         for session in self._sessions.values():
             if service is None or service in session.services:
--- a/packages/membership/src/kingcuplug_membership/_sources.py
+++ b/packages/membership/src/kingcuplug_membership/_sources.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-__all__ = ["Call", "ConfigurationSink", "ConfigurationSource", "LeaderSource"]
+__all__ = ["ConfigurationSink", "ConfigurationSource", "LeaderSource", "PeerCall"]
 
-Call = Callable[[str, dict[str, Any]], Awaitable[dict[str, Any]]]
+PeerCall = Callable[[str, dict[str, Any]], Awaitable[dict[str, Any]]]
 """Send a message to a peer address and return the reply.
 
 Raises OSError or TimeoutError.
--- a/packages/membership/src/kingcuplug_membership/_verdicts.py
+++ b/packages/membership/src/kingcuplug_membership/_verdicts.py
@@ -7,11 +7,11 @@
 from kingcuplug_membership._change_log import ChangeLog
 from kingcuplug_membership._settings import MembershipSettings
 
-__all__ = ["CrashVerdictTable", "Verdict"]
+__all__ = ["CrashVerdict", "CrashVerdictTable"]
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class CrashVerdict:
     """A fingerprint suspected of the crash of a server, or quarantined.
 
     Attributes
@@ -37,7 +37,7 @@
     proven: bool = False
 
     @property
-    def condemned(self) -> bool:
+    def quarantined(self) -> bool:
         """Return whether the fingerprint is quarantined, not only suspected."""
         return not self.server
 
@@ -56,9 +56,9 @@
         self._clock = clock
         self._settings = settings or MembershipSettings()
         self._expires_at: dict[tuple[str, str, int], float] = {}
-        self._verdicts: dict[tuple[str, str, int], Verdict] = {}
+        self._verdicts: dict[tuple[str, str, int], CrashVerdict] = {}
         self._changes: ChangeLog[tuple[str, str, int]] = ChangeLog(clock)
-        self._subscribers: list[Callable[[Verdict], None]] = []
+        self._subscribers: list[Callable[[CrashVerdict], None]] = []
 
     def __len__(self) -> int:
         return len(self._expires_at)
@@ -73,11 +73,11 @@
         """Return the version of the last change that this host replicates."""
         return self._changes.local_version
 
-    def watch(self, callback: Callable[[Verdict], None]) -> None:
+    def subscribe(self, callback: Callable[[CrashVerdict], None]) -> None:
         """Call `callback` with every new verdict."""
         self._subscribers.append(callback)
 
-    def add(self, verdict: Verdict, local: bool = False) -> bool:
+    def add(self, verdict: CrashVerdict, local: bool = False) -> bool:
         """Store a verdict; return whether it is new."""
         self._purge()
         if verdict.key in self._expires_at:
@@ -92,7 +92,9 @@
             callback(verdict)
         return True
 
-    def added_since(self, version: int, local: bool = False) -> tuple[Verdict, ...]:
+    def added_since(
+        self, version: int, local: bool = False
+    ) -> tuple[CrashVerdict, ...]:
         """Return the verdicts added after `version` that have not expired."""
         now = self._clock()
         unexpired = []
--- a/packages/node/src/kingcuplug_node/_host.py
+++ b/packages/node/src/kingcuplug_node/_host.py
@@ -15,26 +15,26 @@
     send_state_changes_to,
 )
 from kingcuplug_fleet import (
-    LEARN_PATH,
+    POLL_PATH,
+    PUSH_PATH,
     REPORT_PATH,
-    SHARE_PATH,
-    Core,
-    CoreSettings,
+    ControlHostPoller,
+    ControlReplica,
+    ControlReplicaSettings,
     CoreUnavailable,
     DirectoryFile,
-    Knowledge,
-    Learner,
+    FleetView,
     Mesh,
+    PeerClient,
     PeerFailed,
     PeerRefused,
-    Peers,
     Report,
     RouteRegister,
     ServerRecord,
     ServerState,
+    answer_poll,
     decode_body,
     encode_body,
-    teach,
 )
 from kingcuplug_gateway import (
     Gateway,
@@ -114,13 +114,13 @@
         self._load_settings = load_settings
         self._log = log
         self._metrics = Metrics()
-        self._peer_client = Peers()
+        self._peer_client = PeerClient()
         self._stop_requested = asyncio.Event()
         self._stopping = False
         silent_after_s = (
             settings.heartbeat_interval_ms * _SILENT_AFTER_INTERVALS / _MS_PER_S
         )
-        self._fleet_view = Knowledge(silent_after_s)
+        self._fleet_view = FleetView(silent_after_s)
         self._route_register = RouteRegister(self._on_routes_changed)
         self._gateway = Gateway(
             GatewaySettings(
@@ -153,7 +153,7 @@
             lambda: self._replica.leader() if self._replica is not None else None,
             log,
         )
-        self._poller = Learner(
+        self._poller = ControlHostPoller(
             settings.host,
             self._fleet_view,
             self._peer_client,
@@ -186,12 +186,12 @@
             If this host keeps no state.
         """
         self._require_replica()
-        changed = self._fleet_view.learn_servers([record], first_hand=True)
-        self._mesh.hear(record)
+        changed = self._fleet_view.merge_servers([record], direct=True)
+        self._mesh.record_heartbeat(record)
         own_address = self._settings.control_address
         next_address = own_address
         if record.availability_zone != self._settings.availability_zone:
-            same_zone_address = self._fleet_view.near(
+            same_zone_address = self._fleet_view.control_host_in_zone(
                 record.availability_zone, record.id
             )
             next_address = same_zone_address or own_address
@@ -204,11 +204,11 @@
                 "service": record.service,
                 "state": record.state.value,
                 "sequence": record.sequence,
-                "born_ms": record.born_ms,
+                "born_ms": record.start_ms,
             },
         )
         if record.state is not ServerState.READY:
-            await self._mesh.tell(record)
+            await self._mesh.replicate(record)
         return next_address
 
     async def deregister_server(self, server_id: str, start_ms: int | None) -> None:
@@ -223,7 +223,7 @@
         """
         self._require_replica()
         record = self._fleet_view.directory.find(server_id)
-        if record is None or (start_ms is not None and start_ms < record.born_ms):
+        if record is None or (start_ms is not None and start_ms < record.start_ms):
             return
         await self.receive_heartbeat(record.ended())
 
@@ -303,12 +303,12 @@
         self._log.write("stopped", {}, always=True)
         self._log.flush()
 
-    def _make_replica(self) -> Core | None:
+    def _make_replica(self) -> ControlReplica | None:
         settings = self._settings
         if settings.data_folder is None:
             return None
-        return Core(
-            CoreSettings(
+        return ControlReplica(
+            ControlReplicaSettings(
                 settings.host,
                 settings.control_address,
                 settings.data_folder,
@@ -317,7 +317,7 @@
             ),
             self._peer_client,
             self._route_register,
-            lambda: set(self._fleet_view.control),
+            lambda: set(self._fleet_view.control_hosts),
             self._log,
             self._metrics,
         )
@@ -388,7 +388,7 @@
         return await self._gateway.handle(request)
 
     def _on_routes_changed(self) -> None:
-        self._fleet_view.learn_routes(
+        self._fleet_view.update_routes(
             self._route_register.version, self._route_register.document
         )
 
@@ -396,12 +396,12 @@
         """Return whether this host has a control replica whose state is current."""
         return self._replica is not None and self._replica.connected()
 
-    def _require_replica(self) -> Core:
+    def _require_replica(self) -> ControlReplica:
         if self._replica is not None:
             return self._replica
-        if self._poller.teacher is None:
+        if self._poller.control_host is None:
             raise CoreUnavailable("no control host is known yet")
-        raise Elsewhere(self._poller.teacher)
+        raise Elsewhere(self._poller.control_host)
 
     def _make_control_handler(self, public_handler: ControlHandler) -> ControlHandler:
         async def handle(request: Request) -> Response:
@@ -438,9 +438,9 @@
         return Response(200, *encode_body(reply))
 
     async def _dispatch_peer_call(self, path: str, value: Any) -> Any:
-        if path == LEARN_PATH:
+        if path == POLL_PATH:
             own_address = self._settings.control_address
-            return await teach(
+            return await answer_poll(
                 self._fleet_view, self._is_connected_control_host, own_address, value
             )
         if path == _GATHER_PATH:
@@ -448,13 +448,13 @@
                 value, accept_new=not self._stopping
             )
         if path == REPORT_PATH:
-            self._mesh.take_report(Report.from_json(value))
+            self._mesh.receive_report(Report.from_json(value))
             return {}
-        if path == SHARE_PATH:
-            return self._mesh.take(value)
+        if path == PUSH_PATH:
+            return self._mesh.receive_push(value)
         if self._replica is None:
             raise CoreUnavailable("this host keeps no state")
-        return await self._replica.answer(path, value)
+        return await self._replica.handle_call(path, value)
 
     async def _handle_readiness_probe(self, request: Request) -> Response:
         if self.ready:
@@ -466,13 +466,16 @@
         gauges = {
             "routes_version": fleet_view.routes_version,
             "servers_usable": len(fleet_view.directory.usable()),
-            "servers_silent": len(fleet_view.silent),
-            "hosts_live": fleet_view.hosts,
+            "servers_silent": len(fleet_view.silent_servers),
+            "hosts_live": fleet_view.host_count,
             "callers_connected": len(self._caller_listener.connections),
             "control_connected": float(
-                self._is_connected_control_host() or self._poller.teacher is not None
+                self._is_connected_control_host()
+                or self._poller.control_host is not None
+            ),
+            "control_leads": float(
+                self._replica is not None and self._replica.is_leader()
             ),
-            "control_leads": float(self._replica is not None and self._replica.leads()),
             "log_lines_dropped": self._log.dropped,
         }
         headers = [(b"Content-Type", b"text/plain; version=0.0.4")]
@@ -490,11 +493,11 @@
             return (
                 fleet_view.routes_version,
                 fleet_view.directory.version,
-                frozenset(fleet_view.silent),
-                frozenset(fleet_view.slow.items()),
-                fleet_view.hosts,
-                fleet_view.requests,
-                fleet_view.reachable,
+                frozenset(fleet_view.silent_servers),
+                frozenset(fleet_view.slow_servers.items()),
+                fleet_view.host_count,
+                fleet_view.request_count,
+                fleet_view.reachable_control_hosts,
             )
 
         while True:
@@ -527,24 +530,24 @@
                 availability_zone=record.availability_zone,
                 slots=record.slots,
                 slow_start_ms=record.cold_ms,
-                heartbeats_missing=record.id in fleet_view.silent,
-                latency_factor=fleet_view.slow.get(record.id, 1.0),
+                heartbeats_missing=record.id in fleet_view.silent_servers,
+                latency_factor=fleet_view.slow_servers.get(record.id, 1.0),
             )
             for record in fleet_view.directory.usable()
         ]
         # Control hosts gather partial results for hosts with little bandwidth.
         gatherers: dict[str, list[str]] = {}
-        for address in fleet_view.reachable:
+        for address in fleet_view.reachable_control_hosts:
             zone = fleet_view.zones.get(address, "")
             gatherers.setdefault(zone, []).append(address)
         self._gateway.update_fleet(
-            servers, fleet_view.hosts, fleet_view.requests, gatherers
+            servers, fleet_view.host_count, fleet_view.request_count, gatherers
         )
 
-    async def _update_control_hosts(self, replica: Core) -> None:
+    async def _update_control_hosts(self, replica: ControlReplica) -> None:
         while True:
             if replica.connected():
-                self._fleet_view.learn_control(replica.members())
+                self._fleet_view.set_control_hosts(replica.members())
             await asyncio.sleep(_UPKEEP_INTERVAL_S)
 
     async def _send_reports(self) -> None:
@@ -554,7 +557,7 @@
             servers = self._gateway.servers
             report = Report(servers.pop_samples(), servers.pop_request_count())
             if self._is_connected_control_host():
-                self._mesh.take_report(report)
+                self._mesh.receive_report(report)
             else:
                 await self._poller.report(report)
 
@@ -584,7 +587,9 @@
         settings = self._settings
         self._stopping = True
         self._caller_listener.closing = True
-        self._log.write("stopping", {"busy": self._caller_listener.busy}, always=True)
+        self._log.write(
+            "stopping", {"busy": self._caller_listener.busy_connections}, always=True
+        )
         grace_s = settings.termination_grace_ms / _MS_PER_S
         await asyncio.sleep(min(_MAX_DRAIN_S, grace_s * _DRAIN_GRACE_RATIO))
         self._caller_listener.stop_accepting()
@@ -594,6 +599,8 @@
             if not self._caller_listener.connections:
                 break
             await asyncio.sleep(_DRAIN_POLL_INTERVAL_S)
-        self._log.write("drained", {"busy": self._caller_listener.busy}, always=True)
+        self._log.write(
+            "drained", {"busy": self._caller_listener.busy_connections}, always=True
+        )
         with contextlib.suppress(OSError):
             self._log.flush()
--- a/packages/soak/src/kingcuplug_soak/_backends.py
+++ b/packages/soak/src/kingcuplug_soak/_backends.py
@@ -113,7 +113,7 @@
             state = self._state
             record = ServerRecord(
                 id=self.name,
-                born_ms=self._start_ms,
+                start_ms=self._start_ms,
                 sequence=self._sequence,
                 service=self.service,
                 address=self._address,
--- a/packages/testkit/src/kingcuplug_testkit/_log_group.py
+++ b/packages/testkit/src/kingcuplug_testkit/_log_group.py
@@ -205,7 +205,7 @@
         while not self._is_change_applied(add, remove):
             leader = await self.wait_leader()
             try:
-                await self.replica(leader.name).change(add=add, remove=remove)
+                await self.replica(leader.name).change_members(add=add, remove=remove)
             except Exception:
                 await asyncio.sleep(0.02)
 
--- a/tests/fleet/conftest.py
+++ b/tests/fleet/conftest.py
@@ -14,7 +14,7 @@
     """Return the record of a ready server, with the given fields replaced."""
     defaults: dict[str, Any] = {
         "id": "i-1",
-        "born_ms": 1_000,
+        "start_ms": 1_000,
         "sequence": 1,
         "service": "stock",
         "address": "10.0.0.1:80",
--- a/tests/fleet/test_directory.py
+++ b/tests/fleet/test_directory.py
@@ -31,17 +31,17 @@
     """Guards against ignoring a restarted server whose sequence starts again."""
     directory = Directory(5.0)
     directory.merge(record(sequence=40).ended(), 0.0)
-    assert directory.merge(record(born_ms=2_000, sequence=1), 0.1)
+    assert directory.merge(record(start_ms=2_000, sequence=1), 0.1)
     assert _ids(directory) == ["i-1"]
 
 
 def test_later_server_takes_over_an_address(record):
     """Guards against sending one service's requests to another's server."""
     directory = Directory(5.0)
-    directory.merge(record(id="old", born_ms=1_000), 0.0)
-    directory.merge(record(id="new", born_ms=2_000, service="trims"), 0.0)
+    directory.merge(record(id="old", start_ms=1_000), 0.0)
+    directory.merge(record(id="new", start_ms=2_000, service="trims"), 0.0)
     assert _ids(directory) == ["new"]
-    directory.merge(record(id="old", born_ms=1_000, sequence=9), 0.1)
+    directory.merge(record(id="old", start_ms=1_000, sequence=9), 0.1)
     assert _ids(directory) == ["new"]
 
 
@@ -57,7 +57,7 @@
 def test_heartbeat_of_an_earlier_run_is_ignored(record):
     """Guards against keeping a server alive by heartbeats of an earlier run."""
     directory = Directory(5.0)
-    directory.merge(record(born_ms=2_000), 0.0)
+    directory.merge(record(start_ms=2_000), 0.0)
     directory.record_heartbeat("i-1", 1_000, 99, 6.0)
     assert directory.silent(6.0) == {"i-1"}
 
@@ -65,7 +65,7 @@
 records = st.builds(
     make_record,
     id=st.sampled_from(["a", "b", "c"]),
-    born_ms=st.integers(1, 3),
+    start_ms=st.integers(1, 3),
     sequence=st.integers(1, 4),
     address=st.sampled_from(["x:1", "y:1"]),
     state=st.sampled_from(list(ServerState)),
@@ -99,8 +99,8 @@
     last_version = directory.version
     directory.merge(record(id="b", address="y:1"), 0.0)
     directory.merge(record(id="a", address="x:1", sequence=2), 0.0)
-    assert [r.id for r in directory.since(last_version)] == ["b"]
+    assert [r.id for r in directory.changed_since(last_version)] == ["b"]
     directory.merge(
         record(id="a", address="x:1", sequence=3, state=ServerState.DRAINING), 0.0
     )
-    assert {r.id for r in directory.since(last_version)} == {"a", "b"}
+    assert {r.id for r in directory.changed_since(last_version)} == {"a", "b"}
--- a/tests/fleet/test_directory_file.py
+++ b/tests/fleet/test_directory_file.py
@@ -5,7 +5,7 @@
 
 import pytest
 from kingcuplug_common import EventLog
-from kingcuplug_fleet import DirectoryFile, Knowledge, ServerState
+from kingcuplug_fleet import DirectoryFile, FleetView, ServerState
 
 from .conftest import make_record
 
@@ -17,9 +17,9 @@
     os.close(descriptor)
 
 
-def _restart(folder, log) -> Knowledge:
-    async def run() -> Knowledge:
-        view = Knowledge(5.0)
+def _restart(folder, log) -> FleetView:
+    async def run() -> FleetView:
+        view = FleetView(5.0)
         DirectoryFile(folder, view, log).load()
         return view
 
@@ -30,9 +30,9 @@
     """Guards against refusing callers for a heartbeat interval, and lost drains."""
 
     async def run() -> None:
-        view = Knowledge(5.0)
+        view = FleetView(5.0)
         task = asyncio.ensure_future(DirectoryFile(tmp_path, view, log).run())
-        view.learn_servers(
+        view.merge_servers(
             [
                 make_record(id="a", address="x:1"),
                 make_record(id="b", address="y:1", state=ServerState.DRAINING),
@@ -65,7 +65,7 @@
         '"hosts": 7}'
     )
     view = _restart(tmp_path, log)
-    assert view.hosts == 7
-    newer = make_record(born_ms=2_000, sequence=1, service="trims")
+    assert view.host_count == 7
+    newer = make_record(start_ms=2_000, sequence=1, service="trims")
     assert view.directory.merge(newer, 1.0)
     assert [record.service for record in view.directory.usable()] == ["trims"]
--- a/tests/fleet/test_mesh.py
+++ b/tests/fleet/test_mesh.py
@@ -8,13 +8,13 @@
 
 from kingcuplug_common import EventLog
 from kingcuplug_fleet import (
+    PUSH_PATH,
     REPORT_PATH,
-    SHARE_PATH,
-    Knowledge,
+    FleetView,
     Mesh,
     Report,
     ServerState,
-    teach,
+    answer_poll,
 )
 from kingcuplug_testkit import run_virtual
 
@@ -29,11 +29,11 @@
         self.leader: str | None = names[0]
         self.client = FakePeerClient()
         self.pushes: list[tuple[str, int]] = []
-        self.views = {name: Knowledge(4.0) for name in names}
+        self.views = {name: FleetView(4.0) for name in names}
         self.meshes = {name: self._make_mesh(name) for name in names}
         for name in names:
             self.client.handlers[name] = self._make_handler(name)
-            self.views[name].learn_control(list(names))
+            self.views[name].set_control_hosts(list(names))
 
     def _make_mesh(self, name: str) -> Mesh:
         log = EventLog(os.open(os.devnull, os.O_WRONLY), name)
@@ -45,18 +45,18 @@
     def _make_handler(self, name: str) -> Handler:
         async def handle(path, value):
             if path == REPORT_PATH:
-                return self.meshes[name].take_report(Report.from_json(value))
-            assert path == SHARE_PATH
+                return self.meshes[name].receive_report(Report.from_json(value))
+            assert path == PUSH_PATH
             self.pushes.append((name, len(value[3])))
-            return self.meshes[name].take(value)
+            return self.meshes[name].receive_push(value)
 
         return handle
 
     def receive_heartbeat(self, name: str, **fields) -> None:
         """Deliver a server's heartbeat to a control host, as its listener does."""
         record = make_record(**fields)
-        self.views[name].learn_servers([record], first_hand=True)
-        self.meshes[name].hear(record)
+        self.views[name].merge_servers([record], direct=True)
+        self.meshes[name].record_heartbeat(record)
 
     @contextmanager
     def running(self) -> Iterator[None]:
@@ -68,7 +68,7 @@
             for task in tasks:
                 task.cancel()
 
-    def all_views(self, condition: Callable[[Knowledge], bool]) -> bool:
+    def all_views(self, condition: Callable[[FleetView], bool]) -> bool:
         """Return whether a condition holds for the view of each control host."""
         return all(condition(view) for view in self.views.values())
 
@@ -82,8 +82,8 @@
             await asyncio.sleep(1.5)
             cluster.client.frozen.add("b")
             record = make_record(state=ServerState.DRAINING)
-            cluster.views["a"].learn_servers([record], first_hand=True)
-            assert await cluster.meshes["a"].tell(record)
+            cluster.views["a"].merge_servers([record], direct=True)
+            assert await cluster.meshes["a"].replicate(record)
             assert cluster.views["c"].directory.find("i-1") == record
             all_hosts = {"host-a", "host-b", "host-c"}
             assert cluster.views["a"].live_hosts() == all_hosts
@@ -99,9 +99,9 @@
         with cluster.running():
             cluster.views["b"].record_host_poll("gone")
             await asyncio.sleep(2.0)
-            assert cluster.all_views(lambda view: view.hosts == 3)
+            assert cluster.all_views(lambda view: view.host_count == 3)
             await asyncio.sleep(10.0)
-            assert cluster.all_views(lambda view: view.hosts == 2)
+            assert cluster.all_views(lambda view: view.host_count == 2)
 
     run_virtual(run())
 
@@ -114,13 +114,13 @@
         with cluster.running():
             for _ in range(8):
                 for mesh in cluster.meshes.values():
-                    mesh.take_report(Report({"slow": (1, 3.0), "fast": (1, 1.0)}))
+                    mesh.receive_report(Report({"slow": (1, 3.0), "fast": (1, 1.0)}))
                 await asyncio.sleep(0.25)
             await asyncio.sleep(1.0)
-            assert cluster.all_views(lambda view: set(view.slow) == {"slow"})
+            assert cluster.all_views(lambda view: set(view.slow_servers) == {"slow"})
             assert cluster.views["b"].zones == {name: name for name in "abc"}
             await asyncio.sleep(8.0)
-            assert cluster.all_views(lambda view: view.slow == {})
+            assert cluster.all_views(lambda view: view.slow_servers == {})
 
     run_virtual(run())
 
@@ -159,7 +159,7 @@
         with cluster.running():
             await asyncio.sleep(3.0)
             record = make_record()
-            cluster.views["a"].learn_servers([record])
+            cluster.views["a"].merge_servers([record])
             await asyncio.sleep(8.0)
             assert cluster.all_views(lambda view: view.directory.find("i-1") == record)
 
@@ -174,7 +174,7 @@
         cluster.leader = None
         with cluster.running():
             await asyncio.sleep(1.0)
-            cluster.views["a"].learn_servers([make_record()])
+            cluster.views["a"].merge_servers([make_record()])
             await asyncio.sleep(8.0)
             assert cluster.all_views(
                 lambda view: view.directory.find("i-1") is not None
@@ -196,7 +196,7 @@
                         "c", id="i-2", address="q:1", sequence=sequence
                     )
                 await asyncio.sleep(1.0)
-            assert cluster.all_views(lambda view: view.silent == {"i-2"})
+            assert cluster.all_views(lambda view: view.silent_servers == {"i-2"})
 
     run_virtual(run())
 
@@ -222,7 +222,7 @@
                 await asyncio.sleep(1.0)
                 if sequence > 4:
                     seen |= {
-                        (len(view.silent), view.hosts)
+                        (len(view.silent_servers), view.host_count)
                         for view in cluster.views.values()
                     }
         assert seen == {(0, 4)}
@@ -237,14 +237,16 @@
         cluster = Cluster()
         with cluster.running():
             await asyncio.sleep(3.0)
-            assert cluster.all_views(lambda view: set(view.reachable) == set("abc"))
-            assert cluster.views["b"].near("c", "i-1") == "c"
+            assert cluster.all_views(
+                lambda view: set(view.reachable_control_hosts) == set("abc")
+            )
+            assert cluster.views["b"].control_host_in_zone("c", "i-1") == "c"
             cluster.meshes["c"]._update_peers = lambda: None
             for peer in cluster.meshes["c"]._peers.values():
                 peer.task.cancel()
             await asyncio.sleep(5.0)
-            assert set(cluster.views["b"].reachable) == set("ab")
-            assert cluster.views["b"].near("c", "i-1") is None
+            assert set(cluster.views["b"].reachable_control_hosts) == set("ab")
+            assert cluster.views["b"].control_host_in_zone("c", "i-1") is None
 
     run_virtual(run())
 
@@ -291,20 +293,24 @@
                 "zone": "c",
                 "wait": False,
             }
-            far_reply = await teach(cluster.views["a"], lambda: True, "a", poll)
+            far_reply = await answer_poll(cluster.views["a"], lambda: True, "a", poll)
             assert "nearer" in far_reply
             assert "servers" not in far_reply
-            near_reply = await teach(cluster.views["c"], lambda: True, "c", poll)
+            near_reply = await answer_poll(cluster.views["c"], lambda: True, "c", poll)
             assert len(near_reply["servers"]) == 1
             after_failure = {**poll, "zone": None}
-            far_reply = await teach(
+            far_reply = await answer_poll(
                 cluster.views["a"], lambda: True, "a", after_failure
             )
             assert len(far_reply["servers"]) == 1
             in_sync = {**poll, "digest": cluster.views["c"].directory.digest}
-            near_reply = await teach(cluster.views["c"], lambda: True, "c", in_sync)
+            near_reply = await answer_poll(
+                cluster.views["c"], lambda: True, "c", in_sync
+            )
             assert near_reply["servers"] == [], "records sent to a host that is in sync"
-            leaderless_reply = await teach(cluster.views["a"], lambda: False, "a", poll)
+            leaderless_reply = await answer_poll(
+                cluster.views["a"], lambda: False, "a", poll
+            )
             assert "servers" not in leaderless_reply
 
     run_virtual(run())
@@ -321,13 +327,13 @@
                 if step == 60:
                     cluster.leader = "c"
                 for mesh in cluster.meshes.values():
-                    mesh.take_report(Report({}, 5))
+                    mesh.receive_report(Report({}, 5))
                 await asyncio.sleep(0.5)
-                published |= {view.requests for view in cluster.views.values()}
+                published |= {view.request_count for view in cluster.views.values()}
             # 30 requests per second, in a window of up to 11 s, plus one report each.
             assert all(count == 0 or 200 < count <= 345 for count in published)
             assert len(published) > 1
-            assert cluster.all_views(lambda view: view.requests == 0)
+            assert cluster.all_views(lambda view: view.request_count == 0)
 
     run_virtual(run())
 
@@ -347,10 +353,10 @@
         with cluster.running():
             await asyncio.sleep(2.0)
             for _ in range(8):
-                cluster.meshes["b"].take_report(Report({"i-1": (1, 3.0)}))
-                cluster.meshes["d"].take_report(Report({"i-2": (1, 3.0)}))
+                cluster.meshes["b"].receive_report(Report({"i-1": (1, 3.0)}))
+                cluster.meshes["d"].receive_report(Report({"i-2": (1, 3.0)}))
                 await asyncio.sleep(0.25)
-            slow = {name: set(k.slow) for name, k in cluster.views.items()}
+            slow = {name: set(k.slow_servers) for name, k in cluster.views.items()}
             assert slow == {"a": {"i-1"}, "b": {"i-1"}, "c": {"i-2"}, "d": {"i-2"}}
 
     run_virtual(run())
@@ -366,7 +372,7 @@
             await asyncio.sleep(2.0)
             cluster.leader = None
             await asyncio.sleep(10.0)
-            assert cluster.all_views(lambda view: view.silent == set())
+            assert cluster.all_views(lambda view: view.silent_servers == set())
 
     run_virtual(run())
 
@@ -384,7 +390,7 @@
             await asyncio.sleep(1.5)
             cluster.client.frozen.add("c")
             record = make_record(state=ServerState.DRAINING)
-            assert await cluster.meshes["a"].tell(record)
+            assert await cluster.meshes["a"].replicate(record)
             await asyncio.sleep(2.0)
             gc.collect()
         assert unexpected == []
--- a/tests/fleet/test_peer_bodies.py
+++ b/tests/fleet/test_peer_bodies.py
@@ -4,9 +4,9 @@
 
 import pytest
 from kingcuplug_fleet import (
+    PeerClient,
     PeerFailed,
     PeerRefused,
-    Peers,
     decode_body,
     encode_body,
 )
@@ -52,7 +52,7 @@
         async def respond(request: Request) -> Response:
             return Response(status, [], b"")
 
-        listener, client = Listener(respond, Limits), Peers()
+        listener, client = Listener(respond, Limits), PeerClient()
         address = await listener.start("127.0.0.1:0")
         with pytest.raises(PeerFailed) as caught:
             await client.call(address, "/x", {}, 1.0)
--- a/tests/fleet/test_polling.py
+++ b/tests/fleet/test_polling.py
@@ -8,10 +8,10 @@
 import pytest
 from kingcuplug_common import EventLog
 from kingcuplug_fleet import (
-    Knowledge,
-    Learner,
+    ControlHostPoller,
+    FleetView,
     ServerState,
-    teach,
+    answer_poll,
 )
 from kingcuplug_testkit import run_virtual
 
@@ -19,19 +19,21 @@
 
 
 def _poll_handler(
-    view: Knowledge, connected: bool = True, address: str = ""
+    view: FleetView, connected: bool = True, address: str = ""
 ) -> Handler:
     async def handle(path: str, value: Any) -> Any:
-        return await teach(view, lambda: connected, address, value)
+        return await answer_poll(view, lambda: connected, address, value)
 
     return handle
 
 
 def _make_poller(
-    view: Knowledge, client: FakePeerClient, seeds: tuple[str, ...]
-) -> Learner:
+    view: FleetView, client: FakePeerClient, seeds: tuple[str, ...]
+) -> ControlHostPoller:
     log = EventLog(os.open(os.devnull, os.O_WRONLY), "host")
-    return Learner("host", view, client, lambda: seeds, lambda: False, "self", "z", log)
+    return ControlHostPoller(
+        "host", view, client, lambda: seeds, lambda: False, "self", "z", log
+    )
 
 
 async def _wait_until(condition: Callable[[], bool], seconds: float) -> float:
@@ -52,17 +54,17 @@
     """
 
     async def run() -> None:
-        client, own, remote = FakePeerClient(), Knowledge(5.0), Knowledge(5.0)
-        remote.learn_control(["a", "b", "c"])
+        client, own, remote = FakePeerClient(), FleetView(5.0), FleetView(5.0)
+        remote.set_control_hosts(["a", "b", "c"])
         seeds = ("a", "b", "c")
         for address in seeds:
             client.handlers[address] = _poll_handler(remote)
         poller = _make_poller(own, client, seeds)
         poller._random.seed(seed)
         task = asyncio.ensure_future(poller.run())
-        await _wait_until(lambda: poller.teacher is not None, 2.0)
-        client.frozen.add(poller.teacher)
-        remote.learn_routes(7, "{}")
+        await _wait_until(lambda: poller.control_host is not None, 2.0)
+        client.frozen.add(poller.control_host)
+        remote.update_routes(7, "{}")
         await _wait_until(lambda: own.routes_version == 7, 3.0)
         task.cancel()
 
@@ -73,10 +75,10 @@
     """Guards against polling a partitioned control host that has outdated routes."""
 
     async def run() -> None:
-        client, own = FakePeerClient(), Knowledge(5.0)
-        partitioned, current = Knowledge(5.0), Knowledge(5.0)
-        partitioned.learn_routes(1, "old")
-        current.learn_routes(2, "new")
+        client, own = FakePeerClient(), FleetView(5.0)
+        partitioned, current = FleetView(5.0), FleetView(5.0)
+        partitioned.update_routes(1, "old")
+        current.update_routes(2, "new")
         client.handlers = {
             "a": _poll_handler(partitioned, connected=False),
             "b": _poll_handler(current),
@@ -84,7 +86,7 @@
         poller = _make_poller(own, client, ("a", "b"))
         task = asyncio.ensure_future(poller.run())
         await _wait_until(lambda: own.routes_version == 2, 3.0)
-        await _wait_until(lambda: poller.teacher == "b", 1.0)
+        await _wait_until(lambda: poller.control_host == "b", 1.0)
         task.cancel()
 
     run_virtual(run())
@@ -94,16 +96,16 @@
     """Guards against losing a drain when all control hosts restart at once."""
 
     async def run() -> None:
-        client, own, first = FakePeerClient(), Knowledge(5.0), Knowledge(5.0)
+        client, own, first = FakePeerClient(), FleetView(5.0), FleetView(5.0)
         record = make_record(state=ServerState.DRAINING, sequence=8)
-        first.learn_servers([record])
+        first.merge_servers([record])
         client.handlers = {"a": _poll_handler(first)}
         task = asyncio.ensure_future(_make_poller(own, client, ("a",)).run())
         await _wait_until(lambda: own.directory.find("i-1") is not None, 2.0)
-        restarted = Knowledge(5.0)
+        restarted = FleetView(5.0)
         client.handlers = {"a": _poll_handler(restarted)}
         await _wait_until(lambda: restarted.directory.find("i-1") == record, 4.0)
-        restarted.learn_servers([make_record(sequence=5)])
+        restarted.merge_servers([make_record(sequence=5)])
         assert restarted.directory.usable() == []
         task.cancel()
 
@@ -114,9 +116,9 @@
     """Guards against a late response with older routes."""
 
     async def run() -> None:
-        own = Knowledge(5.0)
-        own.learn_routes(3, "three")
-        own.learn_routes(2, "two")
+        own = FleetView(5.0)
+        own.update_routes(3, "three")
+        own.update_routes(2, "two")
         assert (own.routes_version, own.routes_document) == (3, "three")
 
     run_virtual(run())
@@ -126,15 +128,15 @@
     """Guards against unnecessary control traffic between availability zones."""
 
     async def run() -> None:
-        client, own, remote = FakePeerClient(), Knowledge(5.0), Knowledge(5.0)
-        remote.learn_control(["a", "b", "c"])
+        client, own, remote = FakePeerClient(), FleetView(5.0), FleetView(5.0)
+        remote.set_control_hosts(["a", "b", "c"])
         remote.zones = {"a": "y", "b": "z", "c": "x"}
         client.handlers = {name: _poll_handler(remote) for name in "abc"}
         poller = _make_poller(own, client, ("a", "c"))
         task = asyncio.ensure_future(poller.run())
-        await _wait_until(lambda: poller.teacher == "b", 2.0)
+        await _wait_until(lambda: poller.control_host == "b", 2.0)
         client.frozen.add("b")
-        await _wait_until(lambda: poller.teacher in ("a", "c"), 3.0)
+        await _wait_until(lambda: poller.control_host in ("a", "c"), 3.0)
         task.cancel()
 
     run_virtual(run())
--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -123,7 +123,7 @@
             body=body,
             keep_alive=True,
             received_at=asyncio.get_running_loop().time(),
-            first=False,
+            first_on_connection=False,
             fields=fields,
         )
         return await asyncio.wait_for(self.gateway.handle(request), timeout=10)
--- a/tests/log/test_members.py
+++ b/tests/log/test_members.py
@@ -50,10 +50,12 @@
         new_host = await group.add_host("d")
         leader = await group.wait_leader()
         replica = group.replica(leader.name)
-        pending_change = asyncio.ensure_future(replica.change(add=new_host.member))
+        pending_change = asyncio.ensure_future(
+            replica.change_members(add=new_host.member)
+        )
         await asyncio.sleep(0)
         with pytest.raises(ChangeRefused):
-            await replica.change(remove=group.followers()[0].member.id)
+            await replica.change_members(remove=group.followers()[0].member.id)
         await pending_change
         await group.stop()
 
@@ -72,7 +74,9 @@
         new_leader = group.leader()
         assert new_leader is not None
         with pytest.raises(ChangeRefused):
-            await group.replica(new_leader.name).change(remove=crashed_leader.member.id)
+            await group.replica(new_leader.name).change_members(
+                remove=crashed_leader.member.id
+            )
         await group.change(remove=crashed_leader.member.id)
         await group.stop()
 
@@ -89,7 +93,7 @@
         await asyncio.sleep(group.settings.election_timeout)
         leader = await group.wait_leader()
         with pytest.raises(ChangeRefused):
-            await group.replica(leader.name).change(remove=live.member.id)
+            await group.replica(leader.name).change_members(remove=live.member.id)
         await group.propose({"n": 1})
         await group.stop()
 
@@ -123,7 +127,9 @@
         group = LogGroup("removed leader")
         await group.start("a", "b", "c")
         removed_leader = await group.wait_leader()
-        await group.replica(removed_leader.name).change(remove=removed_leader.member.id)
+        await group.replica(removed_leader.name).change_members(
+            remove=removed_leader.member.id
+        )
         await group.until(lambda: not group.replica(removed_leader.name).leading)
         await group.propose({"n": 1})
         assert group.leader() is not removed_leader
--- a/tests/log/test_replica.py
+++ b/tests/log/test_replica.py
@@ -172,7 +172,7 @@
         leader, (follower, _) = _leader_and_followers(group)
         with pytest.raises(NotLeader) as caught:
             await group.replica(follower.name).propose({"n": 1})
-        assert caught.value.hint == leader.member
+        assert caught.value.leader == leader.member
         await group.stop()
 
     run_virtual(main())
--- a/tests/membership/conftest.py
+++ b/tests/membership/conftest.py
@@ -14,7 +14,7 @@
     ConfigurationSource,
     Holding,
     LeaderSource,
-    Mesh,
+    MeshReplicator,
     SessionClient,
     SessionServer,
 )
@@ -194,11 +194,11 @@
             network.make_call("barrier", self.name),
             clock,
         )
-        self.mesh = Mesh(
+        self.mesh = MeshReplicator(
             self.name,
             self.server.directory,
             self.server.verdicts,
-            self.server.continuity,
+            self.server.completeness,
             lambda: list(self.system.control_hosts),
             network.make_call("mesh", self.name),
             clock,
@@ -213,7 +213,7 @@
         ]
 
     async def _handle_barrier(self, message: Any) -> Any:
-        return self.server.barrier.handle(message)
+        return self.server.leader_exchange.handle(message)
 
     async def _replicate(self) -> None:
         log = self.system.log
@@ -228,7 +228,7 @@
                 and self.applied_revision < len(log.texts) - 1
             ):
                 self.applied_revision = len(log.texts) - 1
-                self.server.wake()
+                self.server.wake_polls()
 
     def stop(self) -> None:
         """Stop the process abruptly, as a crash does."""
--- a/tests/membership/test_servers.py
+++ b/tests/membership/test_servers.py
@@ -165,14 +165,14 @@
         entry_host = system.entry_hosts["e0"]
         entry_host.leases.announce(make_announcement())
         await asyncio.wait_for(
-            entry_host.client.delivered(entry_host.leases.version), 1
+            entry_host.client.wait_delivered(entry_host.leases.version), 1
         )
         assert system.leader.directory.servers("counter")
         system.network.isolated.add("e0")
         entry_host.leases.announce(make_announcement(sequence=2, state="draining"))
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(
-                entry_host.client.delivered(entry_host.leases.version), 2
+                entry_host.client.wait_delivered(entry_host.leases.version), 2
             )
 
     run_scenario(scenario)
@@ -331,7 +331,7 @@
         }
         entry_host.leases.announce(make_announcement())
         await asyncio.wait_for(
-            entry_host.client.delivered(entry_host.leases.version), 3
+            entry_host.client.wait_delivered(entry_host.leases.version), 3
         )
         assert system.leader.directory.servers("counter")
 
--- a/tests/membership/test_sessions.py
+++ b/tests/membership/test_sessions.py
@@ -8,6 +8,7 @@
 import pytest
 from kingcuplug_membership import (
     CompletenessTracker,
+    CrashVerdict,
     CrashVerdictTable,
     Directory,
     MembershipSettings,
@@ -15,7 +16,6 @@
     NotLeading,
     ServerEntry,
     SessionClient,
-    Verdict,
     rendezvous_order,
 )
 from kingcuplug_membership._directory_sync import DirectorySync
@@ -299,7 +299,7 @@
         revision = system.log.accept_revision()
         await wait_until(lambda: system.entry_hosts["e1"].revision == revision, 4)
         await asyncio.sleep(3)
-        assert system.control_hosts[home].server.barrier.is_failing()
+        assert system.control_hosts[home].server.leader_exchange.is_failing()
         assert all_confirmed(system)
 
     run_scenario(scenario)
@@ -376,7 +376,7 @@
     ) -> None:
         name, rank = server.announcement.server, server.rank
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(client.delivered(version), 3)
+            await asyncio.wait_for(client.wait_delivered(version), 3)
             self.drains.append((name, rank, now()))
 
     def stop(self) -> None:
@@ -449,8 +449,8 @@
     # Guards against a request that crashes servers through one entry host after
     # another.
     async def scenario(system: System) -> None:
-        system.entry_hosts["e0"].client.report(Verdict("f1", "s1", 1))
-        system.entry_hosts["e1"].client.report(Verdict("f1"))
+        system.entry_hosts["e0"].client.report(CrashVerdict("f1", "s1", 1))
+        system.entry_hosts["e1"].client.report(CrashVerdict("f1"))
         clients = [entry_host.client for entry_host in system.entry_hosts.values()]
         await wait_until(
             lambda: all(len(client.verdicts) == 2 for client in clients), 1
@@ -465,8 +465,8 @@
     time = [0.0]
     table = CrashVerdictTable(lambda: time[0], MembershipSettings(verdict_limit=3))
     for number in range(5):
-        assert table.add(Verdict(f"f{number}"))
-    assert not table.add(Verdict("f4"))
+        assert table.add(CrashVerdict(f"f{number}"))
+    assert not table.add(CrashVerdict("f4"))
     assert [verdict.fingerprint for verdict in table.added_since(0)] == [
         "f2",
         "f3",
@@ -474,7 +474,7 @@
     ]
     time[0] = 601.0
     assert table.added_since(0) == ()
-    assert table.add(Verdict("f4"))
+    assert table.add(CrashVerdict("f4"))
     assert len(table) == 1
 
 
@@ -717,7 +717,7 @@
     elif step == "revision":
         system.log.accept_revision()
     elif step == "verdict":
-        entry_host.client.report(Verdict("f1"))
+        entry_host.client.report(CrashVerdict("f1"))
     await asyncio.sleep(0)
 
 
--- a/tests/platform_formats/test_formats.py
+++ b/tests/platform_formats/test_formats.py
@@ -12,8 +12,8 @@
     DocumentInvalid,
     StatementInvalid,
     decode_document,
+    decode_heartbeat,
     decode_settings,
-    decode_statement,
     encode_document,
     encode_heartbeat,
 )
@@ -69,9 +69,9 @@
 
 def test_heartbeat_is_decoded():
     """Guards against fields of a heartbeat that are confused with each other."""
-    record = decode_statement("i-1", json.dumps(HEARTBEAT).encode())
+    record = decode_heartbeat("i-1", json.dumps(HEARTBEAT).encode())
     assert (record.id, record.service, record.address) == ("i-1", "s", "10.0.0.1:80")
-    assert (record.born_ms, record.sequence) == (1_700_000_000_000, 4)
+    assert (record.start_ms, record.sequence) == (1_700_000_000_000, 4)
     assert record.state is ServerState.READY
 
 
@@ -92,7 +92,7 @@
 def test_heartbeat_with_invalid_field_is_rejected(change):
     """Guards against sending requests to the address of a malformed heartbeat."""
     with pytest.raises(StatementInvalid):
-        decode_statement("i-1", json.dumps(HEARTBEAT | change).encode())
+        decode_heartbeat("i-1", json.dumps(HEARTBEAT | change).encode())
 
 
 @pytest.mark.parametrize("missing", sorted(set(HEARTBEAT) - {"version"}))
@@ -100,14 +100,14 @@
     """Guards against defaults for fields that a server did not send."""
     value = {k: v for k, v in HEARTBEAT.items() if k != missing}
     with pytest.raises(StatementInvalid):
-        decode_statement("i-1", json.dumps(value).encode())
+        decode_heartbeat("i-1", json.dumps(value).encode())
 
 
 @given(st.binary(max_size=60))
 def test_undecodable_heartbeat_is_rejected(data):
     """Guards against an internal error on bytes that are not a JSON object."""
     with pytest.raises(StatementInvalid):
-        decode_statement("i-1", data)
+        decode_heartbeat("i-1", data)
 
 
 def test_document_is_decoded():
@@ -162,8 +162,8 @@
 
 def test_encoded_formats_decode_to_same_value():
     """Guards against simulated servers and operators with a format of their own."""
-    record = decode_statement("i-1", json.dumps(HEARTBEAT).encode())
-    assert decode_statement("i-1", encode_heartbeat(record)) == record
+    record = decode_heartbeat("i-1", json.dumps(HEARTBEAT).encode())
+    assert decode_heartbeat("i-1", encode_heartbeat(record)) == record
     query = ROUTE | {"name": "q", "path_prefix": "/q/", "service": None}
     query |= {"fanout_services": ["s", "t"], "top_k": 5, "minimum": 0.5}
     table = decode_document(_make_document(routes=[ROUTE, query]))
--- a/tools/measure_fleet.py
+++ b/tools/measure_fleet.py
@@ -7,14 +7,14 @@
 import orjson
 from kingcuplug_fleet import (
     Directory,
-    Knowledge,
+    FleetView,
+    PushMessage,
     ServerRecord,
     ServerState,
-    ShareMessage,
+    answer_poll,
     encode_body,
-    teach,
 )
-from kingcuplug_platform import decode_statement
+from kingcuplug_platform import decode_heartbeat
 from kingcuplug_routing import SlowServerDetector
 
 SERVER_COUNTS = (1_000, 10_000, 57_000)
@@ -60,7 +60,7 @@
     usable_ended = time.process_time()
     silent = len(directory.silent(1.0))
     silent_ended = time.process_time()
-    data = orjson.dumps([r.to_json() for r in directory.since(0)])
+    data = orjson.dumps([r.to_json() for r in directory.changed_since(0)])
     print(
         f"{count} servers ({usable} usable, {silent} silent): "
         f"merge {(merge_ended - started) / count * 1e6:.1f} us, "
@@ -76,7 +76,7 @@
         await measure_directory(count)
     started = time.process_time()
     for _ in range(20_000):
-        decode_statement("i-1", STATEMENT)
+        decode_heartbeat("i-1", STATEMENT)
     print(
         f"decode a statement: {(time.process_time() - started) / 20_000 * 1e6:.1f} us"
     )
@@ -90,8 +90,8 @@
         f"take a report of 36 servers: {elapsed_s / 2_000 * 1e6:.0f} us, "
         f"{len(orjson.dumps(samples))} B"
     )
-    knowledge = Knowledge(5.0)
-    knowledge.learn_control([f"10.1.0.{n}:8224" for n in range(8)])
+    knowledge = FleetView(5.0)
+    knowledge.set_control_hosts([f"10.1.0.{n}:8224" for n in range(8)])
     poll = {
         "host": "frontend-1",
         "epoch": knowledge.epoch,
@@ -99,13 +99,13 @@
         "routes": 0,
         "servers": [],
         "digest": 0,
-        "state_key": knowledge.state_key(),
+        "state_key": knowledge.state_digest(),
         "zone": "zone-a",
         "wait": False,
     }
     started = time.process_time()
     for _ in range(2_000):
-        reply = await teach(knowledge, lambda: True, "10.1.0.1:8224", poll)
+        reply = await answer_poll(knowledge, lambda: True, "10.1.0.1:8224", poll)
     elapsed_s = time.process_time() - started
     # Random ids and start times, because regular ones would compress too well.
     rng = random.Random(1)
@@ -116,7 +116,7 @@
         )
         for _ in range(REPORTED_SERVERS)
     }
-    report = ShareMessage("10.1.0.1:8224", "zone-a", 2**63, heard=heard)
+    report = PushMessage("10.1.0.1:8224", "zone-a", 2**63, heartbeats=heard)
     started = time.process_time()
     _, body = encode_body(report.to_json())
     elapsed_ms = (time.process_time() - started) * 1e3
--- a/tools/measure_log.py
+++ b/tools/measure_log.py
@@ -80,7 +80,7 @@
     # The call is refused until a leader is elected and the last learner promoted.
     while member not in leader.status().members:
         with contextlib.suppress(NotLeader, ChangeRefused):
-            await leader.change(add=member)
+            await leader.change_members(add=member)
         await asyncio.sleep(0.05)
 
 
--- a/tools/measure_membership.py
+++ b/tools/measure_membership.py
@@ -32,7 +32,7 @@
     Directory,
     Holding,
     LeaderSource,
-    Mesh,
+    MeshReplicator,
     ServerEntry,
     SessionClient,
     SessionServer,
@@ -121,18 +121,18 @@
             self.mesh_transport.make_call("barrier"),
             virtual_time,
         )
-        mesh = Mesh(
+        mesh = MeshReplicator(
             name,
             server.directory,
             server.verdicts,
-            server.continuity,
+            server.completeness,
             lambda: self.control_names,
             self.mesh_transport.make_call("mesh"),
             virtual_time,
         )
 
         async def barrier(message: Any) -> Any:
-            return server.barrier.handle(message)
+            return server.leader_exchange.handle(message)
 
         self.session_transport.handlers["session", name] = server.handle
         self.mesh_transport.handlers["mesh", name] = mesh.handle
