--- a/packages/cli/src/kingcuplug_cli/_config.py
+++ b/packages/cli/src/kingcuplug_cli/_config.py
@@ -9,7 +9,7 @@
 from kingcuplug_configuration import (
     ConfigurationFault,
     ConfigurationText,
-    describe,
+    describe_changes,
     parse,
     render,
 )
@@ -51,7 +51,7 @@
     """Compare a configuration text with the one in force."""
     new_text = _parse_valid_text(_read_text_file(file))
     current = await show(client)
-    changes = describe(parse(current.text), new_text).splitlines()
+    changes = describe_changes(parse(current.text), new_text).splitlines()
     return DiffResult(current.number, bool(changes), tuple(changes))
 
 
@@ -212,7 +212,7 @@
     client: OperatorClient, base_revision: int, text: str, answer: dict[str, Any]
 ) -> ApplyConflict:
     current = await show(client)
-    difference = describe(parse(current.text), parse(text)).splitlines()
+    difference = describe_changes(parse(current.text), parse(text)).splitlines()
     return ApplyConflict(
         base_revision,
         answer["current_revision"],
--- a/packages/configuration/src/kingcuplug_configuration/__init__.py
+++ b/packages/configuration/src/kingcuplug_configuration/__init__.py
@@ -12,11 +12,11 @@
 from kingcuplug_configuration._delta import (
     Delta,
     DigestMismatch,
-    describe,
-    difference,
+    apply_deltas,
+    compute_delta,
+    describe_changes,
     merge_deltas,
     patch,
-    replay,
 )
 from kingcuplug_configuration._faults import ConfigurationFault
 from kingcuplug_configuration._history import (
@@ -51,13 +51,13 @@
     "Result",
     "Revision",
     "Service",
-    "describe",
-    "difference",
+    "apply_deltas",
+    "compute_delta",
+    "describe_changes",
     "merge_deltas",
     "parse",
     "patch",
     "render",
-    "replay",
     "result_from_json",
     "text_digest",
 ]
--- a/packages/configuration/src/kingcuplug_configuration/_delta.py
+++ b/packages/configuration/src/kingcuplug_configuration/_delta.py
@@ -12,11 +12,11 @@
 __all__ = [
     "Delta",
     "DigestMismatch",
-    "describe",
-    "difference",
+    "apply_deltas",
+    "compute_delta",
+    "describe_changes",
     "merge_deltas",
     "patch",
-    "replay",
 ]
 
 
@@ -88,7 +88,7 @@
         return cls(services, removed, retention_days, *digests, revision)
 
 
-def difference(
+def compute_delta(
     old: ConfigurationText, new: ConfigurationText, revision: int = 0
 ) -> Delta:
     """Return the delta that turns `old` into `new`."""
@@ -111,10 +111,10 @@
     DigestMismatch
         If the result has another digest, for example because `old` is not the base.
     """
-    return replay(old, [delta])
+    return apply_deltas(old, [delta])
 
 
-def replay(old: ConfigurationText, deltas: Sequence[Delta]) -> ConfigurationText:
+def apply_deltas(old: ConfigurationText, deltas: Sequence[Delta]) -> ConfigurationText:
     """Apply successive deltas and verify the digest of the final result.
 
     Each delta's base digest is only compared with the digest of the delta before it:
@@ -178,7 +178,7 @@
     )
 
 
-def describe(old: ConfigurationText, new: ConfigurationText) -> str:
+def describe_changes(old: ConfigurationText, new: ConfigurationText) -> str:
     """Return the changes as text for operators, one line per change.
 
     The text is empty if the configurations are equal.
--- a/packages/configuration/src/kingcuplug_configuration/_history.py
+++ b/packages/configuration/src/kingcuplug_configuration/_history.py
@@ -26,9 +26,9 @@
 from kingcuplug_configuration._delta import (
     Delta,
     DigestMismatch,
-    difference,
+    apply_deltas,
+    compute_delta,
     merge_deltas,
-    replay,
 )
 from kingcuplug_configuration._faults import ConfigurationFault
 from kingcuplug_configuration._graph import check_dependencies
@@ -96,7 +96,7 @@
             except CommandInvalid as error:
                 fault = ConfigurationFault("command", error.message, error.remedy)
                 return Rejected((fault,))
-        known_result = self.settled(command)
+        known_result = self.known_result(command)
         if known_result is not None:
             return known_result
         if command.base_revision > self.current.number:
@@ -108,7 +108,7 @@
         self._accept_change(command, proposed)
         return Accepted(self.current.number)
 
-    def settled(self, command: ApplyConfiguration) -> Result | None:
+    def known_result(self, command: ApplyConfiguration) -> Result | None:
         """Return the result of a command if it is known without a log entry.
 
         The result of a resend of a stored change, and of a change whose base
@@ -140,7 +140,7 @@
         proposed = parse(command.text)
         if command.base_revision != self.current.number:
             return command
-        delta = difference(self.configuration, proposed)
+        delta = compute_delta(self.configuration, proposed)
         return ApplyConfiguration(
             command.change_id,
             command.base_revision,
@@ -150,7 +150,7 @@
             delta,
         )
 
-    def since(self, revision: int) -> list[Delta] | None:
+    def deltas_since(self, revision: int) -> list[Delta] | None:
         """Return the deltas after a revision.
 
         None means that they have been evicted or that the revision does not exist,
@@ -161,7 +161,7 @@
             return None
         return list(islice(self._deltas, len(self._deltas) - missing, None))
 
-    def recent(self, limit: int) -> list[Change]:
+    def recent_changes(self, limit: int) -> list[Change]:
         """Return the last accepted changes, newest first."""
         return list(islice(reversed(self._changes.values()), limit))
 
@@ -204,7 +204,7 @@
         self._services_in_deltas = sum(len(delta) for delta in deltas)
 
     def _conflict_since(self, base_revision: int) -> Conflict:
-        deltas = self.since(base_revision)
+        deltas = self.deltas_since(base_revision)
         return Conflict(
             self.current.number,
             self.current.author,
@@ -216,7 +216,7 @@
         if command.delta is None:
             return parse(command.text)
         try:
-            proposed = replay(self.configuration, [command.delta])
+            proposed = apply_deltas(self.configuration, [command.delta])
         except DigestMismatch as error:
             fault = ConfigurationFault("delta", error.message, "send the whole text")
             raise ExceptionGroup(
@@ -247,7 +247,7 @@
         self, command: ApplyConfiguration, new: ConfigurationText, revision: int
     ) -> Delta:
         if command.delta is None:
-            return difference(self.configuration, new, revision)
+            return compute_delta(self.configuration, new, revision)
         base_digest = self.current.digest
         return dataclasses.replace(
             command.delta, base_digest=base_digest, revision=revision
--- a/packages/daemon/src/kingcuplug_daemon/_caller_app.py
+++ b/packages/daemon/src/kingcuplug_daemon/_caller_app.py
@@ -19,7 +19,7 @@
 )
 from kingcuplug_configuration import Policy
 from kingcuplug_membership import parse_announcement
-from kingcuplug_query import Answer, OrderRequest, QueryRequest, unsettled
+from kingcuplug_query import Answer, OrderRequest, QueryRequest, refusal_for_all_copies
 from opentelemetry.trace import Tracer
 from starlette.requests import Request
 from starlette.responses import Response
@@ -171,7 +171,7 @@
                     kind, service, request_id, body, answer
                 )
             except Refusal as refusal:
-                refusal = unsettled(refusal, resend)
+                refusal = refusal_for_all_copies(refusal, resend)
                 response = self._refusal_response(
                     kind, service, request_id, body, refusal
                 )
--- a/packages/daemon/src/kingcuplug_daemon/_claim_holders.py
+++ b/packages/daemon/src/kingcuplug_daemon/_claim_holders.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from kingcuplug_membership import SessionClient
-from kingcuplug_query import Background
+from kingcuplug_query import BackgroundTasks
 
 __all__ = ["ClaimHolderTracker"]
 
@@ -19,11 +19,13 @@
     ----------
     session : SessionClient
         Asked whether an incarnation of an entry host is live.
-    background_tasks : Background
+    background_tasks : BackgroundTasks
         Runs the checks.
     """
 
-    def __init__(self, session: SessionClient, background_tasks: Background) -> None:
+    def __init__(
+        self, session: SessionClient, background_tasks: BackgroundTasks
+    ) -> None:
         self._session = session
         self._background_tasks = background_tasks
         self._ended: set[tuple[str, int]] = set()
--- a/packages/daemon/src/kingcuplug_daemon/_control_node.py
+++ b/packages/daemon/src/kingcuplug_daemon/_control_node.py
@@ -14,7 +14,7 @@
     wall_ms,
 )
 from kingcuplug_configuration import ApplyConfiguration
-from kingcuplug_ledger import command_from_json, result_to_json, stamp
+from kingcuplug_ledger import command_from_json, result_to_json, with_command_time
 from kingcuplug_log import (
     DiskFileSystem,
     LogSettings,
@@ -161,7 +161,7 @@
         if kind == "lookup":
             return await self._look_up_order(command)
         if kind in LEDGER_COMMANDS:
-            command = stamp(command, wall_ms())
+            command = with_command_time(command, wall_ms())
         elif kind == "apply_configuration":
             return await self._apply_configuration(command)
         result = await self.replica.propose(command)
@@ -274,7 +274,7 @@
         change = ApplyConfiguration.from_json(command | {"time_ms": wall_ms()})
         await self.replica.read_barrier()
         history = self.state_machine.configuration
-        known_result = history.settled(change)
+        known_result = history.known_result(change)
         if known_result is not None:
             return known_result.to_json()
         # Checking a text of the largest supported size takes longer than an election
@@ -342,7 +342,7 @@
         history = self.state_machine.configuration
         return ConfigurationSource(
             revision=lambda: history.current.number,
-            deltas_since=lambda number: _deltas_to_json(history.since(number)),
+            deltas_since=lambda number: _deltas_to_json(history.deltas_since(number)),
             text=lambda: history.current.text,
             digest=lambda: history.current.digest,
         )
--- a/packages/daemon/src/kingcuplug_daemon/_entry_configuration.py
+++ b/packages/daemon/src/kingcuplug_daemon/_entry_configuration.py
@@ -13,9 +13,9 @@
     ConfigurationText,
     Delta,
     Service,
+    apply_deltas,
     parse,
     render,
-    replay,
     text_digest,
 )
 from kingcuplug_query import RevisionView, ServiceRuntime
@@ -82,7 +82,9 @@
             If the resulting text has another digest; nothing changes then.
         """
         if deltas is not None:
-            new_text = replay(self._text, [Delta.from_json(value) for value in deltas])
+            new_text = apply_deltas(
+                self._text, [Delta.from_json(value) for value in deltas]
+            )
         else:
             new_text = parse(text or "")
         actual = text_digest(render(new_text))
--- a/packages/daemon/src/kingcuplug_daemon/_entry_node.py
+++ b/packages/daemon/src/kingcuplug_daemon/_entry_node.py
@@ -9,8 +9,8 @@
 from kingcuplug_ledger import LedgerClient
 from kingcuplug_membership import ConfigurationSink, MembershipSettings, SessionClient
 from kingcuplug_query import (
-    Background,
-    HttpBackend,
+    BackgroundTasks,
+    HttpBackendClient,
     OrderExecutor,
     QueryExecutor,
 )
@@ -81,11 +81,11 @@
         membership_settings: MembershipSettings | None = None,
     ) -> None:
         zone = settings.availability_zone
-        self.background_tasks = Background()
+        self.background_tasks = BackgroundTasks()
         self.crash_guard = CrashGuard()
         self._backend_tls = settings.backend_tls
         self._backend_context = client_context(settings.backend_tls)
-        self.backend = HttpBackend(self._backend_context)
+        self.backend = HttpBackendClient(self._backend_context)
         self.configuration = EntryConfiguration(
             settings.services, policy_factory, random.Random()
         )
@@ -132,7 +132,7 @@
             self.background_tasks,
             zone,
             ClaimHolderTracker(self.session, self.background_tasks).has_ended,
-            self.backend.reachable,
+            self.backend.is_reachable,
         )
         self._background_task: asyncio.Task[None] | None = None
 
--- a/packages/daemon/src/kingcuplug_daemon/_router_updater.py
+++ b/packages/daemon/src/kingcuplug_daemon/_router_updater.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from kingcuplug_membership import ServerEntry, SessionClient
-from kingcuplug_query import HttpBackend, RevisionView
+from kingcuplug_query import HttpBackendClient, RevisionView
 from kingcuplug_routing import CrashGuard, Holding, ServerView
 
 __all__ = ["RouterUpdater"]
@@ -22,7 +22,7 @@
         Provides the directory and the number of live entry hosts.
     current_view : callable
         Returns the view of the revision in force.
-    backend_client : HttpBackend
+    backend_client : HttpBackendClient
         Receives the connection limits.
     crash_guard : CrashGuard
         Receives crashes: servers that announced a new incarnation without having
@@ -33,7 +33,7 @@
         self,
         session: SessionClient,
         current_view: Callable[[], RevisionView],
-        backend_client: HttpBackend,
+        backend_client: HttpBackendClient,
         crash_guard: CrashGuard,
     ) -> None:
         self._session = session
@@ -113,11 +113,11 @@
         self._addresses[service] = addresses
         for server in servers:
             limit = max(server.connections // self._live_entry_hosts, 1)
-            self._backend_client.limit(server.address, limit)
+            self._backend_client.set_connection_limit(server.address, limit)
 
     def _close_unused_pool(self, service: str, address: str) -> None:
         if address not in self._addresses.get(service, set()):
-            self._backend_client.forget(address)
+            self._backend_client.close_pool(address)
 
 
 def _server_view(entry: ServerEntry) -> ServerView:
--- a/packages/daemon/src/kingcuplug_daemon/_state_reads.py
+++ b/packages/daemon/src/kingcuplug_daemon/_state_reads.py
@@ -29,7 +29,7 @@
 
 def configuration_history(state_machine: SystemStateMachine) -> dict[str, Any]:
     """Return the recorded changes, the newest first."""
-    changes = state_machine.configuration.recent(_MAX_HISTORY_CHANGES)
+    changes = state_machine.configuration.recent_changes(_MAX_HISTORY_CHANGES)
     return {"revisions": [change._asdict() for change in changes]}
 
 
--- a/packages/ledger/src/kingcuplug_ledger/__init__.py
+++ b/packages/ledger/src/kingcuplug_ledger/__init__.py
@@ -18,7 +18,7 @@
     Release,
     command_from_json,
     command_to_json,
-    stamp,
+    with_command_time,
 )
 from kingcuplug_ledger._keys import IdempotencyKey, KeyInvalid, parse_key
 from kingcuplug_ledger._ledger import DumpInvalid, OrderLedger
@@ -92,5 +92,5 @@
     "parse_key",
     "result_from_json",
     "result_to_json",
-    "stamp",
+    "with_command_time",
 ]
--- a/packages/ledger/src/kingcuplug_ledger/_client.py
+++ b/packages/ledger/src/kingcuplug_ledger/_client.py
@@ -158,7 +158,7 @@
             return result
         raise _unexpected_result_error(result)
 
-    async def dispatch(
+    async def record_dispatch(
         self, key: str, token: str, server: str, attempt_id: str, *, deadline: float
     ) -> DispatchRecorded:
         """Record that the order is about to be sent to a backend server.
@@ -191,7 +191,7 @@
             return result
         raise _unexpected_result_error(result)
 
-    async def outcome(
+    async def record_outcome(
         self,
         key: str,
         token: str,
@@ -250,7 +250,7 @@
             return result.record
         raise _unexpected_result_error(result)
 
-    async def attach(
+    async def wait_for_outcome(
         self,
         key: str,
         *,
--- a/packages/ledger/src/kingcuplug_ledger/_commands.py
+++ b/packages/ledger/src/kingcuplug_ledger/_commands.py
@@ -2,7 +2,7 @@
 
 Every command has a `time_ms`. The leader replaces it with its own wall clock before
 it appends the log entry, so that an entry host with a wrong clock cannot advance the
-ledger's time; see `stamp`.
+ledger's time; see `with_command_time`.
 """
 
 import dataclasses
@@ -23,7 +23,7 @@
     "Release",
     "command_from_json",
     "command_to_json",
-    "stamp",
+    "with_command_time",
 ]
 
 OutcomeKind = Literal["done", "not_run", "unknown"]
@@ -141,6 +141,6 @@
     return _codec.decode(value)
 
 
-def stamp(command: Mapping[str, Any], wall_ms: int) -> dict[str, Any]:
+def with_command_time(command: Mapping[str, Any], wall_ms: int) -> dict[str, Any]:
     """Return the JSON of a command with its time set to `wall_ms`."""
     return {**command, "time_ms": wall_ms}
--- a/packages/query/src/kingcuplug_query/__init__.py
+++ b/packages/query/src/kingcuplug_query/__init__.py
@@ -3,12 +3,12 @@
 from kingcuplug_query._backend_client import (
     CancelAttempt,
     ConnectFailed,
-    HttpBackend,
+    HttpBackendClient,
     IsReachable,
     ReplyLost,
     SendSubRequest,
 )
-from kingcuplug_query._background_tasks import Background
+from kingcuplug_query._background_tasks import BackgroundTasks
 from kingcuplug_query._messages import (
     Answer,
     OrderRequest,
@@ -19,7 +19,7 @@
     SubRequest,
     parse_reply,
 )
-from kingcuplug_query._order_refusals import unsettled
+from kingcuplug_query._order_refusals import refusal_for_all_copies
 from kingcuplug_query._orders import OrderExecutor
 from kingcuplug_query._query import (
     QueryExecutor,
@@ -31,10 +31,10 @@
 
 __all__ = [
     "Answer",
-    "Background",
+    "BackgroundTasks",
     "CancelAttempt",
     "ConnectFailed",
-    "HttpBackend",
+    "HttpBackendClient",
     "IsReachable",
     "OrderExecutor",
     "OrderRequest",
@@ -51,7 +51,7 @@
     "choose_snapshot",
     "fingerprint_of",
     "parse_reply",
+    "refusal_for_all_copies",
     "shard_of",
-    "unsettled",
     "wanted_shards",
 ]
--- a/packages/query/src/kingcuplug_query/_backend_client.py
+++ b/packages/query/src/kingcuplug_query/_backend_client.py
@@ -1,7 +1,7 @@
 """Transport to backend servers.
 
 `SendSubRequest`, `IsReachable` and `CancelAttempt` are the interface that tests
-replace; `HttpBackend` implements it over HTTP. Only the transport can tell
+replace; `HttpBackendClient` implements it over HTTP. Only the transport can tell
 whether nothing was sent or something may have been sent, so that distinction is made
 here.
 """
@@ -22,7 +22,7 @@
 __all__ = [
     "CancelAttempt",
     "ConnectFailed",
-    "HttpBackend",
+    "HttpBackendClient",
     "IsReachable",
     "ReplyLost",
     "SendSubRequest",
@@ -59,7 +59,7 @@
         self.server_unreachable = server_unreachable
 
 
-class HttpBackend:
+class HttpBackendClient:
     """Sends sub-requests over pooled HTTP connections.
 
     Parameters
@@ -81,14 +81,14 @@
         self._sessions: dict[str, aiohttp.ClientSession] = {}
         self._connection_limits: dict[str, int] = {}
 
-    def limit(self, address: str, max_connections: int) -> None:
+    def set_connection_limit(self, address: str, max_connections: int) -> None:
         """Set the maximum number of connections from this host to one server."""
         self._connection_limits[address] = max_connections
         session = self._sessions.get(address)
         if session is not None and session.connector is not None:
             session.connector._limit = max_connections
 
-    def forget(self, address: str) -> None:
+    def close_pool(self, address: str) -> None:
         """Close the connection pool of a server that was removed."""
         self._connection_limits.pop(address, None)
         session = self._sessions.pop(address, None)
@@ -134,7 +134,7 @@
         except (aiohttp.ClientError, ConnectionError) as error:
             raise await self._reply_lost_error(ticket, error) from error
 
-    async def reachable(self, ticket: Ticket) -> bool:
+    async def is_reachable(self, ticket: Ticket) -> bool:
         """Return whether a server currently accepts connections."""
         return await self._accepts_connections(ticket.address)
 
--- a/packages/query/src/kingcuplug_query/_background_tasks.py
+++ b/packages/query/src/kingcuplug_query/_background_tasks.py
@@ -4,10 +4,10 @@
 from collections.abc import Coroutine
 from typing import Any
 
-__all__ = ["Background"]
+__all__ = ["BackgroundTasks"]
 
 
-class Background:
+class BackgroundTasks:
     """Holds references to running tasks, so that shutdown can wait for them."""
 
     def __init__(self) -> None:
--- a/packages/query/src/kingcuplug_query/_order_refusals.py
+++ b/packages/query/src/kingcuplug_query/_order_refusals.py
@@ -23,7 +23,7 @@
     "key_refusal",
     "no_quorum_refusal",
     "outcome_unknown_refusal",
-    "unsettled",
+    "refusal_for_all_copies",
 ]
 
 _RETRY_AFTER_MS = 1_000
@@ -44,7 +44,7 @@
 )
 
 
-def unsettled(refusal: Refusal, resend: bool) -> Refusal:
+def refusal_for_all_copies(refusal: Refusal, resend: bool) -> Refusal:
     """Return a refusal that holds for all copies of an order.
 
     Another copy of a resent order may have run or may run later, even if this one
--- a/packages/query/src/kingcuplug_query/_orders.py
+++ b/packages/query/src/kingcuplug_query/_orders.py
@@ -43,7 +43,7 @@
     ReplyLost,
     SendSubRequest,
 )
-from kingcuplug_query._background_tasks import Background
+from kingcuplug_query._background_tasks import BackgroundTasks
 from kingcuplug_query._gather import OUTCOME_BY_STATUS
 from kingcuplug_query._messages import (
     Answer,
@@ -57,7 +57,7 @@
     key_refusal,
     no_quorum_refusal,
     outcome_unknown_refusal,
-    unsettled,
+    refusal_for_all_copies,
 )
 from kingcuplug_query._query import RevisionView, ServiceRuntime, fingerprint_of
 from kingcuplug_query._query_refusals import require_dependency_served
@@ -88,7 +88,7 @@
         Crash guard that all services of this entry host share.
     metrics : Metrics
         Counters.
-    background_tasks : Background
+    background_tasks : BackgroundTasks
         Runs attempts and ledger writes, which may outlive their request.
     zone : str
         The entry host's availability zone.
@@ -105,7 +105,7 @@
         send: SendSubRequest,
         crash_guard: CrashGuard,
         metrics: Metrics,
-        background_tasks: Background,
+        background_tasks: BackgroundTasks,
         zone: str,
         is_holder_lost: IsHolderLost,
         is_reachable: IsReachable,
@@ -133,7 +133,7 @@
         try:
             return await self._run(request, revision, retention_days)
         except Refusal as refusal:
-            raise unsettled(refusal, request.resend) from refusal
+            raise refusal_for_all_copies(refusal, request.resend) from refusal
 
     async def _run(
         self, request: OrderRequest, revision: RevisionView, retention_days: int
@@ -185,7 +185,7 @@
     async def _attach(self, request: OrderRequest) -> OrderRecord:
         self._metrics.count("order.attached")
         try:
-            record = await self._ledger.attach(
+            record = await self._ledger.wait_for_outcome(
                 request.key, deadline=request.deadline, holder_lost=self._is_holder_lost
             )
         except SubmissionUnknown as error:
@@ -287,7 +287,7 @@
         sub_request: SubRequest,
     ) -> None:
         try:
-            await self._ledger.dispatch(
+            await self._ledger.record_dispatch(
                 request.key,
                 claim_token,
                 ticket.server,
@@ -311,7 +311,7 @@
                 isinstance(result, ReleaseRefused)
                 and result.reason == "already_dispatched"
             ):
-                await self._ledger.outcome(
+                await self._ledger.record_outcome(
                     key, claim_token, "not_run", "not_sent", None, deadline=deadline
                 )
         except KingcuplugError:
@@ -412,7 +412,7 @@
     ) -> None:
         deadline = asyncio.get_running_loop().time() + _LEDGER_WRITE_TIMEOUT_S
         try:
-            await self._ledger.outcome(
+            await self._ledger.record_outcome(
                 key,
                 claim_token,
                 result.kind,
--- a/packages/query/src/kingcuplug_query/_query.py
+++ b/packages/query/src/kingcuplug_query/_query.py
@@ -22,7 +22,7 @@
 from kingcuplug_routing import Admission, CrashGuard, Router, SnapshotView
 
 from kingcuplug_query._backend_client import CancelAttempt, SendSubRequest
-from kingcuplug_query._background_tasks import Background
+from kingcuplug_query._background_tasks import BackgroundTasks
 from kingcuplug_query._gather import (
     RequestRetryBudget,
     ScatterGather,
@@ -102,7 +102,7 @@
         Crash guard that all services of this entry host share.
     metrics : Metrics
         Counters.
-    background_tasks : Background
+    background_tasks : BackgroundTasks
         Runs the attempts, which may outlive their query.
     zone : str
         The entry host's availability zone.
@@ -114,7 +114,7 @@
         cancel: CancelAttempt,
         crash_guard: CrashGuard,
         metrics: Metrics,
-        background_tasks: Background,
+        background_tasks: BackgroundTasks,
         zone: str,
     ) -> None:
         self._crash_guard = crash_guard
--- a/packages/testkit/src/kingcuplug_testkit/__init__.py
+++ b/packages/testkit/src/kingcuplug_testkit/__init__.py
@@ -1,29 +1,30 @@
 """Test support: virtual-time event loop and fakes for network and disk."""
 
-from kingcuplug_testkit._disk import FakeDisk, FakeFileSystem, HostCrashed, Trap
+from kingcuplug_testkit._disk import Failpoint, FakeDisk, FakeFileSystem, HostCrashed
 from kingcuplug_testkit._faults import FAULTS, Fault
 from kingcuplug_testkit._invariants import InvariantChecker, InvariantViolated
 from kingcuplug_testkit._log_group import Host, LogGroup, RecordingStateMachine
-from kingcuplug_testkit._matrix import CellResult, MatrixCell, run_cell
+from kingcuplug_testkit._matrix import CellResult, MatrixCell, run_matrix_cell
 from kingcuplug_testkit._network import FakeNetwork, LinkFaults
 from kingcuplug_testkit._processes import HostProcess, ProcessSet
 from kingcuplug_testkit._query_harness import (
-    KEY,
+    IDEMPOTENCY_KEY,
     NOW_MS,
-    World,
-    echo,
-    order,
-    query,
+    QueryHarness,
+    make_order,
+    make_query,
+    make_reply,
 )
-from kingcuplug_testkit._steps import STEPS, ProtocolStep
+from kingcuplug_testkit._steps import PROTOCOL_STEPS, ProtocolStep
 from kingcuplug_testkit._virtual_time import VirtualTimeLoop, run_virtual
 
 __all__ = [
     "FAULTS",
-    "KEY",
+    "IDEMPOTENCY_KEY",
     "NOW_MS",
-    "STEPS",
+    "PROTOCOL_STEPS",
     "CellResult",
+    "Failpoint",
     "FakeDisk",
     "FakeFileSystem",
     "FakeNetwork",
@@ -38,13 +39,12 @@
     "MatrixCell",
     "ProcessSet",
     "ProtocolStep",
+    "QueryHarness",
     "RecordingStateMachine",
-    "Trap",
     "VirtualTimeLoop",
-    "World",
-    "echo",
-    "order",
-    "query",
-    "run_cell",
+    "make_order",
+    "make_query",
+    "make_reply",
+    "run_matrix_cell",
     "run_virtual",
 ]
--- a/packages/testkit/src/kingcuplug_testkit/_disk.py
+++ b/packages/testkit/src/kingcuplug_testkit/_disk.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-__all__ = ["FakeDisk", "FakeFileSystem", "HostCrashed", "Trap"]
+__all__ = ["Failpoint", "FakeDisk", "FakeFileSystem", "HostCrashed"]
 
 _SYNC_DURATION_S = 0.001
 _CORRUPT_TAIL_PROBABILITY = 0.3
@@ -23,7 +23,7 @@
 
 
 @dataclass
-class Trap:
+class Failpoint:
     """Makes one later file system call fail.
 
     Attributes
@@ -87,7 +87,7 @@
     ----------
     on_crash : callable
         Called at the crash, before the process makes another call.
-    failpoints, triggered : list of Trap
+    failpoints, triggered : list of Failpoint
         Failpoints that are still set, and those that calls have triggered.
     calls : list of tuple
         Every call that took effect, as (method, file name).
@@ -99,12 +99,12 @@
         self.random = random
         self.sync_s = sync_s
         self.generation = 0
-        self.traps: list[Trap] = []
-        self.triggered: list[Trap] = []
+        self.failpoints: list[Failpoint] = []
+        self.triggered: list[Failpoint] = []
         self.on_crash: Callable[[], None] = lambda: None
         self.calls: list[tuple[str, str]] = []
-        self.crash_at: int | None = None
-        self.names: dict[str, _File] = {}
+        self.crash_after_calls: int | None = None
+        self.files: dict[str, _File] = {}
         self.durable_files: dict[str, _File] = {}
         self.unsynced_name_changes: list[tuple[str, str | None, _File | None]] = []
 
@@ -120,9 +120,9 @@
         ]:
             self._apply_name_change(change)
         self.unsynced_name_changes.clear()
-        self.names = dict(self.durable_files)
-        for name in sorted(self.names):
-            self.names[name].crash(self.random)
+        self.files = dict(self.durable_files)
+        for name in sorted(self.files):
+            self.files[name].crash(self.random)
         self.on_crash()
 
     def kill_process(self) -> None:
@@ -130,10 +130,10 @@
         self.generation += 1
         self.on_crash()
 
-    def lose(self) -> None:
+    def wipe(self) -> None:
         """Erase all data, as if an empty disk replaced this one."""
         self.unsynced_name_changes.clear()
-        self.names, self.durable_files = {}, {}
+        self.files, self.durable_files = {}, {}
         self.generation += 1
         self.on_crash()
 
@@ -145,28 +145,28 @@
 
     def trigger_failpoint(
         self, method: str, file_name: str, timing: str
-    ) -> Trap | None:
+    ) -> Failpoint | None:
         """Return the failpoint that this call triggers, if any, and remove it."""
         position = -1 if timing == "before" else -2
         preceding_call = self.calls[position] if len(self.calls) >= -position else None
-        for failpoint in self.traps:
+        for failpoint in self.failpoints:
             if failpoint.timing == timing and failpoint.matches(
                 method, file_name, preceding_call
             ):
-                self.traps.remove(failpoint)
+                self.failpoints.remove(failpoint)
                 self.triggered.append(failpoint)
                 return failpoint
         return None
 
-    def tear(self, name: str) -> None:
+    def append_torn_record(self, name: str) -> None:
         """Append a partial record to a file, as a crash during a write can."""
-        file = self.names.get(name, _File())
+        file = self.files.get(name, _File())
         file.durable += file.durable[:_TORN_RECORD_BYTES]
         file.current = bytearray(file.durable)
 
-    def damage(self, name: str, offset: int) -> None:
+    def corrupt_byte(self, name: str, offset: int) -> None:
         """Invert all bits of one durable byte."""
-        file = self.names[name]
+        file = self.files[name]
         file.current[offset] ^= 0xFF
         file.durable = bytes(file.current)
 
@@ -192,13 +192,13 @@
     def open_append(self, name: str) -> int:
         """Open a file for appending, create it if absent; return its handle."""
         self._before_call("open_append", name)
-        if name not in self._disk.names:
-            self._disk.names[name] = _File()
+        if name not in self._disk.files:
+            self._disk.files[name] = _File()
             self._disk.unsynced_name_changes.append(
-                (name, None, self._disk.names[name])
+                (name, None, self._disk.files[name])
             )
         handle, self._next_handle = self._next_handle, self._next_handle + 1
-        self._open_files[handle] = (name, self._disk.names[name])
+        self._open_files[handle] = (name, self._disk.files[name])
         self._after_call("open_append", name)
         return handle
 
@@ -236,8 +236,8 @@
     def rename(self, old: str, new: str) -> None:
         """Rename a file and replace any file that has the new name."""
         self._before_call("rename", new)
-        file = self._disk.names.pop(old)
-        self._disk.names[new] = file
+        file = self._disk.files.pop(old)
+        self._disk.files[new] = file
         self._disk.unsynced_name_changes.append((new, old, file))
         for handle, (name, opened) in self._open_files.items():
             if name == old:
@@ -262,19 +262,19 @@
     def read(self, name: str) -> bytes:
         """Return the content of a file."""
         self._before_call("read", name)
-        if name not in self._disk.names:
+        if name not in self._disk.files:
             raise FileNotFoundError(errno.ENOENT, "no such file", name)
-        return bytes(self._disk.names[name].current)
+        return bytes(self._disk.files[name].current)
 
     def list(self) -> list[str]:
         """Return the names of all files."""
         self._before_call("list", "")
-        return sorted(self._disk.names)
+        return sorted(self._disk.files)
 
     def remove(self, name: str) -> None:
         """Remove a file."""
         self._before_call("remove", name)
-        del self._disk.names[name]
+        del self._disk.files[name]
         self._disk.unsynced_name_changes.append((name, None, None))
         self._after_call("remove", name)
 
@@ -288,7 +288,7 @@
 
     def _after_call(self, method: str, name: str) -> None:
         self._disk.calls.append((method, name))
-        if len(self._disk.calls) == self._disk.crash_at:
+        if len(self._disk.calls) == self._disk.crash_after_calls:
             self._disk.crash()
             raise HostCrashed(errno.EIO, "the host has crashed")
         self._trigger_failpoint(method, name, "after")
--- a/packages/testkit/src/kingcuplug_testkit/_faults.py
+++ b/packages/testkit/src/kingcuplug_testkit/_faults.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
-from kingcuplug_testkit._disk import Trap
+from kingcuplug_testkit._disk import Failpoint
 from kingcuplug_testkit._log_group import Host
 from kingcuplug_testkit._network import LinkFaults
 
@@ -74,7 +74,7 @@
     return Fault(name, inject)
 
 
-def _disk_failpoint(name: str, failpoint: Trap, *, follower: bool) -> Fault:
+def _disk_failpoint(name: str, failpoint: Failpoint, *, follower: bool) -> Fault:
     role = "following" if follower else "leading"
 
     def inject(cell: "MatrixCell", leading: Host, following: Host) -> None:
@@ -91,10 +91,10 @@
     """Crash at each step of replacing a file by rename."""
     new = f"{file}.new"
     failpoints = {
-        f"crash after write of {new}": Trap("write", new, "after"),
-        f"crash after sync of {new}": Trap("sync", new, "after"),
-        f"crash after rename to {file}": Trap("rename", file, "after"),
-        f"crash after folder sync for {file}": Trap(
+        f"crash after write of {new}": Failpoint("write", new, "after"),
+        f"crash after sync of {new}": Failpoint("sync", new, "after"),
+        f"crash after rename to {file}": Failpoint("rename", file, "after"),
+        f"crash after folder sync for {file}": Failpoint(
             "sync_folder", "", "after", preceding_call=("rename", file)
         ),
     }
@@ -108,8 +108,8 @@
     def inject(cell: "MatrixCell", leading: Host, following: Host) -> None:
         del leading
         following.disk.crash()
-        following.disk.tear("log")
-        cell.set_failpoint(following, Trap("truncate", "log", timing))
+        following.disk.append_torn_record("log")
+        cell.set_failpoint(following, Failpoint("truncate", "log", timing))
 
     async def follow_up(cell: "MatrixCell", leading: Host, following: Host) -> None:
         del cell, leading
@@ -135,7 +135,7 @@
 
         def crash() -> None:
             cell.on_acknowledged = lambda: None
-            for host in cell.group.running():
+            for host in cell.group.running_hosts():
                 host.disk.crash()
 
         cell.on_acknowledged = crash
@@ -146,7 +146,7 @@
 def _lost_disk(name: str, *, follower: bool) -> Fault:
     def inject(cell: "MatrixCell", leading: Host, following: Host) -> None:
         del cell
-        (following if follower else leading).disk.lose()
+        (following if follower else leading).disk.wipe()
 
     async def follow_up(cell: "MatrixCell", leading: Host, following: Host) -> None:
         del cell
@@ -172,15 +172,17 @@
 def _second_disk_loss() -> Fault:
     def inject(cell: "MatrixCell", leading: Host, following: Host) -> None:
         del cell, leading
-        following.disk.lose()
+        following.disk.wipe()
 
     async def follow_up(cell: "MatrixCell", leading: Host, following: Host) -> None:
         await asyncio.sleep(_RESTART_DELAY_S)
         await cell.repair()
         await cell.wait_until_safe_to_lose_one()
-        second = leading if not leading.gone else cell.group.running()[0]
-        second.gone = True
-        second.disk.lose()
+        second = (
+            leading if not leading.decommissioned else cell.group.running_hosts()[0]
+        )
+        second.decommissioned = True
+        second.disk.wipe()
 
     return Fault("second loss after repair", inject, follow_up, loses_disk=True)
 
@@ -190,7 +192,7 @@
 
     def inject(cell: "MatrixCell", leading: Host, following: Host) -> None:
         # The bound applies to the ratio of two hosts' clock rates.
-        leading.clock.drift(1 - _CLOCK_DRIFT_BOUND)
+        leading.clock.set_rate(1 - _CLOCK_DRIFT_BOUND)
         partition.inject(cell, leading, following)
 
     return Fault("clock drift at the bound, leading cut off", inject)
@@ -215,7 +217,9 @@
         _power_failure(),
         *(
             _disk_failpoint(
-                f"crash {timing} fsync", Trap("sync", "*", timing), follower=follower
+                f"crash {timing} fsync",
+                Failpoint("sync", "*", timing),
+                follower=follower,
             )
             for timing in ("before", "after")
             for follower in (False, True)
@@ -235,7 +239,7 @@
         _clock_drift(),
         *(
             _disk_failpoint(
-                f"{name}", Trap(call, "log", "before", code), follower=follower
+                f"{name}", Failpoint(call, "log", "before", code), follower=follower
             )
             for name, call, code in (
                 ("fsync EIO", "sync", errno.EIO),
--- a/packages/testkit/src/kingcuplug_testkit/_invariants.py
+++ b/packages/testkit/src/kingcuplug_testkit/_invariants.py
@@ -28,7 +28,7 @@
         self.violations: list[str] = []
         self.acknowledged: dict[int, Any] = {}
         self.newest_acknowledged_index = 0
-        self.reads = 0
+        self.checked_reads = 0
         self.leader_by_term: dict[int, str] = {}
         self._command_by_index: dict[int, Any] = {}
         self._index_by_command: dict[str, int] = {}
@@ -67,7 +67,7 @@
 
     def check_read(self, host: str, min_index: int, index: int) -> None:
         """Check that a read returns all that was acknowledged before it began."""
-        self.reads += 1
+        self.checked_reads += 1
         if index < min_index:
             self._report_violation(
                 f"{host} served a read at {index}, {min_index} was acknowledged"
@@ -82,7 +82,7 @@
                     f"{host} lost acknowledged {command} of entry {index}"
                 )
 
-    def check(self) -> None:
+    def raise_if_violated(self) -> None:
         """Raise `InvariantViolated` if any check failed."""
         if self.violations:
             raise InvariantViolated("; ".join(self.violations))
--- a/packages/testkit/src/kingcuplug_testkit/_log_group.py
+++ b/packages/testkit/src/kingcuplug_testkit/_log_group.py
@@ -82,7 +82,7 @@
         """Return the host's time in seconds."""
         return self._base_time + (self._loop.time() - self._base_loop_time) * self._rate
 
-    def drift(self, rate: float) -> None:
+    def set_rate(self, rate: float) -> None:
         """Run at `rate` times the loop's clock from now on."""
         self._base_time, self._base_loop_time = self(), self._loop.time()
         self._rate = rate
@@ -102,20 +102,20 @@
     def __init__(self, name: str, group: "LogGroup") -> None:
         self.name = name
         self.clock = DriftingClock(group.random.uniform(0, 1_000))
-        self.gone = False
+        self.decommissioned = False
         self._start_lock = asyncio.Lock()
         self.disk = FakeDisk(Random(f"{group.seed}/{name}"))
         self.disk.on_crash = self._on_process_end
         self.replica: Replica | None = None
         self.member = Member("", name, name)
-        self.machine = RecordingStateMachine(name, group.invariants)
+        self.state_machine = RecordingStateMachine(name, group.invariants)
         self._group = group
         self._stop_tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
         """Start the process unless it runs; a storage failure leaves it stopped."""
         async with self._start_lock:
-            if self.replica is None and not self.gone:
+            if self.replica is None and not self.decommissioned:
                 with contextlib.suppress(StorageFailed):
                     await self._start_replica()
 
@@ -125,12 +125,12 @@
         await storage.open()
         identity = member_id(self.name, storage.disk_id)
         self.member = Member(identity, self.name, self.name, MemberRole.VOTER)
-        self.machine = RecordingStateMachine(self.name, group.invariants)
+        self.state_machine = RecordingStateMachine(self.name, group.invariants)
         self.replica = Replica(
             self.member,
             storage,
-            group.network.transport(self.name),
-            self.machine,
+            group.network.make_transport(self.name),
+            self.state_machine,
             group.settings,
             self.clock,
             Random(group.random.random()),
@@ -148,7 +148,7 @@
 
     async def decommission(self) -> None:
         """Stop the process and never start it again."""
-        self.gone = True
+        self.decommissioned = True
         await self.stop()
 
     def _on_process_end(self) -> None:
@@ -182,7 +182,7 @@
         await self.add_host(first)
         assert self.hosts[first].replica is not None
         await self.replica(first).bootstrap(_CLUSTER_NAME)
-        await self.wait_leader()
+        await self.wait_for_leader()
         for name in others:
             await self.add_host(name)
             await self.join(name)
@@ -195,15 +195,15 @@
 
     async def join(self, name: str) -> None:
         """Add a running host as a voter and wait for its promotion."""
-        await self.change(add=self.hosts[name].member)
-        await self.until(lambda: self.is_voter(self.hosts[name].member.id))
+        await self.change_members(add=self.hosts[name].member)
+        await self.wait_until(lambda: self.is_voter(self.hosts[name].member.id))
 
-    async def change(
+    async def change_members(
         self, add: Member | None = None, remove: str | None = None
     ) -> None:
         """Change the members, with retries as an operator would make."""
         while not self._is_change_applied(add, remove):
-            leader = await self.wait_leader()
+            leader = await self.wait_for_leader()
             try:
                 await self.replica(leader.name).change_members(add=add, remove=remove)
             except Exception:
@@ -216,14 +216,16 @@
             raise RuntimeError(f"host {name} is down")
         return replica
 
-    def running(self) -> list[Host]:
+    def running_hosts(self) -> list[Host]:
         """Return the hosts whose process runs."""
         return [host for host in self.hosts.values() if host.replica is not None]
 
     def leader(self) -> Host | None:
         """Return the leader of the greatest term."""
         leaders = [
-            host for host in self.running() if host.replica and host.replica.leading
+            host
+            for host in self.running_hosts()
+            if host.replica and host.replica.leading
         ]
         if len(leaders) < 2:
             return leaders[0] if leaders else None
@@ -235,7 +237,7 @@
     def followers(self) -> list[Host]:
         """Return the running hosts that do not lead the greatest term."""
         leader = self.leader()
-        return [host for host in self.running() if host is not leader]
+        return [host for host in self.running_hosts() if host is not leader]
 
     def is_voter(self, member_id: str) -> bool:
         """Return whether the leader lists this member as a voter."""
@@ -246,30 +248,30 @@
         matching = [m for m in status.members if m.id == member_id]
         return bool(matching) and matching[0].role is MemberRole.VOTER
 
-    async def wait_leader(self, timeout_s: float = 10) -> Host:
+    async def wait_for_leader(self, timeout_s: float = 10) -> Host:
         """Wait for a leader with a valid lease."""
 
         def has_valid_lease() -> bool:
             host = self.leader()
             return host is not None and self.replica(host.name).status().lease_valid
 
-        await self.until(has_valid_lease, timeout_s)
+        await self.wait_until(has_valid_lease, timeout_s)
         leader = self.leader()
         assert leader is not None
         return leader
 
-    async def until(
+    async def wait_until(
         self,
         condition: Callable[[], bool],
         timeout_s: float = 10,
-        poll_s: float = _POLL_INTERVAL_S,
+        poll_interval_s: float = _POLL_INTERVAL_S,
     ) -> None:
         """Wait for a condition; raises `TimeoutError`."""
         async with asyncio.timeout(timeout_s):
             while True:
                 if condition():
                     return
-                await asyncio.sleep(poll_s)
+                await asyncio.sleep(poll_interval_s)
 
     async def propose(self, command: dict[str, Any], timeout_s: float = 10) -> Any:
         """Propose at the leader until it succeeds.
@@ -280,7 +282,7 @@
         attempt = 0
         async with asyncio.timeout(timeout_s):
             while True:
-                leader = await self.wait_leader(timeout_s)
+                leader = await self.wait_for_leader(timeout_s)
                 numbered = command | {"attempt": attempt} if attempt else command
                 try:
                     return await self.replica(leader.name).propose(numbered)
@@ -289,16 +291,17 @@
                 except (NotLeader, StorageFailed):
                     await asyncio.sleep(_POLL_INTERVAL_S)
 
-    async def converge(self, timeout_s: float = 10) -> None:
+    async def wait_until_converged(self, timeout_s: float = 10) -> None:
         """Wait until all running hosts have applied the same commands."""
 
         def have_converged() -> bool:
             states = {
-                (host.machine.index, host.machine.chain) for host in self.running()
+                (host.state_machine.index, host.state_machine.chain)
+                for host in self.running_hosts()
             }
             return len(states) == 1
 
-        await self.until(have_converged, timeout_s)
+        await self.wait_until(have_converged, timeout_s)
 
     async def stop(self) -> None:
         """Stop all hosts."""
--- a/packages/testkit/src/kingcuplug_testkit/_matrix.py
+++ b/packages/testkit/src/kingcuplug_testkit/_matrix.py
@@ -14,13 +14,13 @@
     StorageFailed,
 )
 
-from kingcuplug_testkit._disk import Trap
+from kingcuplug_testkit._disk import Failpoint
 from kingcuplug_testkit._faults import FAULTS, Fault
 from kingcuplug_testkit._log_group import Host, LogGroup
-from kingcuplug_testkit._steps import STEPS, ProtocolStep
+from kingcuplug_testkit._steps import PROTOCOL_STEPS, ProtocolStep
 from kingcuplug_testkit._virtual_time import run_virtual
 
-__all__ = ["CellResult", "MatrixCell", "run_cell"]
+__all__ = ["CellResult", "MatrixCell", "run_matrix_cell"]
 
 # Small limits, so that every cell takes and installs snapshots.
 _SETTINGS = LogSettings(
@@ -56,9 +56,9 @@
     """
 
     acknowledged_commands: int
-    reads: int
+    checked_reads: int
     terms: int
-    sprung: bool
+    all_triggered: bool
 
 
 class MatrixCell:
@@ -82,7 +82,7 @@
         self._step = step
         self._is_armed = False
         self._injected: asyncio.Future[tuple[Host, Host]] | None = None
-        self._failpoints: list[tuple[Host, Trap]] = []
+        self._failpoints: list[tuple[Host, Failpoint]] = []
         self.faulty_hosts: set[str] = set()
         self._command_numbers = itertools.count()
         self._all_failpoints_triggered = True
@@ -126,15 +126,15 @@
         for fault in self._faults:
             fault.inject(self, leading, following)
 
-    def set_failpoint(self, host: Host, failpoint: Trap) -> None:
+    def set_failpoint(self, host: Host, failpoint: Failpoint) -> None:
         """Set a failpoint that must be triggered while the fault lasts."""
-        host.disk.traps.append(failpoint)
+        host.disk.failpoints.append(failpoint)
         self._failpoints.append((host, failpoint))
 
     async def provoke_failpoints(self) -> None:
         """Wait until all failpoints are triggered; force elections after a timeout."""
         with contextlib.suppress(TimeoutError):
-            await self.group.until(self._are_all_triggered, _FAILPOINT_TIMEOUT_S)
+            await self.group.wait_until(self._are_all_triggered, _FAILPOINT_TIMEOUT_S)
             return
         for _ in range(3):
             if self._are_all_triggered():
@@ -154,7 +154,7 @@
         if host.replica is None:
             return
         min_index = self.group.invariants.newest_acknowledged_index
-        state_machine = host.machine
+        state_machine = host.state_machine
         with contextlib.suppress(*_REFUSAL_ERRORS):
             async with asyncio.timeout(_REQUEST_TIMEOUT_S):
                 await host.replica.read_barrier()
@@ -172,13 +172,13 @@
         for host in self.group.hosts.values():
             await self._ensure_running(host)
         for host in list(self.group.hosts.values()):
-            if not host.gone and not self._is_spare_host(host):
+            if not host.decommissioned and not self._is_spare_host(host):
                 await self.join(host)
         current = {host.member.id for host in self.group.hosts.values()}
-        leader = await self.group.wait_leader()
+        leader = await self.group.wait_for_leader()
         for member in self.group.replica(leader.name).status().members:
             if member.id not in current:
-                await self.group.change(remove=member.id)
+                await self.group.change_members(remove=member.id)
 
     async def wait_until_safe_to_lose_one(self) -> None:
         """Wait until the group tolerates the loss of any one voter."""
@@ -189,7 +189,7 @@
                 return False
             return self.group.replica(leader.name).status().safe_to_lose_one
 
-        await self.group.until(is_safe)
+        await self.group.wait_until(is_safe)
 
     def _observe_message(
         self, source: str, destination: str, message: dict[str, Any]
@@ -218,7 +218,7 @@
         """End the faults and wait until the group makes progress again."""
         self._all_failpoints_triggered = self._are_all_triggered()
         for host in self.group.hosts.values():
-            host.disk.traps.clear()
+            host.disk.failpoints.clear()
         self.on_acknowledged = lambda: None
         self.group.network.heal()
         for host in list(self.group.hosts.values()):
@@ -228,17 +228,17 @@
         await self.write(3)
 
     async def _finish(self) -> CellResult:
-        await self.group.converge()
+        await self.group.wait_until_converged()
         invariants = self.group.invariants
-        for host in self.group.running():
-            invariants.check_acknowledged_kept(host.name, host.machine.values)
+        for host in self.group.running_hosts():
+            invariants.check_acknowledged_kept(host.name, host.state_machine.values)
         await self.group.stop()
-        invariants.check()
+        invariants.raise_if_violated()
         return CellResult(
             acknowledged_commands=len(invariants.acknowledged),
-            reads=invariants.reads,
+            checked_reads=invariants.checked_reads,
             terms=len(invariants.leader_by_term),
-            sprung=self._all_failpoints_triggered,
+            all_triggered=self._all_failpoints_triggered,
         )
 
     def _are_all_triggered(self) -> bool:
@@ -254,7 +254,7 @@
         if failed:
             await host.stop()
         while True:
-            if host.replica is not None or host.gone:
+            if host.replica is not None or host.decommissioned:
                 return
             await host.start()
 
@@ -293,11 +293,11 @@
 
     def _presumed_leaders(self) -> list[Host]:
         """Return all hosts that believe they are the leader."""
-        running = self.group.running()
+        running = self.group.running_hosts()
         return [host for host in running if host.replica and host.replica.leading]
 
 
-def run_cell(faults: Sequence[str], step: str, seed: str = "0") -> CellResult:
+def run_matrix_cell(faults: Sequence[str], step: str, seed: str = "0") -> CellResult:
     """Run the named faults at the named step in virtual time.
 
     Raises
@@ -309,7 +309,7 @@
     """
     cell = MatrixCell(
         [FAULTS[name] for name in faults],
-        STEPS[step],
+        PROTOCOL_STEPS[step],
         f"{seed}/{step}/{'+'.join(faults)}",
     )
     return run_virtual(cell.run())
--- a/packages/testkit/src/kingcuplug_testkit/_network.py
+++ b/packages/testkit/src/kingcuplug_testkit/_network.py
@@ -75,7 +75,7 @@
         self._blocked_links.clear()
         self.faults = LinkFaults()
 
-    def transport(
+    def make_transport(
         self, source: str
     ) -> Callable[[str, dict[str, Any]], Awaitable[dict[str, Any]]]:
         """Return the transport of one run of a host's process.
--- a/packages/testkit/src/kingcuplug_testkit/_query_harness.py
+++ b/packages/testkit/src/kingcuplug_testkit/_query_harness.py
@@ -11,7 +11,7 @@
 from kingcuplug_configuration import Policy, Service
 from kingcuplug_ledger import LedgerClient, OrderLedger, result_to_json
 from kingcuplug_query import (
-    Background,
+    BackgroundTasks,
     OrderExecutor,
     OrderRequest,
     QueryExecutor,
@@ -33,14 +33,23 @@
     Ticket,
 )
 
-__all__ = ["KEY", "NOW_MS", "World", "echo", "order", "query"]
+__all__ = [
+    "IDEMPOTENCY_KEY",
+    "NOW_MS",
+    "QueryHarness",
+    "make_order",
+    "make_query",
+    "make_reply",
+]
 
 Handler = Callable[[SubRequest], Awaitable[Any]]
 NOW_MS = 1_700_000_000_000
-KEY = f"{NOW_MS}-abcdefgh"
+IDEMPOTENCY_KEY = f"{NOW_MS}-abcdefgh"
 
 
-def echo(request: SubRequest, status: str = "ok", **fields: Any) -> dict[str, Any]:
+def make_reply(
+    request: SubRequest, status: str = "ok", **fields: Any
+) -> dict[str, Any]:
     """Return a backend server's reply to `request`."""
     return {
         "attempt_id": request.attempt_id,
@@ -65,7 +74,7 @@
 
 
 @dataclasses.dataclass
-class World:
+class QueryHarness:
     """One entry host's query path with fake backend servers and ledger.
 
     Attributes
@@ -87,25 +96,27 @@
     services: dict[str, ServiceRuntime] = dataclasses.field(default_factory=dict)
     servers: dict[str, list[ServerView]] = dataclasses.field(default_factory=dict)
     handlers: dict[str, Handler] = dataclasses.field(default_factory=dict)
-    sent: list[tuple[str, SubRequest]] = dataclasses.field(default_factory=list)
-    down: set[str] = dataclasses.field(default_factory=set)
-    cancelled: list[str] = dataclasses.field(default_factory=list)
+    sent_requests: list[tuple[str, SubRequest]] = dataclasses.field(
+        default_factory=list
+    )
+    unreachable_servers: set[str] = dataclasses.field(default_factory=set)
+    cancelled_attempts: list[str] = dataclasses.field(default_factory=list)
     metrics: Metrics = dataclasses.field(default_factory=Metrics)
-    background: Background = dataclasses.field(default_factory=Background)
+    background: BackgroundTasks = dataclasses.field(default_factory=BackgroundTasks)
     crash_guard: CrashGuard = dataclasses.field(default_factory=CrashGuard)
     ledger: OrderLedger = dataclasses.field(default_factory=OrderLedger)
-    commands: Counter[str] = dataclasses.field(default_factory=Counter)
+    command_counts: Counter[str] = dataclasses.field(default_factory=Counter)
     ledger_fault: Callable[[dict[str, Any]], Exception | None] = dataclasses.field(
         default=_no_ledger_fault
     )
-    ledger_lost: Callable[[dict[str, Any]], bool] = dataclasses.field(
+    is_ledger_reply_lost: Callable[[dict[str, Any]], bool] = dataclasses.field(
         default=_reply_arrives
     )
-    holder_lost: Callable[[str, int], bool] = dataclasses.field(
+    is_holder_lost: Callable[[str, int], bool] = dataclasses.field(
         default=_holder_is_alive
     )
 
-    def add(
+    def add_service(
         self,
         name: str,
         servers: int = 3,
@@ -119,7 +130,7 @@
         router = Router(name, RoutingPolicy(), random.Random(7))
         self.services[name] = ServiceRuntime(service, router, Admission(router))
         shards = tuple(range(shard_count))
-        self.hold(
+        self.set_holdings(
             name,
             {
                 f"{name}-{number}": [
@@ -129,7 +140,7 @@
             },
         )
 
-    def hold(self, name: str, holdings: dict[str, list[Holding]]) -> None:
+    def set_holdings(self, name: str, holdings: dict[str, list[Holding]]) -> None:
         """Replace a service's servers and their holdings."""
         self.servers[name] = [
             ServerView(
@@ -146,41 +157,41 @@
         ]
         self.services[name].router.update(self.servers[name], 1)
 
-    def view(self) -> RevisionView:
+    def revision_view(self) -> RevisionView:
         """Return the services as configuration revision 3."""
         return RevisionView(3, self.services)
 
     async def send(
         self, ticket: Ticket, request: SubRequest, timeout_s: float
     ) -> SubReply:
-        """Pass a sub-request to the server's handler, as `Send`."""
-        self.sent.append((ticket.server, request))
+        """Pass a sub-request to the server's handler, as `SendSubRequest`."""
+        self.sent_requests.append((ticket.server, request))
         async with asyncio.timeout(timeout_s):
             handler: Handler = self.handlers.get(ticket.server, _default_handler)
             return parse_reply(request, await handler(request))
 
     async def cancel(self, ticket: Ticket, attempt_id: str) -> None:
-        """Record a cancellation, as `Cancel`."""
-        self.cancelled.append(attempt_id)
+        """Record a cancellation, as `CancelAttempt`."""
+        self.cancelled_attempts.append(attempt_id)
 
     async def is_reachable(self, ticket: Ticket) -> bool:
-        """Return whether a server is up, as `Reachable`."""
+        """Return whether a server is up, as `IsReachable`."""
         await asyncio.sleep(0.0005)
-        return ticket.server not in self.down
+        return ticket.server not in self.unreachable_servers
 
     async def submit(self, command: dict[str, Any]) -> dict[str, Any]:
         """Apply a command to the ledger, with the configured faults."""
-        self.commands[command["type"]] += 1
+        self.command_counts[command["type"]] += 1
         await asyncio.sleep(0.001)
         fault = self.ledger_fault(command)
         if fault is not None:
             raise fault
         result = result_to_json(self.ledger.apply(command))
-        if self.ledger_lost(command):
+        if self.is_ledger_reply_lost(command):
             raise TimeoutError("the reply of the ledger was lost")
         return result
 
-    def queries(self) -> QueryExecutor:
+    def query_executor(self) -> QueryExecutor:
         """Return a query executor that uses the fakes."""
         return QueryExecutor(
             self.send,
@@ -191,7 +202,7 @@
             "zone-0",
         )
 
-    def orders(self, host: str = "entry-1") -> OrderExecutor:
+    def order_executor(self, host: str = "entry-1") -> OrderExecutor:
         """Return the order executor of one entry host; all share the ledger."""
         return OrderExecutor(
             LedgerClient(self.submit, host, 1, lambda: NOW_MS),
@@ -200,17 +211,17 @@
             self.metrics,
             self.background,
             "zone-0",
-            lambda name, incarnation: self.holder_lost(name, incarnation),
+            lambda name, incarnation: self.is_holder_lost(name, incarnation),
             self.is_reachable,
         )
 
 
 async def _default_handler(request: SubRequest) -> dict[str, Any]:
     await asyncio.sleep(0.005)
-    return echo(request)
+    return make_reply(request)
 
 
-def query(service: str = "stock", **fields: Any) -> QueryRequest:
+def make_query(service: str = "stock", **fields: Any) -> QueryRequest:
     """Return a query with a deadline of 1 s from now."""
     deadline = asyncio.get_running_loop().time() + fields.pop("deadline_s", 1.0)
     return QueryRequest(
@@ -226,7 +237,7 @@
     )
 
 
-def order(service: str = "stock", **fields: Any) -> OrderRequest:
+def make_order(service: str = "stock", **fields: Any) -> OrderRequest:
     """Return an order with a deadline of 1 s from now."""
     deadline = asyncio.get_running_loop().time() + fields.pop("deadline_s", 1.0)
     return OrderRequest(
@@ -236,7 +247,7 @@
             "body": {"embroider": "Maria"},
             "priority": Priority.NORMAL,
             "deadline": deadline,
-            "key": KEY,
+            "key": IDEMPOTENCY_KEY,
             "partition_key": "4711",
         }
         | fields
--- a/packages/testkit/src/kingcuplug_testkit/_steps.py
+++ b/packages/testkit/src/kingcuplug_testkit/_steps.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from kingcuplug_testkit._matrix import MatrixCell
 
-__all__ = ["STEPS", "ProtocolStep"]
+__all__ = ["PROTOCOL_STEPS", "ProtocolStep"]
 
 _SNAPSHOT_LAG_COMMANDS = 40
 
@@ -58,7 +58,7 @@
 
 
 async def _run_election(cell: "MatrixCell") -> None:
-    leader = await cell.group.wait_leader()
+    leader = await cell.group.wait_for_leader()
     cell.arm_faults()
     cell.group.network.isolate(leader.name, list(cell.group.hosts))
     # The old leader is reachable again when the faults are injected.
@@ -66,13 +66,13 @@
 
 
 async def _run_write(cell: "MatrixCell") -> None:
-    await cell.group.wait_leader()
+    await cell.group.wait_for_leader()
     cell.arm_faults()
     await cell.write(1)
 
 
 async def _run_snapshot_install(cell: "MatrixCell") -> None:
-    await cell.group.wait_leader()
+    await cell.group.wait_for_leader()
     lagging = cell.group.followers()[0]
     lagging.disk.crash()
     await cell.write(_SNAPSHOT_LAG_COMMANDS)
@@ -85,18 +85,18 @@
     added = await group.add_host("d")
     cell.arm_faults()
     await cell.join(added)
-    await group.wait_leader()
+    await group.wait_for_leader()
     removed = next(
         host
         for host in group.followers()
         if group.is_voter(host.member.id) and host.name not in cell.faulty_hosts
     )
-    await group.change(remove=removed.member.id)
+    await group.change_members(remove=removed.member.id)
     await removed.decommission()
 
 
 async def _run_read(cell: "MatrixCell") -> None:
-    leader = await cell.group.wait_leader()
+    leader = await cell.group.wait_for_leader()
     cell.arm_faults()
     cell.inject_faults(leader, cell.group.followers()[0])
     await cell.read(leader)
@@ -112,4 +112,4 @@
     ProtocolStep("read", _matches_no_message, _run_read),
 ]
 
-STEPS = {step.name: step for step in _STEP_LIST}
+PROTOCOL_STEPS = {step.name: step for step in _STEP_LIST}
--- a/tests/configuration/test_history.py
+++ b/tests/configuration/test_history.py
@@ -19,13 +19,13 @@
     Rejected,
     Service,
     _history,
-    describe,
-    difference,
+    apply_deltas,
+    compute_delta,
+    describe_changes,
     merge_deltas,
     parse,
     patch,
     render,
-    replay,
     result_from_json,
 )
 
@@ -109,7 +109,7 @@
     both = '{"services": {"a": {}, "b": {"depends_on": ["a"]}}}'
     history.apply(change("c1", 0, both))
     services = {"b": history.configuration.services["b"]}
-    delta = difference(history.configuration, ConfigurationText(services))
+    delta = compute_delta(history.configuration, ConfigurationText(services))
     command = ApplyConfiguration("c2", 1, "", "anna", 5, delta)
     result = history.apply(command)
     assert isinstance(result, Rejected)
@@ -123,7 +123,7 @@
     history.apply(change("c1", 0, both))
     services = history.configuration.services
     cycle = ConfigurationText({**services, "a": Service("a", ("b",))})
-    delta = difference(history.configuration, cycle)
+    delta = compute_delta(history.configuration, cycle)
     result = history.apply(ApplyConfiguration("c2", 1, "", "anna", 5, delta))
     assert isinstance(result, Rejected)
     assert "a -> b -> a" in str(result.faults[0])
@@ -198,10 +198,10 @@
     assert [history.find_change(f"c{n}") is None for n in range(6)] == [True] * 3 + [
         False
     ] * 3
-    assert history.since(2) is not None
-    assert history.since(1) is None
-    assert history.since(7) is None
-    assert history.since(6) == []
+    assert history.deltas_since(2) is not None
+    assert history.deltas_since(1) is None
+    assert history.deltas_since(7) is None
+    assert history.deltas_since(6) == []
     assert isinstance(history.apply(change("c0", 0, text("s0"))), Conflict)
     assert history.current.number == 6
 
@@ -213,21 +213,21 @@
     monkeypatch.setattr(_history, "MAX_SERVICES_IN_STORED_DELTAS", 6)
     for number in range(6):
         history.apply(change(f"c{number}", number, text(f"s{number}")))
-    assert history.since(3) is not None
-    assert history.since(2) is None
+    assert history.deltas_since(3) is not None
+    assert history.deltas_since(2) is None
 
 
 def test_missed_deltas_lead_to_the_current_text(history: ConfigurationHistory) -> None:
     # Guards against a host that missed hundreds of changes and gets another text.
     for number in range(300):
         history.apply(change(f"c{number}", number, text("a", f"s{number % 7}")))
-    missed = history.since(0)
+    missed = history.deltas_since(0)
     assert missed is not None
-    new = replay(parse(text()), missed)
+    new = apply_deltas(parse(text()), missed)
     assert render(new) == history.current.text
     assert patch(parse(text()), merge_deltas(missed)) == new
     with pytest.raises(DigestMismatch, match="revision 3"):
-        replay(parse(text()), [missed[0], *missed[2:]])
+        apply_deltas(parse(text()), [missed[0], *missed[2:]])
     with pytest.raises(DigestMismatch):
         patch(parse(text("other")), missed[0])
 
@@ -235,9 +235,9 @@
 def test_patch_verifies_the_digest() -> None:
     # Guards against a delta that was altered in transit.
     old, new = parse(text("a")), parse(text("a", "b"))
-    message = difference(old, new).to_json()
+    message = compute_delta(old, new).to_json()
     message["changed"]["c"] = {}
-    altered = type(difference(old, new)).from_json(message)
+    altered = type(compute_delta(old, new)).from_json(message)
     with pytest.raises(DigestMismatch, match="fetch the whole text"):
         patch(old, altered)
 
@@ -269,7 +269,7 @@
         '{"retention_days": 30, "services": {"a": {"policy": {"deadline_ms": 50}},'
         ' "b": {}, "c": {"depends_on": ["b", "a"]}, "new": {"depends_on": ["a"]}}}'
     )
-    assert describe(old, new).splitlines() == [
+    assert describe_changes(old, new).splitlines() == [
         "retention_days: 90 -> 30",
         "~ service a",
         "    policy.deadline_ms: 1000 -> 50",
@@ -281,4 +281,4 @@
         "+ service new",
         "    depends_on: + a",
     ]
-    assert describe(old, old) == ""
+    assert describe_changes(old, old) == ""
--- a/tests/configuration/test_history_machine.py
+++ b/tests/configuration/test_history_machine.py
@@ -29,9 +29,9 @@
     Conflict,
     Rejected,
     Result,
+    apply_deltas,
     parse,
     render,
-    replay,
     result_from_json,
 )
 from kingcuplug_testkit import run_virtual
@@ -68,7 +68,7 @@
 
     def _apply(self, command: ApplyConfiguration) -> Result:
         message = json.loads(json.dumps(command.to_json()))
-        known = self.stable_replica.settled(command)
+        known = self.stable_replica.known_result(command)
         results = [
             replica.apply(message)
             for replica in (self.stable_replica, self.restarted_replica)
@@ -91,7 +91,7 @@
         )
         if as_delta:
             command = self.stable_replica.condense(command)
-        known = self.stable_replica.settled(command)
+        known = self.stable_replica.known_result(command)
         result = self._apply(command)
         assert (known is None) == (base == revision)
         if base == revision:
@@ -139,9 +139,9 @@
     @rule()
     def update_entry_host(self) -> None:
         """Apply the missed deltas at the entry host."""
-        missed = self.restarted_replica.since(self.entry_host_revision)
+        missed = self.restarted_replica.deltas_since(self.entry_host_revision)
         assert missed is not None
-        self.entry_host_text = replay(self.entry_host_text, missed)
+        self.entry_host_text = apply_deltas(self.entry_host_text, missed)
         self.entry_host_revision = self.restarted_replica.current.number
         assert (
             render(self.entry_host_text)
--- a/tests/daemon/test_tls.py
+++ b/tests/daemon/test_tls.py
@@ -22,7 +22,7 @@
 from kingcuplug_daemon._main import serve
 from kingcuplug_daemon._peer_client import PeerClient
 from kingcuplug_daemon._tls import client_context
-from kingcuplug_query import ConnectFailed, HttpBackend, SubRequest
+from kingcuplug_query import ConnectFailed, HttpBackendClient, SubRequest
 
 from tests.conftest import RunningDeployment, running_deployment
 from tests.daemon._certificates import CertificateAuthority
@@ -198,7 +198,7 @@
     request = SubRequest("r", "a", "stock", "query", 1, 0, 1, 1_000, "normal", 1)
 
     async def send(address: str) -> None:
-        backend = HttpBackend(client_context(authority.issue_identity()))
+        backend = HttpBackendClient(client_context(authority.issue_identity()))
         try:
             await backend.send(_AttemptStub(address), request, 2.0)  # type: ignore[arg-type]
         finally:
--- a/tests/ledger/test_client.py
+++ b/tests/ledger/test_client.py
@@ -31,7 +31,7 @@
     SubmissionUnknown,
     order_refusal,
     result_to_json,
-    stamp,
+    with_command_time,
 )
 from kingcuplug_testkit import run_virtual
 
@@ -63,7 +63,9 @@
 
     def apply(self, message: dict[str, Any]) -> dict[str, Any]:
         """Apply a message as the leader does."""
-        result = self.ledger.apply(stamp(json.loads(json.dumps(message)), NOW_MS))
+        result = self.ledger.apply(
+            with_command_time(json.loads(json.dumps(message)), NOW_MS)
+        )
         return json.loads(json.dumps(result_to_json(result)))  # type: ignore[no-any-return]
 
     async def submit(self, message: dict[str, Any]) -> dict[str, Any]:
@@ -121,9 +123,11 @@
                 released = await client.release(KEY, "t", deadline=5)
                 assert released == Released()
             else:
-                sent = await client.dispatch(KEY, "t", "server", "a", deadline=5)
+                sent = await client.record_dispatch(KEY, "t", "server", "a", deadline=5)
                 assert sent == DispatchRecorded("a")
-                done = await client.outcome(KEY, "t", "done", "ok", 1, deadline=5)
+                done = await client.record_outcome(
+                    KEY, "t", "done", "ok", 1, deadline=5
+                )
                 assert done == OutcomeRecorded()
             copies = [m for m in connection.messages if m["type"] == command_type]
             assert len(copies) == 3
@@ -143,7 +147,7 @@
         client = connection.client()
         await claim_key(client, token="t")
         with pytest.raises(MustNotSend) as caught:
-            await client.dispatch(KEY, "t", "server", "a", deadline=5)
+            await client.record_dispatch(KEY, "t", "server", "a", deadline=5)
         assert caught.value.refused is None
         settled = await client.release(KEY, "t", deadline=9)
         expected = ReleaseRefused("already_dispatched") if applied else Released()
@@ -161,7 +165,7 @@
         assert isinstance(await claim_key(second), Attached)
         await claim_key(second, token="t2", takeover=True)
         with pytest.raises(MustNotSend, match="superseded") as caught:
-            await first.dispatch(KEY, "t1", "server", "a", deadline=5)
+            await first.record_dispatch(KEY, "t1", "server", "a", deadline=5)
         assert caught.value.refused is not None
 
     run_in_virtual_time(main())
@@ -208,8 +212,8 @@
         connection = FaultyConnection()
         client = connection.client()
         await claim_key(client, token="t")
-        await client.dispatch(KEY, "t", "server", "a", deadline=5)
-        await client.outcome(KEY, "t", "done", "ok", "x" * 70_000, deadline=5)
+        await client.record_dispatch(KEY, "t", "server", "a", deadline=5)
+        await client.record_outcome(KEY, "t", "done", "ok", "x" * 70_000, deadline=5)
         record = await client.lookup(KEY, deadline=5)
         assert record is not None
         assert record.outcome is not None
@@ -223,18 +227,20 @@
     async def main() -> None:
         connection = FaultyConnection()
         first, second = connection.client(), connection.client("entry-2")
-        assert await second.attach(KEY, deadline=1) is None
+        assert await second.wait_for_outcome(KEY, deadline=1) is None
         await claim_key(first, token="t")
-        lost = await second.attach(KEY, deadline=9, holder_lost=lambda host, _: True)
+        lost = await second.wait_for_outcome(
+            KEY, deadline=9, holder_lost=lambda host, _: True
+        )
         assert lost is not None
         assert (lost.state, lost.host) == ("claimed", "entry-1")
-        waiting = asyncio.create_task(second.attach(KEY, deadline=9))
+        waiting = asyncio.create_task(second.wait_for_outcome(KEY, deadline=9))
         await asyncio.sleep(1)
-        await first.dispatch(KEY, "t", "server", "a", deadline=5)
-        seen = await second.attach(KEY, deadline=2)
+        await first.record_dispatch(KEY, "t", "server", "a", deadline=5)
+        seen = await second.wait_for_outcome(KEY, deadline=2)
         assert seen is not None
         assert seen.state == "dispatched"
-        await first.outcome(KEY, "t", "done", "ok", {"laudo": 7}, deadline=9)
+        await first.record_outcome(KEY, "t", "done", "ok", {"laudo": 7}, deadline=9)
         record = await waiting
         assert record is not None
         assert record.outcome == StoredOutcome("done", "ok", {"laudo": 7})
@@ -333,7 +339,7 @@
             if isinstance(claimed, Claimed):
                 await self._run_claimed_order(client, claimed.token, deadline)
                 return
-            record = await client.attach(
+            record = await client.wait_for_outcome(
                 KEY,
                 deadline=deadline,
                 holder_lost=lambda h, i: (h, i) in self.lost_holders,
@@ -352,14 +358,16 @@
             await client.release(KEY, token, deadline=deadline)
             return
         attempt = f"{token}-1"
-        await client.dispatch(KEY, token, "server", attempt, deadline=deadline)
+        await client.record_dispatch(KEY, token, "server", attempt, deadline=deadline)
         self.send_count += 1
         await asyncio.sleep(self.rng.uniform(0, 1))
         kind: Any = self.rng.choice(["done", "not_run", "unknown"])
         if kind != "not_run":
             self.order_ran = True
         await asyncio.sleep(self.rng.uniform(0, 1))
-        await client.outcome(KEY, token, kind, "ok", None, deadline=deadline + 30)
+        await client.record_outcome(
+            KEY, token, kind, "ok", None, deadline=deadline + 30
+        )
 
     def _answer_from_record(self, record: OrderRecord) -> None:
         if record.outcome is not None and record.outcome.kind == "done":
--- a/tests/ledger/test_ledger.py
+++ b/tests/ledger/test_ledger.py
@@ -31,7 +31,7 @@
     command_to_json,
     result_from_json,
     result_to_json,
-    stamp,
+    with_command_time,
 )
 
 DAY_MS = 86_400_000
@@ -230,7 +230,7 @@
         {"type": "claim"},
         {"type": "purge"},
         {"type": ["claim"]},
-        stamp({**command_to_json(dispatch()), "key": "1"}, 5),
+        with_command_time({**command_to_json(dispatch()), "key": "1"}, 5),
         {**command_to_json(outcome()), "kind": "maybe"},
     ],
 )
--- a/tests/log/test_commit.py
+++ b/tests/log/test_commit.py
@@ -22,7 +22,7 @@
     storage.stage([members, Entry(2, 1, EntryKind.COMMAND, {})])
     storage.set_term_and_vote(3, "a")
     await storage.flush()
-    transport = FakeNetwork(Random(0)).transport("a")
+    transport = FakeNetwork(Random(0)).make_transport("a")
     settings = LogSettings()
     state = ReplicaState(
         _MEMBERS[0], storage, transport, settings, lambda: 0.0, Random(0), Metrics()
--- a/tests/log/test_members.py
+++ b/tests/log/test_members.py
@@ -19,24 +19,24 @@
         group = LogGroup("second loss")
         await group.start("a", "b", "c")
         await group.propose({"n": 1})
-        await group.until(lambda: _is_safe_to_lose_one(group))
+        await group.wait_until(lambda: _is_safe_to_lose_one(group))
         lost = group.followers()[0]
         lost_id = lost.member.id
-        lost.disk.lose()
+        lost.disk.wipe()
         await asyncio.sleep(group.settings.election_timeout)
         assert not _is_safe_to_lose_one(group)
         await lost.start()
         await group.join(lost.name)
         # One of the four voters is permanently lost: a second loss breaks the quorum.
         assert not _is_safe_to_lose_one(group)
-        await group.change(remove=lost_id)
-        await group.until(lambda: _is_safe_to_lose_one(group))
-        second_lost = await group.wait_leader()
-        second_lost.disk.lose()
-        second_lost.gone = True
+        await group.change_members(remove=lost_id)
+        await group.wait_until(lambda: _is_safe_to_lose_one(group))
+        second_lost = await group.wait_for_leader()
+        second_lost.disk.wipe()
+        second_lost.decommissioned = True
         await group.propose({"n": 2})
-        await group.converge()
-        assert [value["n"] for value in lost.machine.values] == [1, 2]
+        await group.wait_until_converged()
+        assert [value["n"] for value in lost.state_machine.values] == [1, 2]
         await group.stop()
 
     run_virtual(main())
@@ -48,7 +48,7 @@
         group = LogGroup("one change")
         await group.start("a", "b", "c")
         new_host = await group.add_host("d")
-        leader = await group.wait_leader()
+        leader = await group.wait_for_leader()
         replica = group.replica(leader.name)
         pending_change = asyncio.ensure_future(
             replica.change_members(add=new_host.member)
@@ -68,16 +68,18 @@
     async def main() -> None:
         group = LogGroup("own term")
         await group.start("a", "b", "c")
-        crashed_leader = await group.wait_leader()
+        crashed_leader = await group.wait_for_leader()
         crashed_leader.disk.crash()
-        await group.until(lambda: group.leader() is not None, poll_s=0.0001)
+        await group.wait_until(
+            lambda: group.leader() is not None, poll_interval_s=0.0001
+        )
         new_leader = group.leader()
         assert new_leader is not None
         with pytest.raises(ChangeRefused):
             await group.replica(new_leader.name).change_members(
                 remove=crashed_leader.member.id
             )
-        await group.change(remove=crashed_leader.member.id)
+        await group.change_members(remove=crashed_leader.member.id)
         await group.stop()
 
     run_virtual(main())
@@ -91,7 +93,7 @@
         crashed, live = group.followers()
         crashed.disk.crash()
         await asyncio.sleep(group.settings.election_timeout)
-        leader = await group.wait_leader()
+        leader = await group.wait_for_leader()
         with pytest.raises(ChangeRefused):
             await group.replica(leader.name).change_members(remove=live.member.id)
         await group.propose({"n": 1})
@@ -107,14 +109,14 @@
         await group.start("a")
         host = await group.add_host("o")
         observer_member = dataclasses.replace(host.member, role=MemberRole.OBSERVER)
-        await group.change(add=observer_member)
+        await group.change_members(add=observer_member)
         await group.propose({"n": 1})
-        await group.converge()
-        assert host.machine.values == [{"n": 1}]
+        await group.wait_until_converged()
+        assert host.state_machine.values == [{"n": 1}]
         host.disk.crash()
         await group.propose({"n": 2})
         await host.start()
-        await group.converge()
+        await group.wait_until_converged()
         assert not group.is_voter(observer_member.id)
         await group.stop()
 
@@ -126,11 +128,11 @@
     async def main() -> None:
         group = LogGroup("removed leader")
         await group.start("a", "b", "c")
-        removed_leader = await group.wait_leader()
+        removed_leader = await group.wait_for_leader()
         await group.replica(removed_leader.name).change_members(
             remove=removed_leader.member.id
         )
-        await group.until(lambda: not group.replica(removed_leader.name).leading)
+        await group.wait_until(lambda: not group.replica(removed_leader.name).leading)
         await group.propose({"n": 1})
         assert group.leader() is not removed_leader
         await group.stop()
--- a/tests/log/test_replica.py
+++ b/tests/log/test_replica.py
@@ -16,7 +16,7 @@
     StorageFailed,
     WrongIdentity,
 )
-from kingcuplug_testkit import Host, LogGroup, Trap, run_virtual
+from kingcuplug_testkit import Failpoint, Host, LogGroup, run_virtual
 
 _SLOW_SYNC_S = 0.2  # Longer than a heartbeat, shorter than the lease.
 
@@ -27,7 +27,7 @@
     group = LogGroup(name, settings)
     await group.start("a", "b", "c")
     await group.propose({"number": 0})
-    await group.converge()
+    await group.wait_until_converged()
     return group
 
 
@@ -43,14 +43,16 @@
         group = await _start_three_voters("loss of leader")
         for number in range(1, 50):
             await group.propose({"number": number})
-        leader = await group.wait_leader()
+        leader = await group.wait_for_leader()
         leader.disk.crash()
         await group.propose({"number": 50})
         await leader.start()
-        await group.converge()
-        assert [value["number"] for value in leader.machine.values] == list(range(51))
+        await group.wait_until_converged()
+        assert [value["number"] for value in leader.state_machine.values] == list(
+            range(51)
+        )
         await group.stop()
-        group.invariants.check()
+        group.invariants.raise_if_violated()
 
     run_virtual(main())
 
@@ -78,7 +80,7 @@
         group = await _start_three_voters("failed storage")
         leader, _ = _leader_and_followers(group)
         replica = group.replica(leader.name)
-        leader.disk.traps.append(Trap("sync", "log", error=errno.EIO))
+        leader.disk.failpoints.append(Failpoint("sync", "log", error=errno.EIO))
         with pytest.raises(LostLeadership):
             await replica.propose({"n": 1})
         with pytest.raises(StorageFailed):
@@ -110,7 +112,7 @@
         )
         leader, _ = _leader_and_followers(group)
 
-        monkeypatch.setattr(leader.machine, "dump", dump)
+        monkeypatch.setattr(leader.state_machine, "dump", dump)
         for number in range(1, 10):
             await group.propose({"number": number})
         assert group.leader() is not leader
@@ -132,11 +134,11 @@
         group = await _start_three_voters(f"drift {seed}", settings)
         old_leader, followers = _leader_and_followers(group)
         old_replica = group.replica(old_leader.name)
-        old_leader.clock.drift(1 - settings.drift_bound)
+        old_leader.clock.set_rate(1 - settings.drift_bound)
         group.network.isolate(old_leader.name, list(group.hosts))
-        await group.until(
+        await group.wait_until(
             lambda: any(group.replica(host.name).leading for host in followers),
-            poll_s=0.001,
+            poll_interval_s=0.001,
         )
         assert not old_replica.status().lease_valid
         with pytest.raises(NotLeader):
@@ -153,7 +155,9 @@
         group = await _start_three_voters("quorum round", LogSettings(drift_bound=0.9))
         leader, _ = _leader_and_followers(group)
         replica = group.replica(leader.name)
-        await group.until(lambda: not replica.status().lease_valid, poll_s=0.001)
+        await group.wait_until(
+            lambda: not replica.status().lease_valid, poll_interval_s=0.001
+        )
         applied = replica.status().applied_index
         assert await replica.read_barrier() == applied
         group.network.isolate(leader.name, list(group.hosts))
@@ -212,8 +216,8 @@
         replica_with_wrong_id = Replica(
             group.hosts["b"].member,
             state.storage,
-            group.network.transport("a"),
-            group.hosts["a"].machine,
+            group.network.make_transport("a"),
+            group.hosts["a"].state_machine,
             group.settings,
             state.clock,
             group.random,
--- a/tests/log/test_storage.py
+++ b/tests/log/test_storage.py
@@ -10,7 +10,7 @@
 from kingcuplug_log import CorruptLog, DiskFileSystem, Storage, StorageFailed
 from kingcuplug_log._snapshot import Snapshot
 from kingcuplug_log._types import Entry, EntryKind
-from kingcuplug_testkit import FakeDisk, Trap, run_virtual
+from kingcuplug_testkit import Failpoint, FakeDisk, run_virtual
 
 
 @dataclass
@@ -84,11 +84,11 @@
     # Guards against a missing sync or folder sync, or a wrong order, at any call.
     async def main(crash_at: int) -> None:
         disk = FakeDisk(Random(f"{seed}/{crash_at}"))
-        disk.crash_at = crash_at
+        disk.crash_after_calls = crash_at
         acknowledged = _AcknowledgedState()
         with pytest.raises(StorageFailed):
             await _run_all_operations(disk, acknowledged)
-        disk.crash_at = None
+        disk.crash_after_calls = None
         await _check_recovered_state(disk, acknowledged)
 
     for crash_at in range(1, len(_record_calls()) + 1):
@@ -103,7 +103,7 @@
         disk = FakeDisk(Random(0))
         storage = Storage(disk.mount())
         await storage.open()
-        disk.traps.append(Trap(call, error=code))
+        disk.failpoints.append(Failpoint(call, error=code))
         storage.set_term_and_vote(1, "a")
         storage.stage([_entry(1, 1)])
         for operation in (
@@ -125,7 +125,7 @@
         disk = FakeDisk(Random(0))
         storage = Storage(disk.mount())
         await storage.open()
-        disk.traps.append(Trap("sync", "log", error=errno.EIO))
+        disk.failpoints.append(Failpoint("sync", "log", error=errno.EIO))
         storage.stage([_entry(1, 1)])
         with pytest.raises(StorageFailed):
             await storage.flush()
@@ -163,17 +163,17 @@
 def test_torn_tail_is_cut() -> None:
     # Guards against a host that cannot start after a crash during a write.
     disk = _disk_with_entries(3)
-    size = len(disk.names["log"].durable)
-    disk.tear("log")
+    size = len(disk.files["log"].durable)
+    disk.append_torn_record("log")
     assert _open(disk).last_index == 3
-    assert len(disk.names["log"].durable) == size
+    assert len(disk.files["log"].durable) == size
 
 
 def test_corrupt_record_before_valid_one_is_refused() -> None:
     # Guards against discarding synced entries that follow a corrupt one.
     disk = _disk_with_entries(3)
-    corrupt_offset = disk.names["log"].durable.index(b"\xf5KL\xfa", 1)
-    disk.damage("log", corrupt_offset + 20)
+    corrupt_offset = disk.files["log"].durable.index(b"\xf5KL\xfa", 1)
+    disk.corrupt_byte("log", corrupt_offset + 20)
     with pytest.raises(CorruptLog) as caught:
         _open(disk)
     assert (caught.value.file, caught.value.offset) == ("log", corrupt_offset)
@@ -182,8 +182,8 @@
 def test_corrupt_length_field_is_refused() -> None:
     # Guards against treating everything after a corrupt length field as a torn tail.
     disk = _disk_with_entries(3)
-    corrupt_offset = disk.names["log"].durable.index(b"\xf5KL\xfa", 1)
-    disk.damage("log", corrupt_offset + 4)
+    corrupt_offset = disk.files["log"].durable.index(b"\xf5KL\xfa", 1)
+    disk.corrupt_byte("log", corrupt_offset + 4)
     with pytest.raises(CorruptLog):
         _open(disk)
 
@@ -192,7 +192,7 @@
 def test_missing_file_is_refused(name: str) -> None:
     # Guards against a data folder that silently loses its vote or its entries.
     disk = _disk_with_entries(1)
-    del disk.names[name]
+    del disk.files[name]
     with pytest.raises(CorruptLog, match="missing"):
         _open(disk)
 
--- a/tests/log/test_votes.py
+++ b/tests/log/test_votes.py
@@ -19,7 +19,7 @@
     await group.start("a", "b", "c")
     await group.propose({"number": 1})
     follower, *_ = group.followers()
-    for host in group.running():
+    for host in group.running_hosts():
         if host is not follower:
             host.disk.crash()
     yield follower
@@ -82,7 +82,7 @@
     async def main() -> None:
         async with _surviving_follower() as host:
             former_id = host.member.id
-            host.disk.lose()
+            host.disk.wipe()
             await host.start()
             await asyncio.sleep(_VOTE_REFUSAL_S)
             reply = await _send(host, _vote_request(host, "x/1", 50, to=former_id))
--- a/tests/query/conftest.py
+++ b/tests/query/conftest.py
@@ -1,9 +1,9 @@
 """Fixtures of the query tests."""
 
 import pytest
-from kingcuplug_testkit import World
+from kingcuplug_testkit import QueryHarness
 
 
 @pytest.fixture
-def world() -> World:
-    return World()
+def world() -> QueryHarness:
+    return QueryHarness()
--- a/tests/query/test_orders.py
+++ b/tests/query/test_orders.py
@@ -7,7 +7,14 @@
 import pytest
 from kingcuplug_common import KingcuplugError, Refusal, RefusalKind, RefusalReason
 from kingcuplug_query import Answer, ConnectFailed, ReplyLost, SubRequest
-from kingcuplug_testkit import KEY, NOW_MS, World, echo, order, run_virtual
+from kingcuplug_testkit import (
+    IDEMPOTENCY_KEY,
+    NOW_MS,
+    QueryHarness,
+    make_order,
+    make_reply,
+    run_virtual,
+)
 
 _RETENTION_DAYS = 30
 _DAY_MS = 86_400_000
@@ -18,24 +25,26 @@
 
 
 async def _run_order(
-    world: World, host: str = "entry-1", **fields: Any
+    world: QueryHarness, host: str = "entry-1", **fields: Any
 ) -> Answer | Refusal:
     try:
-        return await world.orders(host).run(
-            order(**fields), world.view(), _RETENTION_DAYS
+        return await world.order_executor(host).run(
+            make_order(**fields), world.revision_view(), _RETENTION_DAYS
         )
     except Refusal as refusal:
         return refusal
 
 
-def _install_counting_handlers(world: World, behaviour: Any = None) -> RunCounter:
+def _install_counting_handlers(
+    world: QueryHarness, behaviour: Any = None
+) -> RunCounter:
     """Let every server count its runs, then reply by `behaviour`."""
     runs = RunCounter()
 
     async def handle(request: SubRequest) -> Any:
         await asyncio.sleep(0.005)
         runs[str(request.idempotency_key)] += 1
-        return await behaviour(request) if behaviour else echo(request)
+        return await behaviour(request) if behaviour else make_reply(request)
 
     for view in world.servers["stock"]:
         world.handlers[view.server] = handle
@@ -43,7 +52,7 @@
 
 
 @pytest.fixture
-def stock(world: World) -> World:
+def stock(world: QueryHarness) -> QueryHarness:
     """Return the world to which each test adds the service ``stock``."""
     return world
 
@@ -57,27 +66,27 @@
 
 
 async def _reply_failed(request: SubRequest) -> Any:
-    return echo(request, "failed")
+    return make_reply(request, "failed")
 
 
 async def _reply_for_wrong_shard(request: SubRequest) -> Any:
-    return echo(request) | {"shard": 99}
+    return make_reply(request) | {"shard": 99}
 
 
 @pytest.mark.parametrize(
     "behaviour",
     [None, _lose_reply, _never_reply, _reply_failed, _reply_for_wrong_shard],
 )
-def test_order_sent_repeatedly_runs_once(stock: World, behaviour: Any) -> None:
+def test_order_sent_repeatedly_runs_once(stock: QueryHarness, behaviour: Any) -> None:
     # Guards against a retry, a hedge or a resend that runs an order again.
     async def main() -> None:
-        stock.add("stock")
+        stock.add_service("stock")
         runs = _install_counting_handlers(stock, behaviour)
         for number in range(6):
             await _run_order(stock, f"entry-{number % 3}", resend=number > 0)
         await asyncio.sleep(60)
         await _run_order(stock, resend=True)
-        assert runs == {KEY: 1}
+        assert runs == {IDEMPOTENCY_KEY: 1}
 
     run_virtual(main())
 
@@ -85,10 +94,10 @@
 @pytest.mark.parametrize(
     "behaviour", [_lose_reply, _never_reply, _reply_failed, _reply_for_wrong_shard]
 )
-def test_unclear_result_is_outcome_unknown(stock: World, behaviour: Any) -> None:
+def test_unclear_result_is_outcome_unknown(stock: QueryHarness, behaviour: Any) -> None:
     # Guards against ``not_run`` for an order that may have run.
     async def main() -> None:
-        stock.add("stock")
+        stock.add_service("stock")
         _install_counting_handlers(stock, behaviour)
         for host in ("entry-1", "entry-2"):
             refusal = await _run_order(stock, host)
@@ -98,10 +107,10 @@
     run_virtual(main())
 
 
-def test_resend_gets_the_recorded_outcome(stock: World) -> None:
+def test_resend_gets_the_recorded_outcome(stock: QueryHarness) -> None:
     # Guards against a second answer that contradicts the first one.
     async def main() -> None:
-        stock.add("stock")
+        stock.add_service("stock")
         _install_counting_handlers(stock)
         first = await _run_order(stock)
         second = await _run_order(stock, "entry-2", request_id="r2", resend=True)
@@ -111,14 +120,14 @@
     run_virtual(main())
 
 
-def test_resend_attaches_to_the_running_order(stock: World) -> None:
+def test_resend_attaches_to_the_running_order(stock: QueryHarness) -> None:
     # Guards against a resend that is refused, or runs, while the first copy runs.
     async def main() -> None:
-        stock.add("stock")
+        stock.add_service("stock")
 
         async def slow(request: SubRequest) -> Any:
             await asyncio.sleep(0.3)
-            return echo(request)
+            return make_reply(request)
 
         runs = _install_counting_handlers(stock, slow)
         first, second = await asyncio.gather(
@@ -126,19 +135,19 @@
         )
         assert isinstance(first, Answer)
         assert second == first
-        assert runs == {KEY: 1}
+        assert runs == {IDEMPOTENCY_KEY: 1}
 
     run_virtual(main())
 
 
-def test_late_outcome_is_recorded(stock: World) -> None:
+def test_late_outcome_is_recorded(stock: QueryHarness) -> None:
     # Guards against losing an outcome that arrives after the caller's deadline.
     async def main() -> None:
-        stock.add("stock")
+        stock.add_service("stock")
 
         async def late(request: SubRequest) -> Any:
             await asyncio.sleep(3)
-            return echo(request)
+            return make_reply(request)
 
         _install_counting_handlers(stock, late)
         refusal = await _run_order(stock)
@@ -150,30 +159,32 @@
     run_virtual(main())
 
 
-def test_caller_disconnect_does_not_cancel_the_order(stock: World) -> None:
+def test_caller_disconnect_does_not_cancel_the_order(stock: QueryHarness) -> None:
     # Guards against losing the outcome when the caller's connection breaks.
     async def main() -> None:
-        stock.add("stock")
+        stock.add_service("stock")
         runs = _install_counting_handlers(stock)
         request_task = asyncio.create_task(_run_order(stock))
         await asyncio.sleep(0.004)
         request_task.cancel()
         await asyncio.sleep(1)
-        assert runs == {KEY: 1}
+        assert runs == {IDEMPOTENCY_KEY: 1}
         assert isinstance(await _run_order(stock, "entry-2", resend=True), Answer)
 
     run_virtual(main())
 
 
 @pytest.mark.parametrize("status", ["shed", "not_run", "snapshot_gone"])
-def test_order_that_server_did_not_run_is_not_run(stock: World, status: str) -> None:
+def test_order_that_server_did_not_run_is_not_run(
+    stock: QueryHarness, status: str
+) -> None:
     # Guards against a second dispatch, and against ``outcome_unknown`` although the
     # server reported that it did not run the order.
     async def main() -> None:
-        stock.add("stock")
+        stock.add_service("stock")
 
         async def reply_not_run(request: SubRequest) -> Any:
-            return echo(request, status)
+            return make_reply(request, status)
 
         _install_counting_handlers(stock, reply_not_run)
         for host in ("entry-1", "entry-2"):
@@ -181,24 +192,24 @@
             assert isinstance(refusal, Refusal)
             assert refusal.kind is RefusalKind.NOT_RUN
             assert refusal.reason is RefusalReason.ORDER_NOT_RUN
-        assert len(stock.sent) == 1
+        assert len(stock.sent_requests) == 1
 
     run_virtual(main())
 
 
-def test_unreachable_servers_are_skipped_before_dispatch(stock: World) -> None:
+def test_unreachable_servers_are_skipped_before_dispatch(stock: QueryHarness) -> None:
     # Guards against an order that is refused, with its key used up, because it was
     # dispatched to an unreachable server while another replica is reachable.
     async def main() -> None:
-        stock.add("stock")
+        stock.add_service("stock")
         runs = _install_counting_handlers(stock)
-        stock.down = {"stock-0", "stock-2"}
+        stock.unreachable_servers = {"stock-0", "stock-2"}
         for number in range(10):
             answer = await _run_order(stock, key=f"{NOW_MS}-abcdefg{number}")
             assert isinstance(answer, Answer)
-        assert {server for server, _ in stock.sent} == {"stock-1"}
+        assert {server for server, _ in stock.sent_requests} == {"stock-1"}
         assert set(runs.values()) == {1}
-        stock.down = {"stock-0", "stock-1", "stock-2"}
+        stock.unreachable_servers = {"stock-0", "stock-1", "stock-2"}
         refusal = await _run_order(stock)
         assert isinstance(refusal, Refusal)
         assert refusal.kind is RefusalKind.NOT_RUN
@@ -206,10 +217,10 @@
     run_virtual(main())
 
 
-def test_failed_connection_is_not_run(stock: World) -> None:
+def test_failed_connection_is_not_run(stock: QueryHarness) -> None:
     # Guards against ``outcome_unknown`` for an order of which no byte was sent.
     async def main() -> None:
-        stock.add("stock")
+        stock.add_service("stock")
 
         async def fail_to_connect(request: SubRequest) -> Any:
             raise ConnectFailed("no", "start it")
@@ -226,14 +237,14 @@
 @pytest.mark.parametrize("step", ["claim", "dispatch"])
 @pytest.mark.parametrize("applied", [True, False])
 def test_nothing_is_sent_without_a_recorded_dispatch(
-    stock: World, step: str, applied: bool
+    stock: QueryHarness, step: str, applied: bool
 ) -> None:
     # Guards against sending before a quorum has recorded the dispatch.
     async def main() -> None:
-        stock.add("stock")
+        stock.add_service("stock")
         runs = _install_counting_handlers(stock)
         if applied:
-            stock.ledger_lost = lambda command: command["type"] == step
+            stock.is_ledger_reply_lost = lambda command: command["type"] == step
         else:
             stock.ledger_fault = lambda command: (
                 KingcuplugError("no quorum", "wait")
@@ -245,20 +256,20 @@
         assert refusal.reason is RefusalReason.NO_QUORUM
         assert refusal.kind is RefusalKind.NOT_RUN
         assert not runs
-        stock.ledger_lost = lambda command: False
+        stock.is_ledger_reply_lost = lambda command: False
         stock.ledger_fault = lambda command: None
         await asyncio.sleep(60)
         await _run_order(stock, "entry-2", resend=True)
-        assert runs[KEY] <= 1
+        assert runs[IDEMPOTENCY_KEY] <= 1
 
     run_virtual(main())
 
 
-def test_answer_is_returned_when_outcome_is_not_recorded(stock: World) -> None:
+def test_answer_is_returned_when_outcome_is_not_recorded(stock: QueryHarness) -> None:
     # Guards against losing an answer because the ledger lost its quorum after the
     # dispatch.
     async def main() -> None:
-        stock.add("stock")
+        stock.add_service("stock")
         _install_counting_handlers(stock)
         stock.ledger_fault = lambda command: (
             KingcuplugError("no quorum", "wait")
@@ -269,15 +280,15 @@
         refusal = await _run_order(stock, "entry-2", resend=True)
         assert isinstance(refusal, Refusal)
         assert refusal.kind is RefusalKind.OUTCOME_UNKNOWN
-        assert len(stock.sent) == 1
+        assert len(stock.sent_requests) == 1
 
     run_virtual(main())
 
 
-def test_resend_without_quorum_is_outcome_unknown(stock: World) -> None:
+def test_resend_without_quorum_is_outcome_unknown(stock: QueryHarness) -> None:
     # Guards against ``not_run`` for a resend whose first copy may have run.
     async def main() -> None:
-        stock.add("stock")
+        stock.add_service("stock")
         stock.ledger_fault = lambda command: KingcuplugError("no quorum", "wait")
         first = await _run_order(stock)
         resend = await _run_order(stock, resend=True)
@@ -289,24 +300,24 @@
     run_virtual(main())
 
 
-def test_key_with_another_body_is_refused(stock: World) -> None:
+def test_key_with_another_body_is_refused(stock: QueryHarness) -> None:
     # Guards against answering one order with the outcome of another.
     async def main() -> None:
-        stock.add("stock")
+        stock.add_service("stock")
         runs = _install_counting_handlers(stock)
         await _run_order(stock)
         refusal = await _run_order(stock, body={"embroider": "Ana"})
         assert isinstance(refusal, Refusal)
         assert refusal.reason is RefusalReason.KEY_REUSED
-        assert runs == {KEY: 1}
+        assert runs == {IDEMPOTENCY_KEY: 1}
 
     run_virtual(main())
 
 
-def test_key_older_than_the_retention_is_never_run(stock: World) -> None:
+def test_key_older_than_the_retention_is_never_run(stock: QueryHarness) -> None:
     # Guards against running an order again after its record was purged.
     async def main() -> None:
-        stock.add("stock")
+        stock.add_service("stock")
         runs = _install_counting_handlers(stock)
         expired_key = f"{NOW_MS - (_RETENTION_DAYS + 1) * _DAY_MS}-abcdefgh"
         refusal = await _run_order(stock, key=expired_key)
@@ -317,10 +328,10 @@
     run_virtual(main())
 
 
-def test_claim_of_a_crashed_host_is_taken_over(stock: World) -> None:
+def test_claim_of_a_crashed_host_is_taken_over(stock: QueryHarness) -> None:
     # Guards against an order that no host can run because its claim holder crashed.
     async def main() -> None:
-        stock.add("stock")
+        stock.add_service("stock")
         runs = _install_counting_handlers(stock)
         dispatch_failed = asyncio.Event()
 
@@ -334,9 +345,9 @@
         first_copy = asyncio.create_task(_run_order(stock, "entry-1"))
         await dispatch_failed.wait()
         first_copy.cancel()
-        stock.holder_lost = lambda host, incarnation: host == "entry-1"
+        stock.is_holder_lost = lambda host, incarnation: host == "entry-1"
         answer = await _run_order(stock, "entry-2", resend=True)
         assert isinstance(answer, Answer)
-        assert runs == {KEY: 1}
+        assert runs == {IDEMPOTENCY_KEY: 1}
 
     run_virtual(main())
--- a/tests/query/test_random_faults.py
+++ b/tests/query/test_random_faults.py
@@ -9,7 +9,7 @@
 from kingcuplug_common import Refusal, RefusalKind
 from kingcuplug_query import Answer, ConnectFailed, ReplyLost, SubRequest
 from kingcuplug_routing import Holding
-from kingcuplug_testkit import World, echo, query, run_virtual
+from kingcuplug_testkit import QueryHarness, make_query, make_reply, run_virtual
 
 _SERVER_COUNT = 4
 _SERVER_BEHAVIOURS = (
@@ -34,7 +34,9 @@
 class _ScriptedServers:
     """Servers that follow a script and record what they executed."""
 
-    def __init__(self, world: World, script: list[str], repartition: bool) -> None:
+    def __init__(
+        self, world: QueryHarness, script: list[str], repartition: bool
+    ) -> None:
         self.executed = 0
         self.returned_coverages: dict[tuple[int, int], set[float]] = defaultdict(set)
         self._world = world
@@ -55,16 +57,16 @@
             case "partial":
                 return self._answer(request, 0.5)
             case "shed":
-                return echo(request, "shed")
+                return make_reply(request, "shed")
             case "gone":
-                return echo(request, "snapshot_gone")
+                return make_reply(request, "snapshot_gone")
             case "failed":
-                return echo(request, "failed")
+                return make_reply(request, "failed")
             case "crossed":
-                return echo(request) | {"shard": request.shard + 1}
+                return make_reply(request) | {"shard": request.shard + 1}
             case "late":
                 await asyncio.sleep(5)
-                return echo(request)
+                return make_reply(request)
             case "no connection":
                 raise ConnectFailed("refused", "start it")
             case "lost":
@@ -76,13 +78,13 @@
     def _answer(self, request: SubRequest, coverage: float) -> Any:
         self.returned_coverages[request.snapshot, request.shard].add(coverage)
         status = "ok" if coverage == 1 else "partial"
-        return echo(request, status, coverage=coverage)
+        return make_reply(request, status, coverage=coverage)
 
     def _repartition_if_due(self) -> None:
         """Announce a repartitioned snapshot while the query runs."""
         if self._repartition and self._request_count == 3:
             held = [Holding(1, 4, (0, 1, 2, 3)), Holding(2, 6, tuple(range(6)))]
-            self._world.hold(
+            self._world.set_holdings(
                 "stock", {f"stock-{n}": held for n in range(_SERVER_COUNT)}
             )
 
@@ -126,15 +128,17 @@
     # Guards against combinations of faults that lead to a mix of snapshots, a wrong
     # coverage, a shard counted twice, or ``not_run`` for work that was executed.
     async def main() -> None:
-        world = World()
-        world.add("stock", _SERVER_COUNT, 4, coverage_weight=weight, canary=canary)
+        world = QueryHarness()
+        world.add_service(
+            "stock", _SERVER_COUNT, 4, coverage_weight=weight, canary=canary
+        )
         scripted = _ScriptedServers(world, script, repartition)
         loop = asyncio.get_running_loop()
         for _ in range(3):
             executed_before, started_at = scripted.executed, loop.time()
             try:
-                answer = await world.queries().run(
-                    query(minimum_coverage=minimum), world.view()
+                answer = await world.query_executor().run(
+                    make_query(minimum_coverage=minimum), world.revision_view()
                 )
             except Refusal as refusal:
                 if refusal.kind is RefusalKind.NOT_RUN:
--- a/tests/query/test_resent_orders.py
+++ b/tests/query/test_resent_orders.py
@@ -7,7 +7,7 @@
 import pytest
 from kingcuplug_common import Refusal, RefusalKind, RefusalReason
 from kingcuplug_ledger import Claimed
-from kingcuplug_query import Background, OrderExecutor, OrderRequest
+from kingcuplug_query import BackgroundTasks, OrderExecutor, OrderRequest
 from kingcuplug_routing import CrashGuard, Priority
 from kingcuplug_testkit import run_virtual
 
@@ -54,7 +54,7 @@
     ledger = LedgerStub()
 
     async def run() -> Refusal:
-        background = Background()
+        background = BackgroundTasks()
         executor = OrderExecutor(
             ledger,
             None,
--- a/tools/measure_query.py
+++ b/tools/measure_query.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from kingcuplug_query import SubRequest
-from kingcuplug_testkit import World, echo, query
+from kingcuplug_testkit import QueryHarness, make_query, make_reply
 
 _SHARD_COUNTS = (6, 15, 41, 82)
 _QUERY_COUNT = 300
@@ -19,22 +19,24 @@
 
 async def _reply_immediately(request: SubRequest) -> Any:
     await asyncio.sleep(0)
-    return echo(request)
+    return make_reply(request)
 
 
 async def _cpu_us_per_query(shard_count: int) -> float:
     """Return the CPU time per query in microseconds."""
-    world = World()
-    world.add("stock", servers=_SERVER_COUNT, shard_count=shard_count, canary="always")
+    world = QueryHarness()
+    world.add_service(
+        "stock", servers=_SERVER_COUNT, shard_count=shard_count, canary="always"
+    )
     views = [dataclasses.replace(v, slots=1_000) for v in world.servers["stock"]]
     world.services["stock"].router.update(views, 1)
     world.handlers = {f"stock-{n}": _reply_immediately for n in range(_SERVER_COUNT)}
-    executor, view = world.queries(), world.view()
+    executor, view = world.query_executor(), world.revision_view()
     for _ in range(20):
-        await executor.run(query(), view)
+        await executor.run(make_query(), view)
     started = time.process_time()
     for _ in range(_QUERY_COUNT):
-        await executor.run(query(), view)
+        await executor.run(make_query(), view)
     return (time.process_time() - started) / _QUERY_COUNT * 1e6
 
 
--- a/tools/measure_state.py
+++ b/tools/measure_state.py
@@ -22,7 +22,7 @@
 from kingcuplug_configuration import (  # noqa: E402
     ApplyConfiguration,
     ConfigurationHistory,
-    difference,
+    compute_delta,
     parse,
     patch,
     render,
@@ -81,7 +81,7 @@
     history = ConfigurationHistory()
     history.apply(ApplyConfiguration("c0", 0, texts[0], "anna", 0))
     old, new = parse(texts[0]), parse(texts[1])
-    delta = difference(old, new)
+    delta = compute_delta(old, new)
 
     def build() -> Any:
         configuration = parse(texts[0])
