--- a/packages/cli/src/kingcuplug_cli/__init__.py
+++ b/packages/cli/src/kingcuplug_cli/__init__.py
@@ -1,6 +1,17 @@
 """The kingcuplug program: operator commands, load tool and stand-in servers."""
 
 from kingcuplug_cli._main import main
-from kingcuplug_cli._standin import Behaviour, Journal, StandIn, StandInService
+from kingcuplug_cli._standin import (
+    ExecutionCounts,
+    ServerBehaviour,
+    StandInServer,
+    StandInService,
+)
 
-__all__ = ["Behaviour", "Journal", "StandIn", "StandInService", "main"]
+__all__ = [
+    "ExecutionCounts",
+    "ServerBehaviour",
+    "StandInServer",
+    "StandInService",
+    "main",
+]
--- a/packages/cli/src/kingcuplug_cli/_bench/_backend_fleet.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_backend_fleet.py
@@ -6,8 +6,13 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any
 
-from kingcuplug_cli._local import Group, Sizes, shards_of
-from kingcuplug_cli._standin import Behaviour, Journal, StandIn, StandInService
+from kingcuplug_cli._local import DeploymentSpec, ServiceGroup, shards_of_server
+from kingcuplug_cli._standin import (
+    ExecutionCounts,
+    ServerBehaviour,
+    StandInServer,
+    StandInService,
+)
 
 __all__ = ["BackendFleet", "DeployedService"]
 
@@ -24,8 +29,8 @@
     """One service with its sizes, servers and newest snapshot."""
 
     name: str
-    group: Group
-    servers: list[StandIn]
+    group: ServiceGroup
+    servers: list[StandInServer]
     snapshot: int
     shard_count: int
 
@@ -34,7 +39,7 @@
     ) -> ShardsBySnapshot:
         """Return the shards of one snapshot that the server `server_index` holds."""
         resized_group = dataclasses.replace(self.group, shard_count=shard_count)
-        return {snapshot: (shard_count, shards_of(resized_group, server_index))}
+        return {snapshot: (shard_count, shards_of_server(resized_group, server_index))}
 
 
 class BackendFleet:
@@ -42,7 +47,7 @@
 
     Parameters
     ----------
-    sizes : Sizes
+    sizes : DeploymentSpec
         Zones and services.
     choose_entry_url : callable
         Returns the base URL of an entry host.
@@ -53,7 +58,7 @@
 
     Attributes
     ----------
-    journal : Journal
+    journal : ExecutionCounts
         Record of the work that the servers did.
     drain_lags_s : list of float
         Time from the start of each drain to the last new work that the server got.
@@ -63,26 +68,26 @@
 
     def __init__(
         self,
-        sizes: Sizes,
+        sizes: DeploymentSpec,
         choose_entry_url: Callable[[], str],
         latency_of: Callable[[str, str], float],
         seed: int,
     ) -> None:
-        self.journal = Journal()
+        self.journal = ExecutionCounts()
         self.drain_lags_s: list[float] = []
         self.services: dict[str, DeployedService] = {}
         self.shard_counts: dict[str, dict[int, int]] = {}
         self._rng = random.Random(seed)
         self._unsupervised: set[str] = set()
         self._zones = sizes.availability_zones
-        self._default_behaviour = Behaviour()
+        self._default_behaviour = ServerBehaviour()
         for group in sizes.groups:
             for name in group.services:
                 self._add_service(group, name, choose_entry_url, latency_of)
 
     def _add_service(
         self,
-        group: Group,
+        group: ServiceGroup,
         name: str,
         choose_entry_url: Callable[[], str],
         latency_of: Callable[[str, str], float],
@@ -94,7 +99,7 @@
         for index in range(group.servers):
             zone = self._zones[index % len(self._zones)]
             deployed.servers.append(
-                StandIn(
+                StandInServer(
                     f"{name}-s{index}",
                     simulated_service,
                     zone,
@@ -109,7 +114,7 @@
         self.shard_counts[name] = {1: group.shard_count}
 
     @property
-    def servers(self) -> list[StandIn]:
+    def servers(self) -> list[StandInServer]:
         """All servers."""
         return [
             server for service in self.services.values() for server in service.servers
@@ -127,7 +132,7 @@
             for shard in range(deployed.shard_count)
         ]
 
-    async def start(self, behaviour: Behaviour) -> None:
+    async def start(self, behaviour: ServerBehaviour) -> None:
         """Start all servers with the given behaviour."""
         self._default_behaviour = behaviour
         await self.reset_servers()
@@ -143,7 +148,7 @@
                         self._restart_after_delay(server)
                     )
 
-    async def _restart_after_delay(self, server: StandIn) -> None:
+    async def _restart_after_delay(self, server: StandInServer) -> None:
         await asyncio.sleep(_RESTART_DELAY_S)
         if not server.running:
             await server.start()
@@ -179,7 +184,7 @@
             server for server in self.servers if server.availability_zone == zone
         )
 
-    async def _crash_servers(self, servers: Iterable[StandIn]) -> None:
+    async def _crash_servers(self, servers: Iterable[StandInServer]) -> None:
         crashed = list(servers)
         self._unsupervised.update(server.name for server in crashed)
         await asyncio.gather(*(server.crash() for server in crashed))
@@ -208,13 +213,15 @@
         )
 
     async def _drain_sequentially(
-        self, servers: Sequence[StandIn], hold_s: float, last_hold_s: float
+        self, servers: Sequence[StandInServer], hold_s: float, last_hold_s: float
     ) -> None:
         for server in servers:
             drain_started_at = asyncio.get_running_loop().time()
             server.drain()
             await asyncio.sleep(last_hold_s if server is servers[-1] else hold_s)
-            self.drain_lags_s.append(max(server.last_new_work - drain_started_at, 0.0))
+            self.drain_lags_s.append(
+                max(server.last_sub_request_at - drain_started_at, 0.0)
+            )
             self._unsupervised.add(server.name)
             await server.stop()
             await server.start()
@@ -234,12 +241,12 @@
         self.shard_counts[service.name][snapshot] = shard_count
         for index, server in enumerate(service.servers):
             new_shards = service.shards_of_server(index, snapshot, shard_count)
-            server.hold(server.holdings | new_shards)
+            server.set_holdings(server.holdings | new_shards)
             await asyncio.sleep(_ROLLOUT_STEP_S)
         service.snapshot, service.shard_count = snapshot, shard_count
         await asyncio.sleep(overlap_s)
         for index, server in enumerate(service.servers):
-            server.hold(service.shards_of_server(index, snapshot, shard_count))
+            server.set_holdings(service.shards_of_server(index, snapshot, shard_count))
             await asyncio.sleep(_ROLLOUT_STEP_S)
 
 
--- a/packages/cli/src/kingcuplug_cli/_bench/_commands.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_commands.py
@@ -25,7 +25,7 @@
     packaged_names,
 )
 from kingcuplug_cli._bench._targets import TargetResult, evaluate_targets
-from kingcuplug_cli._local import load_sizes
+from kingcuplug_cli._local import load_deployment_spec
 
 __all__ = ["Bench"]
 
@@ -114,7 +114,7 @@
         """
         example = Path(examples) / deployment
         configuration = json.loads((example / "configuration.json").read_text())
-        sizes = load_sizes(example / "servers.json", only=(service,))
+        sizes = load_deployment_spec(example / "servers.json", only_services=(service,))
         results, profiles = asyncio.run(
             measure_cpu(
                 *(sizes, configuration, load_policy(policy), seed),
@@ -152,8 +152,9 @@
         self._seed = seed
         self._policies = [load_policy(name) for name in policies]
         configuration = json.loads((example / "configuration.json").read_text())
-        sizes = load_sizes(
-            example / "servers.json", only=_SERVICES_BY_DEPLOYMENT[self._deployment]
+        sizes = load_deployment_spec(
+            example / "servers.json",
+            only_services=_SERVICES_BY_DEPLOYMENT[self._deployment],
         )
         self._runner = ScenarioRunner(sizes, configuration, self._policies, seed)
 
--- a/packages/cli/src/kingcuplug_cli/_bench/_cpu.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_cpu.py
@@ -26,7 +26,7 @@
 )
 from kingcuplug_cli._bench._schedule import Arrival, plan_arrivals
 from kingcuplug_cli._bench._worker_process import WorkerProcess
-from kingcuplug_cli._local import Sizes
+from kingcuplug_cli._local import DeploymentSpec
 
 __all__ = ["ProcessCpu", "format_cpu_table", "measure_cpu", "write_cpu_report"]
 
@@ -76,7 +76,7 @@
 
 
 async def measure_cpu(
-    sizes: Sizes,
+    sizes: DeploymentSpec,
     configuration: dict[str, Any],
     policy: Policy,
     seed: int,
@@ -129,7 +129,10 @@
     """The three compared processes and the simulated servers that they share."""
 
     def __init__(
-        self, deployment: BenchDeployment, sizes: Sizes, http: aiohttp.ClientSession
+        self,
+        deployment: BenchDeployment,
+        sizes: DeploymentSpec,
+        http: aiohttp.ClientSession,
     ) -> None:
         self.results = {
             name: ProcessCpu() for name in (_ENTRY_HOST, _BARE_CLIENT, _BARE_SERVER)
--- a/packages/cli/src/kingcuplug_cli/_bench/_deployment.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_deployment.py
@@ -11,13 +11,13 @@
 from typing import Any
 
 import aiohttp
-from kingcuplug_common import identifier
+from kingcuplug_common import random_identifier
 
 from kingcuplug_cli._bench._load_balancer import LoadBalancer
 from kingcuplug_cli._bench._scenario import Policy, ServiceTimes
 from kingcuplug_cli._bench._schedule import ServiceLoad
 from kingcuplug_cli._bench._worker_process import WorkerProcess
-from kingcuplug_cli._local import Sizes
+from kingcuplug_cli._local import DeploymentSpec
 
 __all__ = ["BenchDeployment"]
 
@@ -32,7 +32,7 @@
 
     Parameters
     ----------
-    sizes : Sizes
+    sizes : DeploymentSpec
         Zones and services.
     configuration : dict
         The configuration, decoded from its JSON text.
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        sizes: Sizes,
+        sizes: DeploymentSpec,
         configuration: dict[str, Any],
         policy: Policy,
         http: aiohttp.ClientSession,
@@ -156,7 +156,7 @@
             # Only the retry budget changes, so that the load stays the same.
             service["policy"]["retry_budget"] = 0.1 + change_number % 2 * 0.001
         fields = {
-            "change_id": identifier(),
+            "change_id": random_identifier(),
             "base_revision": self.accepted_revisions[-1][1]
             if self.accepted_revisions
             else 0,
--- a/packages/cli/src/kingcuplug_cli/_bench/_hosts_worker.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_hosts_worker.py
@@ -6,7 +6,7 @@
 
 from kingcuplug_common import HostSettings
 from kingcuplug_configuration import Service
-from kingcuplug_daemon import Host, policy_of
+from kingcuplug_daemon import Host, routing_policy_for
 from kingcuplug_routing import RoutingPolicy, baseline_policy
 
 from kingcuplug_cli._bench._scenario import Policy
@@ -18,7 +18,9 @@
 def routing_policy(policy: Policy, service: Service) -> RoutingPolicy:
     """Return the routing policy of one service under a policy of the load test."""
     base_policy = (
-        policy_of(service) if policy.base == "configured" else baseline_policy()
+        routing_policy_for(service)
+        if policy.base == "configured"
+        else baseline_policy()
     )
     return dataclasses.replace(base_policy, **policy.routing)
 
@@ -39,7 +41,9 @@
         await host.start()
         if host.entry is not None:
             # Simulated servers derive a client's availability zone from its address.
-            host.entry.backend.local_address = host.caller_address.rpartition(":")[0]
+            host.entry.backend_client.local_address = host.caller_address.rpartition(
+                ":"
+            )[0]
         self._hosts[settings.host] = host
         return {
             "caller_address": host.caller_address,
--- a/packages/cli/src/kingcuplug_cli/_bench/_load_generator.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_load_generator.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import aiohttp
-from kingcuplug_common import identifier
+from kingcuplug_common import random_identifier
 
 from kingcuplug_cli._bench._load_balancer import LoadBalancer
 from kingcuplug_cli._bench._schedule import Arrival
@@ -65,7 +65,7 @@
     async def send(self, arrival: Arrival, planned_at: float) -> Sample:
         """Send one arrival, planned for `planned_at` on the event loop's clock."""
         loop = asyncio.get_running_loop()
-        sample = Sample(arrival, identifier())
+        sample = Sample(arrival, random_identifier())
         sample.lag_ms = (loop.time() - planned_at) * _MS_PER_S
         await asyncio.sleep(planned_at + self.latency_s - loop.time())
         try:
--- a/packages/cli/src/kingcuplug_cli/_bench/_runner.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_runner.py
@@ -21,7 +21,7 @@
 from kingcuplug_cli._bench._scenario import Phase, Policy, Scenario, ServiceTimes
 from kingcuplug_cli._bench._schedule import plan_arrivals
 from kingcuplug_cli._bench._worker_process import process_usage
-from kingcuplug_cli._local import Sizes
+from kingcuplug_cli._local import DeploymentSpec
 
 __all__ = ["PolicyResult", "ScenarioRunner"]
 
@@ -88,7 +88,7 @@
 
     Parameters
     ----------
-    sizes : Sizes
+    sizes : DeploymentSpec
         Zones and services.
     configuration : dict
         Configuration, decoded from its JSON text.
@@ -104,7 +104,7 @@
 
     def __init__(
         self,
-        sizes: Sizes,
+        sizes: DeploymentSpec,
         configuration: dict[str, Any],
         policies: Sequence[Policy],
         seed: int,
--- a/packages/cli/src/kingcuplug_cli/_bench/_servers_worker.py
+++ b/packages/cli/src/kingcuplug_cli/_bench/_servers_worker.py
@@ -9,8 +9,8 @@
 
 from kingcuplug_cli._bench._backend_fleet import BackendFleet
 from kingcuplug_cli._bench._worker_process import serve_commands
-from kingcuplug_cli._local import Group, Sizes
-from kingcuplug_cli._standin import Behaviour
+from kingcuplug_cli._local import DeploymentSpec, ServiceGroup
+from kingcuplug_cli._standin import ServerBehaviour
 
 __all__ = ["ServersWorker"]
 
@@ -37,7 +37,7 @@
         self._fleet = BackendFleet(
             sizes, self._choose_entry_url, latency_of, fields["seed"]
         )
-        await self._fleet.start(Behaviour(**fields["behaviour"]))
+        await self._fleet.start(ServerBehaviour(**fields["behaviour"]))
         self._restart_task = asyncio.create_task(self._fleet.restart_crashed_servers())
         return [server.name for server in self._fleet.servers]
 
@@ -56,7 +56,7 @@
         """
         if self._event_tasks:
             await asyncio.wait(self._event_tasks)
-        await self._fleet.start(Behaviour(**fields["behaviour"]))
+        await self._fleet.start(ServerBehaviour(**fields["behaviour"]))
 
     async def holders(self, _: dict[str, Any]) -> dict[str, list[list[str]]]:
         """Return the addresses of the servers that hold each shard of each service."""
@@ -97,13 +97,13 @@
             self._event_errors.append(repr(task.exception()))
 
 
-def _parse_sizes(fields: dict[str, Any]) -> Sizes:
+def _parse_sizes(fields: dict[str, Any]) -> DeploymentSpec:
     groups = tuple(
-        Group(**(group | {"services": tuple(group["services"])}))
+        ServiceGroup(**(group | {"services": tuple(group["services"])}))
         for group in fields["groups"]
     )
     availability_zones = tuple(fields["availability_zones"])
-    return Sizes(
+    return DeploymentSpec(
         **(fields | {"groups": groups, "availability_zones": availability_zones})
     )
 
--- a/packages/cli/src/kingcuplug_cli/_demo.py
+++ b/packages/cli/src/kingcuplug_cli/_demo.py
@@ -5,9 +5,9 @@
 from pathlib import Path
 from typing import Any
 
-from kingcuplug_common import identifier
+from kingcuplug_common import random_identifier
 
-from kingcuplug_cli._local import LocalDeployment, load_sizes
+from kingcuplug_cli._local import LocalDeployment, load_deployment_spec
 
 __all__ = ["run_demo"]
 
@@ -18,7 +18,7 @@
     """Run the demo with the configuration and sizes of an example folder."""
     configuration = json.loads((example / "configuration.json").read_text())
     text = json.dumps(configuration)
-    sizes = load_sizes(example / "servers.json", only=_DEMO_SERVICES)
+    sizes = load_deployment_spec(example / "servers.json", only_services=_DEMO_SERVICES)
     deployment = LocalDeployment(sizes, entry_hosts=3, control_hosts=3)
     print("Starting 3 hosts (control and entry) and stand-in backend servers ...")
     try:
@@ -53,7 +53,7 @@
 
 async def _run_repeated_order(deployment: LocalDeployment) -> None:
     print("\nAn order, and the same order sent again to another entry host")
-    key = f"{time.time_ns() // 1_000_000}-{identifier()}"
+    key = f"{time.time_ns() // 1_000_000}-{random_identifier()}"
     order = {
         "body": {"embroider": "Maria N."},
         "idempotency_key": key,
@@ -62,7 +62,7 @@
     for fields in (order, order | {"resend": True}):
         status, answer = await deployment.call("counter-01", "order", fields)
         _print_answer(f"order {key}: {status}", answer)
-    print(f"  the servers ran it {deployment.journal.orders[key]} time(s)")
+    print(f"  the servers ran it {deployment.execution_counts.orders[key]} time(s)")
     shown = await deployment.call_operator(
         deployment.hosts[0], "orders/show", {"key": key}
     )
--- a/packages/cli/src/kingcuplug_cli/_local.py
+++ b/packages/cli/src/kingcuplug_cli/_local.py
@@ -13,21 +13,21 @@
 from typing import Any
 
 import aiohttp
-from kingcuplug_common import HostSettings, TlsSettings, identifier
-from kingcuplug_daemon import Host, client_context, policy_of
+from kingcuplug_common import HostSettings, TlsSettings, random_identifier
+from kingcuplug_daemon import Host, client_context, routing_policy_for
 from kingcuplug_log import LogSettings
 from kingcuplug_membership import MembershipSettings
 
-from kingcuplug_cli._standin import Journal, StandIn, StandInService
+from kingcuplug_cli._standin import ExecutionCounts, StandInServer, StandInService
 
-__all__ = ["LocalDeployment", "Sizes", "load_sizes"]
+__all__ = ["DeploymentSpec", "LocalDeployment", "load_deployment_spec"]
 
 _READY_TIMEOUT_S = 30.0
 _POLL_INTERVAL_S = 0.05
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Group:
+class ServiceGroup:
     """Services of equal size."""
 
     services: tuple[str, ...]
@@ -40,16 +40,18 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sizes:
+class DeploymentSpec:
     """Availability zones and backend servers of one deployment."""
 
     availability_zones: tuple[str, ...]
     zone_latency_ms: float
     caller_latency_ms: float
-    groups: tuple[Group, ...]
+    groups: tuple[ServiceGroup, ...]
 
 
-def load_sizes(path: Path, only: Sequence[str] | None = None) -> Sizes:
+def load_deployment_spec(
+    path: Path, only_services: Sequence[str] | None = None
+) -> DeploymentSpec:
     """Read a ``servers.json`` of the examples.
 
     Parameters
@@ -61,11 +63,13 @@
     groups = []
     for group in fields["groups"]:
         services = tuple(
-            name for name in group["services"] if only is None or name in only
+            name
+            for name in group["services"]
+            if only_services is None or name in only_services
         )
         if services:
-            groups.append(Group(**(group | {"services": services})))
-    return Sizes(
+            groups.append(ServiceGroup(**(group | {"services": services})))
+    return DeploymentSpec(
         tuple(fields["availability_zones"]),
         fields["zone_latency_ms"],
         fields["caller_latency_ms"],
@@ -78,7 +82,7 @@
 
     Parameters
     ----------
-    sizes : Sizes
+    sizes : DeploymentSpec
         Zones and backend servers.
     entry_hosts, control_hosts : int
         Numbers of hosts; the first ones have both roles.
@@ -93,20 +97,20 @@
     ----------
     hosts : list of Host
         Running hosts.
-    servers : list of StandIn
+    servers : list of StandInServer
         Running stand-ins.
-    journal : Journal
+    journal : ExecutionCounts
         Counts of the work that the stand-ins executed.
     """
 
     def __init__(
         self,
-        spec: Sizes,
+        spec: DeploymentSpec,
         entry_hosts: int = 3,
         control_hosts: int = 3,
         seed: int = 1,
         folder: Path | None = None,
-        routing_policy: Any = policy_of,
+        routing_policy: Any = routing_policy_for,
         operator_token: str | None = None,
         log_settings: LogSettings | None = None,
         membership_settings: MembershipSettings | None = None,
@@ -115,8 +119,8 @@
     ) -> None:
         self.spec = spec
         self.hosts: list[Host] = []
-        self.servers: list[StandIn] = []
-        self.journal = Journal()
+        self.servers: list[StandInServer] = []
+        self.execution_counts = ExecutionCounts()
         self._temporary_folder = None if folder else tempfile.TemporaryDirectory()
         self._folder = folder or Path(
             str(self._temporary_folder and self._temporary_folder.name)
@@ -223,18 +227,20 @@
         path.write_text(self._operator_token)
         return path
 
-    def _make_servers(self, group: Group, name: str, snapshot: int) -> list[StandIn]:
+    def _make_servers(
+        self, group: ServiceGroup, name: str, snapshot: int
+    ) -> list[StandInServer]:
         service = StandInService(
             name, group.slots, group.connections, group.connection_cost_ms
         )
         zones = self.spec.availability_zones
         return [
-            StandIn(
+            StandInServer(
                 f"{name}-s{number}",
                 service,
                 zones[number % len(zones)],
-                {snapshot: (group.shard_count, shards_of(group, number))},
-                self.journal,
+                {snapshot: (group.shard_count, shards_of_server(group, number))},
+                self.execution_counts,
                 self.next_entry_url,
                 seed=self._seed * 1_000_003 + len(self.servers) + number,
                 tls=self._tls,
@@ -297,7 +303,7 @@
             self.hosts[0],
             "configuration",
             {
-                "change_id": identifier(),
+                "change_id": random_identifier(),
                 "base_revision": base_revision,
                 "text": text,
                 "author": "local",
@@ -348,7 +354,7 @@
                 await asyncio.sleep(_POLL_INTERVAL_S)
 
 
-def shards_of(group: Group, number: int) -> tuple[int, ...]:
+def shards_of_server(group: ServiceGroup, number: int) -> tuple[int, ...]:
     """Return the shards of one server: each is on `replicas` consecutive servers."""
     return tuple(
         shard
--- a/packages/cli/src/kingcuplug_cli/_standin.py
+++ b/packages/cli/src/kingcuplug_cli/_standin.py
@@ -16,7 +16,13 @@
 from kingcuplug_common import TlsSettings, digest
 from kingcuplug_daemon import Listener, client_context
 
-__all__ = ["Behaviour", "Journal", "StandIn", "StandInService", "expected_value"]
+__all__ = [
+    "ExecutionCounts",
+    "ServerBehaviour",
+    "StandInServer",
+    "StandInService",
+    "expected_value",
+]
 
 _MS_PER_S = 1_000
 _RENEW_INTERVAL_S = 0.5
@@ -26,7 +32,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Behaviour:
+class ServerBehaviour:
     """Service times, queue limit and faults of a stand-in; may be changed at run time.
 
     Attributes
@@ -56,7 +62,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Journal:
+class ExecutionCounts:
     """Ground truth: counts of the work that stand-ins executed.
 
     Attributes
@@ -92,7 +98,7 @@
     return digest([service, snapshot, shard, body])[:16]
 
 
-class StandIn:
+class StandInServer:
     """One stand-in backend server.
 
     Parameters
@@ -105,7 +111,7 @@
         Its availability zone.
     holdings : dict
         Shards per snapshot: snapshot → (shard count, shards).
-    execution_counts : Journal
+    execution_counts : ExecutionCounts
         Counts that it shares with other stand-ins.
     entry_url : callable
         Returns the base URL of some entry host.
@@ -126,7 +132,7 @@
         service: StandInService,
         availability_zone: str,
         holdings: dict[int, tuple[int, tuple[int, ...]]],
-        execution_counts: Journal,
+        execution_counts: ExecutionCounts,
         entry_url: Callable[[], str],
         seed: int,
         announce_token: str | None = None,
@@ -137,9 +143,9 @@
         self.service = service
         self.availability_zone = availability_zone
         self.holdings = holdings
-        self.behaviour = Behaviour()
+        self.behaviour = ServerBehaviour()
         self.latency_of = latency_of
-        self.last_new_work = 0.0
+        self.last_sub_request_at = 0.0
         self._execution_counts = execution_counts
         self._entry_url = entry_url
         self._random = random.Random(seed)
@@ -212,7 +218,7 @@
         self._announcement_changed.set()
         await asyncio.sleep(0)
 
-    def hold(self, holdings: dict[int, tuple[int, tuple[int, ...]]]) -> None:
+    def set_holdings(self, holdings: dict[int, tuple[int, tuple[int, ...]]]) -> None:
         """Replace the held snapshots and announce them."""
         self.holdings = holdings
         self._announcement_changed.set()
@@ -340,7 +346,7 @@
     ) -> Any:
         self._execution_counts.received[fields["request_id"]] += 1
         self._execution_counts.totals["received"] += 1
-        self.last_new_work = asyncio.get_running_loop().time()
+        self.last_sub_request_at = asyncio.get_running_loop().time()
         await asyncio.sleep(latency_s)
         echoed_fields = {
             name: fields[name]
--- a/packages/common/src/kingcuplug_common/__init__.py
+++ b/packages/common/src/kingcuplug_common/__init__.py
@@ -8,20 +8,20 @@
 from typing import TYPE_CHECKING, Any
 
 from kingcuplug_common._clock import boot_time, wall_ms
-from kingcuplug_common._condition import Signal
-from kingcuplug_common._digests import canonical, digest, identifier
+from kingcuplug_common._condition import Condition
+from kingcuplug_common._digests import canonical, digest, random_identifier
 from kingcuplug_common._errors import (
     KingcuplugError,
     Refusal,
     RefusalKind,
     RefusalReason,
-    not_run,
+    not_run_refusal,
 )
 from kingcuplug_common._event_log import EventLog
-from kingcuplug_common._metrics import Metrics, send_state_changes_to, state_change
+from kingcuplug_common._metrics import Metrics, log_state_change, set_state_change_sink
 
 if TYPE_CHECKING:
-    from kingcuplug_common._exposition import exposition
+    from kingcuplug_common._exposition import render_metrics
     from kingcuplug_common._receipts import (
         Receipt,
         ReceiptInvalid,
@@ -37,19 +37,20 @@
     )
     from kingcuplug_common._spans import (
         Hop,
-        entering,
         request_span,
         start_hop,
+        traced_entry,
         traceparent,
     )
     from kingcuplug_common._telemetry import (
         TraceFileExporter,
         log_to_file,
+        open_tracer,
         propagator,
-        tracer,
     )
 
 __all__ = [
+    "Condition",
     "EventLog",
     "Hop",
     "HostSettings",
@@ -61,7 +62,6 @@
     "RefusalKind",
     "RefusalReason",
     "SettingsInvalid",
-    "Signal",
     "Signer",
     "TlsSettings",
     "TraceFileExporter",
@@ -69,29 +69,29 @@
     "boot_time",
     "canonical",
     "digest",
-    "entering",
-    "exposition",
-    "identifier",
     "key_id",
     "load_settings",
+    "log_state_change",
     "log_to_file",
-    "not_run",
+    "not_run_refusal",
+    "open_tracer",
     "propagator",
+    "random_identifier",
+    "render_metrics",
     "request_span",
-    "send_state_changes_to",
+    "set_state_change_sink",
     "start_hop",
-    "state_change",
+    "traced_entry",
     "traceparent",
-    "tracer",
     "wall_ms",
 ]
 
 _LAZY_NAMES = {
-    "_exposition": ("exposition",),
+    "_exposition": ("render_metrics",),
     "_receipts": ("Receipt", "ReceiptInvalid", "Signer", "Verifier", "key_id"),
     "_settings": ("HostSettings", "SettingsInvalid", "TlsSettings", "load_settings"),
-    "_spans": ("Hop", "entering", "request_span", "start_hop", "traceparent"),
-    "_telemetry": ("TraceFileExporter", "log_to_file", "propagator", "tracer"),
+    "_spans": ("Hop", "traced_entry", "request_span", "start_hop", "traceparent"),
+    "_telemetry": ("TraceFileExporter", "log_to_file", "propagator", "open_tracer"),
 }
 _LAZY_MODULES = {
     name: module for module, names in _LAZY_NAMES.items() for name in names
--- a/packages/common/src/kingcuplug_common/_condition.py
+++ b/packages/common/src/kingcuplug_common/_condition.py
@@ -3,10 +3,10 @@
 import asyncio
 from collections.abc import Callable
 
-__all__ = ["Signal"]
+__all__ = ["Condition"]
 
 
-class Signal:
+class Condition:
     """Condition variable without a lock, for the tasks of one event loop.
 
     Every notification wakes all waiting tasks, and each checks its own condition.
@@ -22,7 +22,7 @@
             if not waiter.done():
                 waiter.set_result(None)
 
-    async def until(
+    async def wait_for(
         self, condition: Callable[[], bool], timeout: float | None = None
     ) -> bool:
         """Return ``True`` once the condition holds, ``False`` after `timeout` s."""
--- a/packages/common/src/kingcuplug_common/_digests.py
+++ b/packages/common/src/kingcuplug_common/_digests.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-__all__ = ["canonical", "digest", "identifier"]
+__all__ = ["canonical", "digest", "random_identifier"]
 
 _IDENTIFIER_BYTES = 12
 
@@ -21,6 +21,6 @@
     return hashlib.sha256(canonical(value)).hexdigest()
 
 
-def identifier() -> str:
+def random_identifier() -> str:
     """Return a random identifier of 96 bits as hex text."""
     return secrets.token_hex(_IDENTIFIER_BYTES)
--- a/packages/common/src/kingcuplug_common/_errors.py
+++ b/packages/common/src/kingcuplug_common/_errors.py
@@ -6,7 +6,13 @@
 
 from enum import StrEnum
 
-__all__ = ["KingcuplugError", "Refusal", "RefusalKind", "RefusalReason", "not_run"]
+__all__ = [
+    "KingcuplugError",
+    "Refusal",
+    "RefusalKind",
+    "RefusalReason",
+    "not_run_refusal",
+]
 
 
 class KingcuplugError(Exception):
@@ -86,7 +92,7 @@
         self.retry_after_ms = retry_after_ms
 
 
-def not_run(
+def not_run_refusal(
     reason: RefusalReason,
     message: str,
     remedy: str,
--- a/packages/common/src/kingcuplug_common/_event_log.py
+++ b/packages/common/src/kingcuplug_common/_event_log.py
@@ -74,25 +74,27 @@
         with contextlib.suppress(OSError):
             os.set_blocking(descriptor, False)
 
-    def admits(self, kind: str) -> bool:
+    def try_acquire(self, kind: str) -> bool:
         """Take a token for one line of this kind and return whether there was one.
 
         For callers that build the fields of a line only if it will be written; they
-        then pass `always` to `write`.
+        then pass `bypass_rate_limit` to `write`.
         """
         return self._bucket(kind).try_acquire(time.monotonic())
 
-    def write(self, kind: str, fields: dict[str, Any], always: bool = False) -> None:
+    def write(
+        self, kind: str, fields: dict[str, Any], bypass_rate_limit: bool = False
+    ) -> None:
         """Queue one line, unless its kind exceeds its rate limit.
 
         Parameters
         ----------
-        always : bool
+        bypass_rate_limit : bool
             Skips the rate limit, for rare events such as start and stop.
         """
         now = time.monotonic()
         bucket = self._bucket(kind)
-        if not always and not bucket.try_acquire(now):
+        if not bypass_rate_limit and not bucket.try_acquire(now):
             return
         line = {
             "event": kind,
--- a/packages/common/src/kingcuplug_common/_exposition.py
+++ b/packages/common/src/kingcuplug_common/_exposition.py
@@ -12,12 +12,12 @@
 if TYPE_CHECKING:
     from prometheus_client.core import Metric
 
-__all__ = ["exposition"]
+__all__ = ["render_metrics"]
 
 _LABELS = {"request": ("rank", "outcome"), "attempt": ("service", "outcome")}
 
 
-def exposition(metrics: Metrics, gauges: Mapping[str, float]) -> bytes:
+def render_metrics(metrics: Metrics, gauges: Mapping[str, float]) -> bytes:
     """Return all metrics in the Prometheus text format.
 
     Parameters
--- a/packages/common/src/kingcuplug_common/_metrics.py
+++ b/packages/common/src/kingcuplug_common/_metrics.py
@@ -9,7 +9,7 @@
 from math import frexp
 from typing import Any
 
-__all__ = ["Histogram", "Metrics", "send_state_changes_to", "state_change"]
+__all__ = ["Histogram", "Metrics", "log_state_change", "set_state_change_sink"]
 
 PREFIX = "kingcuplug"
 
@@ -111,12 +111,12 @@
 _sink: StateChangeSink = _log_with_eliot
 
 
-def send_state_changes_to(sink: StateChangeSink) -> None:
+def set_state_change_sink(sink: StateChangeSink) -> None:
     """Send state changes to `sink` instead of eliot."""
     global _sink
     _sink = sink
 
 
-def state_change(subject: str, state: str, **fields: Any) -> None:
+def log_state_change(subject: str, state: str, **fields: Any) -> None:
     """Log that a subject (a replica, a session, a listener) changed its state."""
     _sink(subject, state, fields)
--- a/packages/common/src/kingcuplug_common/_spans.py
+++ b/packages/common/src/kingcuplug_common/_spans.py
@@ -13,7 +13,7 @@
 
 from kingcuplug_common._telemetry import propagator
 
-__all__ = ["Hop", "entering", "request_span", "start_hop", "traceparent"]
+__all__ = ["Hop", "request_span", "start_hop", "traced_entry", "traceparent"]
 
 _T = TypeVar("_T")
 
@@ -120,7 +120,7 @@
     return _SampledHop(trace.tracer, trace.span, name, attributes)
 
 
-def entering(
+def traced_entry(
     name: str, manager: AbstractAsyncContextManager[_T]
 ) -> AbstractAsyncContextManager[_T]:
     """Return `manager` with a hop that spans its ``__aenter__``, which may wait."""
--- a/packages/common/src/kingcuplug_common/_telemetry.py
+++ b/packages/common/src/kingcuplug_common/_telemetry.py
@@ -22,7 +22,7 @@
 
 from kingcuplug_common._metrics import PREFIX
 
-__all__ = ["TraceFileExporter", "log_to_file", "propagator", "tracer"]
+__all__ = ["TraceFileExporter", "log_to_file", "open_tracer", "propagator"]
 
 # Short, since operators view a trace right after its request.
 _TRACE_FILE_DELAY_MS = 500.0
@@ -70,7 +70,7 @@
 
 
 @contextmanager
-def tracer(path: Path | None, share: float) -> Iterator[Tracer]:
+def open_tracer(path: Path | None, share: float) -> Iterator[Tracer]:
     """Yield a tracer that writes to `path`, or one that records nothing.
 
     Parameters
--- a/packages/daemon/src/kingcuplug_daemon/_caller_app.py
+++ b/packages/daemon/src/kingcuplug_daemon/_caller_app.py
@@ -12,8 +12,8 @@
     Refusal,
     RefusalReason,
     digest,
-    identifier,
-    not_run,
+    not_run_refusal,
+    random_identifier,
     request_span,
     wall_ms,
 )
@@ -32,7 +32,7 @@
     read_json,
     read_model,
     refusal_fields,
-    status_of,
+    status_code,
 )
 from kingcuplug_daemon._lifecycle import Lifecycle
 from kingcuplug_daemon._receipt_keys import ReceiptKeys
@@ -148,7 +148,7 @@
         """Read, run and answer one request; answers and refusals carry a receipt."""
         started = asyncio.get_running_loop().time()
         service = request.path_params["service"]
-        request_id = identifier()
+        request_id = random_identifier()
         body: Any = None
         resend = False
         with (
@@ -182,14 +182,14 @@
 
     def _require_ready(self) -> None:
         if self._lifecycle.closed:
-            raise not_run(
+            raise not_run_refusal(
                 RefusalReason.SHUTTING_DOWN,
                 f"entry host {self._settings.host} is shutting down",
                 "send the request again; the load balancer picks another entry host",
                 retry_after_ms=0,
             )
         if not (self._entry.session.is_confirmed() and self._receipt_keys.published):
-            raise not_run(
+            raise not_run_refusal(
                 RefusalReason.CONFIGURATION_UNCONFIRMED,
                 f"entry host {self._settings.host} cannot confirm that its "
                 "configuration is the accepted one",
@@ -202,7 +202,7 @@
         if model.deadline_ms is None:
             return policy.deadline_ms
         if model.deadline_ms <= 0:
-            raise not_run(
+            raise not_run_refusal(
                 RefusalReason.DEADLINE_EXCEEDED,
                 f"deadline_ms is {model.deadline_ms}, which is in the past",
                 "send a deadline_ms above 0",
@@ -257,7 +257,7 @@
             body,
             refusal.kind.value,
             digest(refusal.reason.value),
-            self._entry.configuration.current(),
+            self._entry.configuration.current_revision(),
             None,
         )
         fields = {
@@ -265,7 +265,7 @@
             "refusal": refusal_fields(refusal),
             "receipt": receipt,
         }
-        return json_response(fields, status_of(refusal))
+        return json_response(fields, status_code(refusal))
 
     def _sign_receipt(
         self,
@@ -317,7 +317,7 @@
                 server = str(fields["server"])
                 version = int(fields["incarnation"]), int(fields["sequence"])
             except (KeyError, TypeError, ValueError) as error:
-                raise not_run(
+                raise not_run_refusal(
                     RefusalReason.INVALID_REQUEST,
                     f"the renewal is malformed: {error!r}",
                     "send server, incarnation and sequence",
@@ -336,7 +336,7 @@
                 return json_response({"error": "ShuttingDown"}, _UNAVAILABLE)
             lease = await handler()
         except Refusal as refusal:
-            return json_response(error_fields(refusal), status_of(refusal))
+            return json_response(error_fields(refusal), status_code(refusal))
         except TimeoutError:
             return json_response({"error": "NotDelivered"}, _UNAVAILABLE)
         except KingcuplugError as error:
--- a/packages/daemon/src/kingcuplug_daemon/_control_node.py
+++ b/packages/daemon/src/kingcuplug_daemon/_control_node.py
@@ -10,7 +10,7 @@
     KingcuplugError,
     Metrics,
     boot_time,
-    identifier,
+    random_identifier,
     wall_ms,
 )
 from kingcuplug_configuration import ApplyConfiguration
@@ -205,7 +205,7 @@
         for address in self._settings.control_seeds:
             if address != self._address:
                 await self._require_no_cluster(address)
-        cluster_id = identifier()
+        cluster_id = random_identifier()
         await self.replica.bootstrap(cluster_id)
         return {"cluster": cluster_id, "member": self.replica.status().member.id}
 
--- a/packages/daemon/src/kingcuplug_daemon/_entry_configuration.py
+++ b/packages/daemon/src/kingcuplug_daemon/_entry_configuration.py
@@ -61,7 +61,7 @@
         self._text = ConfigurationText()
         self.on_change: Callable[[], None] = lambda: None
 
-    def current(self) -> int:
+    def current_revision(self) -> int:
         """Return the number of the revision in force; -1 for none."""
         return self.view.number
 
--- a/packages/daemon/src/kingcuplug_daemon/_entry_node.py
+++ b/packages/daemon/src/kingcuplug_daemon/_entry_node.py
@@ -29,13 +29,13 @@
 from kingcuplug_daemon._tls import client_context, reload_identity
 from kingcuplug_daemon._tracing import traced_session, traced_submit
 
-__all__ = ["EntryNode", "policy_of"]
+__all__ = ["EntryNode", "routing_policy_for"]
 
 _SESSION_TIMEOUT_S = 2.0
 _DRAIN_TIMEOUT_S = 30.0
 
 
-def policy_of(service: Service) -> RoutingPolicy:
+def routing_policy_for(service: Service) -> RoutingPolicy:
     """Return the routing policy that a service's configuration sets."""
     return RoutingPolicy(
         hedge_budget=service.policy.hedge_budget,
@@ -77,7 +77,7 @@
         seeds: Sequence[str],
         metrics: Metrics,
         tracer: Tracer,
-        policy_factory: RoutingPolicyFactory = policy_of,
+        policy_factory: RoutingPolicyFactory = routing_policy_for,
         membership_settings: MembershipSettings | None = None,
     ) -> None:
         zone = settings.availability_zone
@@ -85,7 +85,7 @@
         self.crash_guard = CrashGuard()
         self._backend_tls = settings.backend_tls
         self._backend_context = client_context(settings.backend_tls)
-        self.backend = HttpBackendClient(self._backend_context)
+        self.backend_client = HttpBackendClient(self._backend_context)
         self.configuration = EntryConfiguration(
             settings.services, policy_factory, random.Random()
         )
@@ -96,7 +96,7 @@
             caller_address,
             lambda: seeds,
             ConfigurationSink(
-                self.configuration.current,
+                self.configuration.current_revision,
                 self.configuration.apply,
                 self.configuration.routed_services,
             ),
@@ -109,14 +109,14 @@
         self._router_updater = RouterUpdater(
             self.session,
             lambda: self.configuration.view,
-            self.backend,
+            self.backend_client,
             self.crash_guard,
         )
         self.configuration.on_change = self._router_updater.update_all
         self._crash_verdicts = CrashVerdictExchange(self.session, self.crash_guard)
         self.queries = QueryExecutor(
-            self.backend.send,
-            self.backend.cancel,
+            self.backend_client.send,
+            self.backend_client.cancel,
             self.crash_guard,
             metrics,
             self.background_tasks,
@@ -126,13 +126,13 @@
             LedgerClient(
                 traced_submit(leader_client.submit), settings.host, incarnation, wall_ms
             ),
-            self.backend.send,
+            self.backend_client.send,
             self.crash_guard,
             metrics,
             self.background_tasks,
             zone,
             ClaimHolderTracker(self.session, self.background_tasks).has_ended,
-            self.backend.is_reachable,
+            self.backend_client.is_reachable,
         )
         self._background_task: asyncio.Task[None] | None = None
 
@@ -150,7 +150,7 @@
         if self._background_task is not None:
             self._background_task.cancel()
             await asyncio.gather(self._background_task, return_exceptions=True)
-        await self.backend.close()
+        await self.backend_client.close()
 
     async def abort(self) -> None:
         """Stop without waiting for attempts in flight, as a crash does."""
@@ -158,7 +158,7 @@
             self._background_task.cancel()
             await asyncio.gather(self._background_task, return_exceptions=True)
         await self.background_tasks.drain(0)
-        await self.backend.close()
+        await self.backend_client.close()
 
     async def _run_exchanges(self) -> None:
         async with asyncio.TaskGroup() as tasks:
--- a/packages/daemon/src/kingcuplug_daemon/_host.py
+++ b/packages/daemon/src/kingcuplug_daemon/_host.py
@@ -8,9 +8,9 @@
     HostSettings,
     Metrics,
     SettingsInvalid,
+    log_state_change,
     log_to_file,
-    state_change,
-    tracer,
+    open_tracer,
     wall_ms,
 )
 from kingcuplug_log import LogSettings
@@ -23,7 +23,7 @@
 from kingcuplug_daemon._caller_app import CallerApp
 from kingcuplug_daemon._control_node import ControlNode
 from kingcuplug_daemon._entry_configuration import RoutingPolicyFactory
-from kingcuplug_daemon._entry_node import EntryNode, policy_of
+from kingcuplug_daemon._entry_node import EntryNode, routing_policy_for
 from kingcuplug_daemon._http import json_response
 from kingcuplug_daemon._leader_client import LeaderClient
 from kingcuplug_daemon._lifecycle import Lifecycle
@@ -62,7 +62,7 @@
     def __init__(
         self,
         settings: HostSettings,
-        policy_factory: RoutingPolicyFactory = policy_of,
+        policy_factory: RoutingPolicyFactory = routing_policy_for,
         log_settings: LogSettings | None = None,
         membership_settings: MembershipSettings | None = None,
     ) -> None:
@@ -110,7 +110,7 @@
         if settings.log_file is not None:
             log_to_file(settings.log_file)
         spans = self._resources.enter_context(
-            tracer(settings.trace_file, settings.trace_share)
+            open_tracer(settings.trace_file, settings.trace_share)
         )
         seeds = settings.control_seeds or (self.peer_address,)
         leader_client = LeaderClient(self._peers, lambda: seeds)
@@ -169,9 +169,9 @@
             await self.entry.start()
         self._key_task = asyncio.create_task(self.receipt_keys.start())
         await self._caller_listener.start()
-        state_change("host", "started", host=settings.host)
+        log_state_change("host", "started", host=settings.host)
 
-    async def drained(self) -> None:
+    async def wait_drain_requested(self) -> None:
         """Wait until an operator asks for a graceful shutdown."""
         await self._drain_requested.wait()
 
@@ -198,7 +198,7 @@
         await self._peer_listener.stop()
         await self._peers.close()
         self._resources.close()
-        state_change("host", "stopped", host=self.settings.host)
+        log_state_change("host", "stopped", host=self.settings.host)
 
     async def kill(self) -> None:
         """Stop without a drain, as a crash does; for tests."""
@@ -231,7 +231,7 @@
                 reload()
             except SettingsInvalid as error:
                 self.metrics.count("reload.failed")
-                state_change("host", "reload failed", why=str(error))
+                log_state_change("host", "reload failed", why=str(error))
 
     async def _handle_caller_request(
         self, scope: Scope, receive: Receive, send: Send
--- a/packages/daemon/src/kingcuplug_daemon/_http.py
+++ b/packages/daemon/src/kingcuplug_daemon/_http.py
@@ -8,7 +8,7 @@
     KingcuplugError,
     Refusal,
     RefusalReason,
-    not_run,
+    not_run_refusal,
 )
 from pydantic import BaseModel, ValidationError
 from starlette.requests import Request
@@ -20,7 +20,7 @@
     "read_json",
     "read_model",
     "refusal_fields",
-    "status_of",
+    "status_code",
 ]
 
 _NON_REPEATABLE_HEADERS = (
@@ -56,7 +56,7 @@
     return Response(orjson.dumps(value), status, media_type="application/json")
 
 
-def status_of(refusal: Refusal) -> int:
+def status_code(refusal: Refusal) -> int:
     """Return the HTTP status of a refusal."""
     return _STATUS_OF_REASON.get(refusal.reason, _UNAVAILABLE)
 
@@ -93,7 +93,7 @@
     async for chunk in request.stream():
         body += chunk
         if len(body) > limit_bytes:
-            raise not_run(
+            raise not_run_refusal(
                 RefusalReason.BODY_TOO_LARGE,
                 f"the body has more than {limit_bytes} bytes",
                 "send a smaller request or raise body_limit_bytes in the settings",
@@ -101,7 +101,7 @@
     try:
         return orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise not_run(
+        raise not_run_refusal(
             RefusalReason.INVALID_REQUEST,
             f"the body is not JSON: {error}",
             "send one JSON object encoded in UTF-8",
@@ -118,7 +118,7 @@
             f"{'.'.join(str(part) for part in fault['loc']) or 'body'}: {fault['msg']}"
             for fault in error.errors(include_url=False)
         )
-        raise not_run(
+        raise not_run_refusal(
             RefusalReason.INVALID_REQUEST,
             f"the request has {error.error_count()} faults: {faults}",
             "correct the named fields; see docs/interfaces.md",
@@ -129,7 +129,7 @@
     names: set[bytes] = set()
     for name, _ in request.headers.raw:
         if name in _NON_REPEATABLE_HEADERS and name in names:
-            raise not_run(
+            raise not_run_refusal(
                 RefusalReason.INVALID_REQUEST,
                 f"the header {name.decode()!r} is given twice",
                 "send it once",
--- a/packages/daemon/src/kingcuplug_daemon/_lifecycle.py
+++ b/packages/daemon/src/kingcuplug_daemon/_lifecycle.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from kingcuplug_common import state_change
+from kingcuplug_common import log_state_change
 
 __all__ = ["Lifecycle"]
 
@@ -51,8 +51,8 @@
         Returns once no request is in flight.
         """
         self.draining = True
-        state_change("host", "draining", in_flight=self._in_flight)
+        log_state_change("host", "draining", in_flight=self._in_flight)
         await asyncio.sleep(grace_s)
         self.closed = True
-        state_change("host", "closed", in_flight=self._in_flight)
+        log_state_change("host", "closed", in_flight=self._in_flight)
         await self._idle.wait()
--- a/packages/daemon/src/kingcuplug_daemon/_main.py
+++ b/packages/daemon/src/kingcuplug_daemon/_main.py
@@ -59,7 +59,7 @@
     await host.start()
     stop_waiters = [
         asyncio.create_task(stop_requested.wait()),
-        asyncio.create_task(host.drained()),
+        asyncio.create_task(host.wait_drain_requested()),
     ]
     await asyncio.wait(stop_waiters, return_when=asyncio.FIRST_COMPLETED)
     for waiter in stop_waiters:
--- a/packages/daemon/src/kingcuplug_daemon/_operator_app.py
+++ b/packages/daemon/src/kingcuplug_daemon/_operator_app.py
@@ -9,7 +9,7 @@
     Metrics,
     Refusal,
     RefusalReason,
-    not_run,
+    not_run_refusal,
 )
 from starlette.requests import Request
 from starlette.responses import Response
@@ -21,7 +21,7 @@
     error_fields,
     json_response,
     read_json,
-    status_of,
+    status_code,
 )
 from kingcuplug_daemon._leader_client import LeaderClient
 from kingcuplug_daemon._lifecycle import Lifecycle
@@ -126,14 +126,14 @@
             self._operator_tokens.authorize(request)
             fields = await read_json(request, self._settings.body_limit_bytes)
             if not isinstance(fields, dict):
-                raise not_run(
+                raise not_run_refusal(
                     RefusalReason.INVALID_REQUEST,
                     f"the body is {type(fields).__name__}, not an object",
                     "send one JSON object",
                 )
             return json_response(await handler(fields))
         except Refusal as refusal:
-            return json_response(error_fields(refusal), status_of(refusal))
+            return json_response(error_fields(refusal), status_code(refusal))
         except PeerError as error:
             return json_response(dict(error.fields), _CONFLICT)
         except KingcuplugError as error:
@@ -209,7 +209,7 @@
         }
         if self._entry is not None:
             session = self._entry.session
-            status["revision"] = self._entry.configuration.current()
+            status["revision"] = self._entry.configuration.current_revision()
             status["confirmed"] = session.is_confirmed()
             status["live_entry_hosts"] = session.live_entry_hosts
             status["condemned"] = len(self._entry.crash_guard.quarantined())
@@ -246,7 +246,7 @@
 def _text_field(fields: dict[str, Any], name: str) -> str:
     value = fields.get(name)
     if not isinstance(value, str) or not value:
-        raise not_run(
+        raise not_run_refusal(
             RefusalReason.INVALID_REQUEST,
             f"the field {name!r} is {value!r}, not a text",
             f"send {name!r}",
@@ -257,7 +257,7 @@
 def _number_field(fields: dict[str, Any], name: str, default: int | None = None) -> int:
     value = fields.get(name, default)
     if type(value) is not int or value < 0:
-        raise not_run(
+        raise not_run_refusal(
             RefusalReason.INVALID_REQUEST,
             f"the field {name!r} is {value!r}, not a number from 0",
             f"send {name!r}",
--- a/packages/daemon/src/kingcuplug_daemon/_receipt_keys.py
+++ b/packages/daemon/src/kingcuplug_daemon/_receipt_keys.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from kingcuplug_common import KingcuplugError, Receipt, Signer, state_change
+from kingcuplug_common import KingcuplugError, Receipt, Signer, log_state_change
 
 from kingcuplug_daemon._key_registry import PublishKey
 
@@ -78,7 +78,7 @@
         async with self._lock:
             signer = self._generate_key()
             await self._publish_key(signer)
-            state_change("receipt-key", "rotated", key_id=signer.key_id)
+            log_state_change("receipt-key", "rotated", key_id=signer.key_id)
             return signer.key_id
 
     def sign(self, receipt: Receipt) -> dict[str, Any] | None:
--- a/packages/daemon/src/kingcuplug_daemon/_tokens.py
+++ b/packages/daemon/src/kingcuplug_daemon/_tokens.py
@@ -3,7 +3,7 @@
 import hmac
 from pathlib import Path
 
-from kingcuplug_common import RefusalReason, SettingsInvalid, not_run
+from kingcuplug_common import RefusalReason, SettingsInvalid, not_run_refusal
 from starlette.requests import Request
 
 __all__ = ["BearerTokens"]
@@ -50,7 +50,7 @@
             for token in self._accepted_tokens
         ]
         if not any(matches):
-            raise not_run(
+            raise not_run_refusal(
                 RefusalReason.UNAUTHENTICATED,
                 "the Authorization header carries no valid bearer token",
                 "pass a token of the host's token file",
--- a/packages/fleet/src/kingcuplug_fleet/_control_replica.py
+++ b/packages/fleet/src/kingcuplug_fleet/_control_replica.py
@@ -13,7 +13,7 @@
     KingcuplugError,
     Metrics,
     boot_time,
-    identifier,
+    random_identifier,
 )
 from kingcuplug_log import (
     ChangeRefused,
@@ -275,13 +275,13 @@
         )
         is_founder = settings.first_start and settings.seeds[:1] == (settings.address,)
         if is_founder and self._disk_was_empty:
-            await replica.bootstrap(identifier())
+            await replica.bootstrap(random_identifier())
         self._replica = replica
         await replica.start()
         self._log.write(
             "replica_started",
             {"member": member.id, "fresh": self._disk_was_empty, "founder": is_founder},
-            always=True,
+            bypass_rate_limit=True,
         )
         try:
             await self._maintain_membership(replica, member)
@@ -362,7 +362,7 @@
         self._log.write(
             "members_changed",
             {"added": added.id if added else None, "removed": removed},
-            always=True,
+            bypass_rate_limit=True,
         )
 
     def _update_replacements(
--- a/packages/fleet/src/kingcuplug_fleet/_directory_file.py
+++ b/packages/fleet/src/kingcuplug_fleet/_directory_file.py
@@ -46,13 +46,15 @@
             return
         self._view.merge_servers(records)
         self._view.assume_host_count(hosts)
-        self._log.write("directory_loaded", {"servers": len(records)}, always=True)
+        self._log.write(
+            "directory_loaded", {"servers": len(records)}, bypass_rate_limit=True
+        )
 
     async def run(self) -> None:
         """Write the directory whenever it has changed."""
         directory, written_version = self._view.directory, 0
         while True:
-            await self._view.changed.until(
+            await self._view.changed.wait_for(
                 lambda old=written_version: directory.version != old  # type: ignore[misc]
             )
             version = directory.version
--- a/packages/fleet/src/kingcuplug_fleet/_fleet_view.py
+++ b/packages/fleet/src/kingcuplug_fleet/_fleet_view.py
@@ -6,7 +6,7 @@
 from zlib import crc32
 
 import orjson
-from kingcuplug_common import Signal, identifier
+from kingcuplug_common import Condition, random_identifier
 from kingcuplug_routing import SlidingWindowCounter, SlowServerDetector
 
 from kingcuplug_fleet._directory import Directory
@@ -37,7 +37,7 @@
     epoch : str
         Identifies this run of the process; versions of the directory are comparable
         only within it.
-    changed : Signal
+    changed : Condition
         Notified on each change that is propagated to other hosts.
     routes_version : int
         Version of the newest route document.
@@ -67,8 +67,8 @@
         self._assumed_host_count = 0
         self._local_polls: dict[str, float] = {}
         self._remote_polls: dict[str, float] = {}
-        self.epoch = identifier()
-        self.changed = Signal()
+        self.epoch = random_identifier()
+        self.changed = Condition()
         self.directory = Directory(silent_after_s)
         self.routes_version = 0
         self.routes_document = ""
--- a/packages/fleet/src/kingcuplug_fleet/_mesh.py
+++ b/packages/fleet/src/kingcuplug_fleet/_mesh.py
@@ -306,7 +306,7 @@
                 await asyncio.sleep(_RETRY_DELAY_S)
                 continue
             await asyncio.sleep(_BATCH_DELAY_S)
-            await self._view.changed.until(
+            await self._view.changed.wait_for(
                 lambda peer=peer: self._push_is_due(peer),  # type: ignore[misc]
                 self._push_interval_s(address) - _BATCH_DELAY_S,
             )
--- a/packages/fleet/src/kingcuplug_fleet/_polling.py
+++ b/packages/fleet/src/kingcuplug_fleet/_polling.py
@@ -82,7 +82,7 @@
         )
 
     if connected() and value["wait"]:
-        await view.changed.until(has_changes, _MAX_WAIT_S)
+        await view.changed.wait_for(has_changes, _MAX_WAIT_S)
         await asyncio.sleep(_BATCH_DELAY_S)
     reply: dict[str, Any] = {
         "epoch": view.epoch,
@@ -227,7 +227,9 @@
         if address is not None:
             self._avoided_since[address] = asyncio.get_running_loop().time()
         if self.control_host is not None:
-            self._log.write("control_host_lost", {"address": address}, always=True)
+            self._log.write(
+                "control_host_lost", {"address": address}, bypass_rate_limit=True
+            )
             # Without reports the number of requests is out of date.
             self._view.set_request_count(0)
             self._state_digest = ""
@@ -292,7 +294,9 @@
             return True
         if self.control_host != address:
             self.control_host = address
-            self._log.write("control_host_found", {"address": address}, always=True)
+            self._log.write(
+                "control_host_found", {"address": address}, bypass_rate_limit=True
+            )
         return True
 
     def _apply_reply(self, reply: Any) -> None:
--- a/packages/gateway/src/kingcuplug_gateway/_gateway.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gateway.py
@@ -7,7 +7,7 @@
 from types import MappingProxyType
 from typing import Any
 
-from kingcuplug_common import EventLog, Metrics, Signal
+from kingcuplug_common import Condition, EventLog, Metrics
 from kingcuplug_http import (
     Headers,
     Limits,
@@ -101,7 +101,7 @@
         )
         self._host_count = 0
         self._started_at = asyncio.get_running_loop().time()
-        self._state_changed = Signal()
+        self._state_changed = Condition()
         self.table: RouteTable | None = None
         self.servers = ServerTable(
             settings.availability_zone,
@@ -392,7 +392,7 @@
         deadline_at = self._deadline_at(request, wait_ms)
         until = startup_wait_until(request.received_at, deadline_at, self._started_at)
         if now < until:
-            await self._state_changed.until(is_ready, until - now)
+            await self._state_changed.wait_for(is_ready, until - now)
 
     async def _wait_for_admission(
         self, pool: ServicePool, route: Route, outbound: OutboundRequest
--- a/packages/gateway/src/kingcuplug_gateway/_gatherer.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gatherer.py
@@ -136,7 +136,7 @@
     def _finish(self, operation: "_GatherOperation", reason: str) -> None:
         self._operations.pop(operation.request.gather_id, None)
         operation.cancel(linger=reason != "caller_left")
-        if not self._log.admits("gathered"):
+        if not self._log.try_acquire("gathered"):
             return
         request, calls = operation.request, operation.calls
         self._log.write(
@@ -154,7 +154,7 @@
                     for entry in call.log_entries(operation.started_at)
                 ],
             },
-            always=True,
+            bypass_rate_limit=True,
         )
 
 
--- a/packages/gateway/src/kingcuplug_gateway/_gathering.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gathering.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from kingcuplug_common import EventLog, KingcuplugError, identifier
+from kingcuplug_common import EventLog, KingcuplugError, random_identifier
 from kingcuplug_routing import Delegation, LatencyEstimator, PartialAnswerPolicy
 
 from kingcuplug_gateway._call import OutboundRequest
@@ -147,7 +147,7 @@
         the gatherer may have sent first attempts.
     """
     loop = asyncio.get_running_loop()
-    address, gather_id = delegation.gatherer, identifier()
+    address, gather_id = delegation.gatherer, random_identifier()
     request = GatherRequest(
         gather_id,
         route.name,
--- a/packages/gateway/src/kingcuplug_gateway/_request_log.py
+++ b/packages/gateway/src/kingcuplug_gateway/_request_log.py
@@ -67,7 +67,7 @@
         self._metrics.observe("request", (str(priority), result.outcome), elapsed_s)
         failed = not result.outcome.startswith("2")
         kind = "request_failed" if failed else "request"
-        if not self._log.admits(kind):
+        if not self._log.try_acquire(kind):
             return
         attempt_id = request.header(self._attempt_id_header) or b""
         last = max(result.calls, key=_ended_at, default=None)
@@ -93,7 +93,7 @@
                     for record in result.gather_records
                 ],
             },
-            always=True,
+            bypass_rate_limit=True,
         )
 
 
--- a/packages/ledger/src/kingcuplug_ledger/_client.py
+++ b/packages/ledger/src/kingcuplug_ledger/_client.py
@@ -9,7 +9,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from kingcuplug_common import KingcuplugError, canonical, digest, identifier
+from kingcuplug_common import KingcuplugError, canonical, digest, random_identifier
 
 from kingcuplug_ledger._commands import (
     Claim,
@@ -145,7 +145,7 @@
             service,
             self._host,
             self._host_incarnation,
-            token or identifier(),
+            token or random_identifier(),
             self._wall_ms(),
             revision,
             retention_ms,
--- a/packages/log/src/kingcuplug_log/_applier.py
+++ b/packages/log/src/kingcuplug_log/_applier.py
@@ -28,7 +28,7 @@
         """Apply entries as they are committed, until cancelled."""
         try:
             while True:
-                await self._state.changed.until(self._has_entries_to_apply)
+                await self._state.changed.wait_for(self._has_entries_to_apply)
                 self._apply_batch()
                 self._start_snapshot_if_due()
                 await asyncio.sleep(0)
--- a/packages/log/src/kingcuplug_log/_leadership.py
+++ b/packages/log/src/kingcuplug_log/_leadership.py
@@ -74,7 +74,7 @@
             writer = tasks.create_task(self._run_log_writer())
             while self.active:
                 self._update_replication_tasks(tasks)
-                await self._state.changed.until(
+                await self._state.changed.wait_for(
                     self._has_pending_action, self._settings.heartbeat_interval
                 )
                 self._check_leadership()
@@ -150,7 +150,7 @@
 
     async def _wait_until(self, condition: Callable[[], bool], timeout: float) -> None:
         changed = self._state.changed
-        await changed.until(lambda: not self.active or condition(), timeout)
+        await changed.wait_for(lambda: not self.active or condition(), timeout)
         if not self.active or not condition():
             raise NotLeader(None)
 
@@ -158,7 +158,7 @@
         while True:
             await self._storage.flush()
             self._advance_commit_index()
-            await self._state.log_appended.until(
+            await self._state.log_appended.wait_for(
                 lambda: self._storage.durable_index < self._storage.last_index
             )
 
@@ -185,10 +185,10 @@
             needs_confirmation = progress.last_contact_at < self._confirm_requested_at
             return has_entries or needs_confirmation or not self.active
 
-        if not await log_appended.until(has_work, _COMMIT_NOTICE_DELAY_S):
+        if not await log_appended.wait_for(has_work, _COMMIT_NOTICE_DELAY_S):
             if self._state.commit_index != last_commit_index:
                 return
-            await log_appended.until(has_work, self._settings.heartbeat_interval)
+            await log_appended.wait_for(has_work, self._settings.heartbeat_interval)
 
     def _update_replication_tasks(self, tasks: asyncio.TaskGroup) -> None:
         peers = {m.id: m for m in self._state.group.members}
--- a/packages/log/src/kingcuplug_log/_replica.py
+++ b/packages/log/src/kingcuplug_log/_replica.py
@@ -213,7 +213,7 @@
     async def wait_applied(self, index: int) -> None:
         """Wait until entry `index` is applied here, without a timeout."""
         state = self._state
-        await state.changed.until(lambda: state.applied_index >= index)
+        await state.changed.wait_for(lambda: state.applied_index >= index)
 
     async def change_members(
         self, add: Member | None = None, remove: str | None = None
--- a/packages/log/src/kingcuplug_log/_replica_state.py
+++ b/packages/log/src/kingcuplug_log/_replica_state.py
@@ -5,7 +5,7 @@
 from collections.abc import Coroutine
 from typing import TYPE_CHECKING, Any
 
-from kingcuplug_common import Metrics, Signal, state_change
+from kingcuplug_common import Condition, Metrics, log_state_change
 
 from kingcuplug_log._group_membership import GroupMembership
 from kingcuplug_log._messages import (
@@ -35,7 +35,7 @@
         Time on the replica's clock until which it grants no vote.
     election_due_at : float
         Time on the replica's clock at which the election timer expires.
-    log_appended, changed : Signal
+    log_appended, changed : Condition
         Notified when there may be something to replicate, and when any other state
         changes.
     """
@@ -63,8 +63,8 @@
         self.applied_index = 0
         self.votes_refused_until = 0.0
         self.election_due_at = 0.0
-        self.log_appended = Signal()
-        self.changed = Signal()
+        self.log_appended = Condition()
+        self.changed = Condition()
         self._transport = transport
         self._random = random
 
@@ -120,7 +120,7 @@
         """Step down and report the failure of the storage."""
         self.step_down(None)
         self.metrics.count("log.storage_failed")
-        state_change("storage", "failed", error=str(self.storage.failure))
+        log_state_change("storage", "failed", error=str(self.storage.failure))
 
     async def supervise(self, work: Coroutine[Any, Any, None]) -> None:
         """Run one of the replica's tasks; an unexpected error halts the replica.
@@ -168,4 +168,6 @@
         if role_changed:
             self.metrics.count(f"log.became.{role}")
             term = self.storage.term
-            state_change("replica", role, id=self.member.id, term=term, leader=leader)
+            log_state_change(
+                "replica", role, id=self.member.id, term=term, leader=leader
+            )
--- a/packages/log/src/kingcuplug_log/_storage.py
+++ b/packages/log/src/kingcuplug_log/_storage.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from kingcuplug_common import identifier
+from kingcuplug_common import random_identifier
 
 from kingcuplug_log._entry_list import EntryList
 from kingcuplug_log._errors import CorruptLog
@@ -288,7 +288,7 @@
             raise CorruptLog(
                 _STATE_FILE, 0, "the file is missing, but others hold data"
             )
-        self.disk_id = identifier()
+        self.disk_id = random_identifier()
         await self._rewrite_log()
         await self._write_hard_state()
 
--- a/packages/membership/src/kingcuplug_membership/_directory.py
+++ b/packages/membership/src/kingcuplug_membership/_directory.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from kingcuplug_common import identifier
+from kingcuplug_common import random_identifier
 
 from kingcuplug_membership._change_log import ChangeLog
 from kingcuplug_membership._entry import Key, ServerEntry, join_entries
@@ -45,7 +45,7 @@
     """
 
     def __init__(self, clock: Callable[[], float], tombstone_ms: int = 60_000) -> None:
-        self.epoch = identifier()
+        self.epoch = random_identifier()
         self._clock = clock
         self._tombstone_s = tombstone_ms / 1_000
         self._subscribers: list[Callable[[ServerEntry], None]] = []
@@ -238,5 +238,5 @@
 
     def reset(self) -> None:
         """Remove all entries and start a new epoch, as after a restart."""
-        self.epoch = identifier()
+        self.epoch = random_identifier()
         self._clear()
--- a/packages/membership/src/kingcuplug_membership/_hosts.py
+++ b/packages/membership/src/kingcuplug_membership/_hosts.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from kingcuplug_common import identifier
+from kingcuplug_common import random_identifier
 
 from kingcuplug_membership._change_log import ChangeLog
 from kingcuplug_membership._messages import BarrierRequest, HostRow
@@ -68,7 +68,7 @@
     def __init__(
         self, clock: Callable[[], float], settings: MembershipSettings | None = None
     ) -> None:
-        self.epoch = identifier()
+        self.epoch = random_identifier()
         self._clock = clock
         self._settings = settings or MembershipSettings()
         self._started_at = clock()
--- a/packages/membership/src/kingcuplug_membership/_leader_exchange.py
+++ b/packages/membership/src/kingcuplug_membership/_leader_exchange.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from kingcuplug_common import KingcuplugError, state_change
+from kingcuplug_common import KingcuplugError, log_state_change
 
 from kingcuplug_membership._completeness import CompletenessTracker
 from kingcuplug_membership._directory import Directory, DirectoryChanges
@@ -224,7 +224,7 @@
         failing = self.is_failing()
         if failing != self._was_failing:
             state = "unconfirmed" if failing else "confirmed by the leader"
-            state_change("control host", state, name=self._name)
+            log_state_change("control host", state, name=self._name)
             self._sessions.wake_polls()
         self._was_failing = failing
 
@@ -341,7 +341,9 @@
 
     def _restart_collection(self) -> None:
         """Discard the directory as after a restart, since tombstones may be missing."""
-        state_change("control host", "collects the directory again", name=self._name)
+        log_state_change(
+            "control host", "collects the directory again", name=self._name
+        )
         self._completeness.restart()
         self._directory.reset()
         self._sessions.wake_polls()
--- a/packages/membership/src/kingcuplug_membership/_session_client.py
+++ b/packages/membership/src/kingcuplug_membership/_session_client.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from kingcuplug_common import KingcuplugError, state_change
+from kingcuplug_common import KingcuplugError, log_state_change
 
 from kingcuplug_membership._directory import Directory
 from kingcuplug_membership._directory_sync import DirectorySync
@@ -315,7 +315,7 @@
     def _set_diverged(self, diverged: bool, reason: str = "") -> None:
         if diverged != self._text_diverged:
             state = "configuration differs" if diverged else "configuration accepted"
-            state_change("session", state, host=self._host, why=reason)
+            log_state_change("session", state, host=self._host, why=reason)
         self._text_diverged = diverged
 
     def _extend_lease(self, sent: _SentRequest, reply: SessionReply) -> bool:
--- a/packages/node/src/kingcuplug_node/_host.py
+++ b/packages/node/src/kingcuplug_node/_host.py
@@ -11,8 +11,8 @@
     EventLog,
     KingcuplugError,
     Metrics,
-    exposition,
-    send_state_changes_to,
+    render_metrics,
+    set_state_change_sink,
 )
 from kingcuplug_fleet import (
     POLL_PATH,
@@ -239,7 +239,7 @@
         self._log.write(
             "routes_accepted",
             {"version": version, "held": committed_version},
-            always=True,
+            bypass_rate_limit=True,
         )
 
     async def read_routes(self) -> str:
@@ -300,7 +300,7 @@
             await listener.stop()
         self._gateway.servers.close()
         self._peer_client.close()
-        self._log.write("stopped", {}, always=True)
+        self._log.write("stopped", {}, bypass_rate_limit=True)
         self._log.flush()
 
     def _make_replica(self) -> ControlReplica | None:
@@ -346,7 +346,9 @@
         try:
             await task
         except Exception as error:
-            self._log.write("task_failed", {"error": repr(error)}, always=True)
+            self._log.write(
+                "task_failed", {"error": repr(error)}, bypass_rate_limit=True
+            )
             self._stop_requested.set()
             raise
 
@@ -356,7 +358,7 @@
         loop.add_signal_handler(signal.SIGINT, self._stop_requested.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload_settings)
         loop.set_exception_handler(self._on_exception)
-        send_state_changes_to(
+        set_state_change_sink(
             lambda subject, state, fields: self._log.write(
                 f"{subject}_changed", {"state": state, **fields}
             )
@@ -479,7 +481,7 @@
             "log_lines_dropped": self._log.dropped,
         }
         headers = [(b"Content-Type", b"text/plain; version=0.0.4")]
-        return Response(200, headers, exposition(self._metrics, gauges))
+        return Response(200, headers, render_metrics(self._metrics, gauges))
 
     async def _apply_changes(self) -> None:
         """Apply changes of routes, servers and hosts to the gateway."""
@@ -501,7 +503,7 @@
             )
 
         while True:
-            await fleet_view.changed.until(has_changed)
+            await fleet_view.changed.wait_for(has_changed)
             applied_state = current_state()
             self._apply_routes()
             self._apply_servers()
@@ -517,7 +519,7 @@
         self._log.write(
             "routes_in_force",
             {"version": fleet_view.routes_version, "first": is_first},
-            always=True,
+            bypass_rate_limit=True,
         )
 
     def _apply_servers(self) -> None:
@@ -578,7 +580,9 @@
         if settings is None or settings.seeds == self._settings.seeds:
             return
         self._settings = settings
-        self._log.write("settings_reloaded", {"seeds": settings.seeds}, always=True)
+        self._log.write(
+            "settings_reloaded", {"seeds": settings.seeds}, bypass_rate_limit=True
+        )
 
     async def _drain(self) -> None:
         """Finish requests in progress while the load balancer redirects callers."""
@@ -588,7 +592,9 @@
         self._stopping = True
         self._caller_listener.closing = True
         self._log.write(
-            "stopping", {"busy": self._caller_listener.busy_connections}, always=True
+            "stopping",
+            {"busy": self._caller_listener.busy_connections},
+            bypass_rate_limit=True,
         )
         grace_s = settings.termination_grace_ms / _MS_PER_S
         await asyncio.sleep(min(_MAX_DRAIN_S, grace_s * _DRAIN_GRACE_RATIO))
@@ -600,7 +606,9 @@
                 break
             await asyncio.sleep(_DRAIN_POLL_INTERVAL_S)
         self._log.write(
-            "drained", {"busy": self._caller_listener.busy_connections}, always=True
+            "drained",
+            {"busy": self._caller_listener.busy_connections},
+            bypass_rate_limit=True,
         )
         with contextlib.suppress(OSError):
             self._log.flush()
--- a/packages/query/src/kingcuplug_query/_attempt_results.py
+++ b/packages/query/src/kingcuplug_query/_attempt_results.py
@@ -3,7 +3,7 @@
 import dataclasses
 from typing import Any
 
-from kingcuplug_common import RefusalReason, not_run
+from kingcuplug_common import RefusalReason, not_run_refusal
 from kingcuplug_ledger import OrderRecord, OutcomeKind, StoredOutcome
 
 from kingcuplug_query._messages import (
@@ -79,7 +79,7 @@
     if result.kind == "unknown":
         raise outcome_unknown_refusal(f"the attempt ended with {result.status}")
     if result.kind == "not_run":
-        raise not_run(
+        raise not_run_refusal(
             RefusalReason.ORDER_NOT_RUN,
             f"order {request.key} ended without a run: {result.status}",
             _NEW_KEY_REMEDY,
--- a/packages/query/src/kingcuplug_query/_gather.py
+++ b/packages/query/src/kingcuplug_query/_gather.py
@@ -11,7 +11,13 @@
 from enum import Enum, auto
 from typing import Any
 
-from kingcuplug_common import Metrics, Refusal, RefusalReason, identifier, start_hop
+from kingcuplug_common import (
+    Metrics,
+    Refusal,
+    RefusalReason,
+    random_identifier,
+    start_hop,
+)
 from kingcuplug_routing import (
     Attempt,
     AttemptOutcome,
@@ -174,7 +180,7 @@
         self._stopped_by_lost_snapshot = False
         self._state_changed = asyncio.Event()
         self._attempt_numbers = itertools.count()
-        self._attempt_prefix = identifier()
+        self._attempt_prefix = random_identifier()
         self._loop = asyncio.get_running_loop()
 
     async def fetch(
--- a/packages/query/src/kingcuplug_query/_order_refusals.py
+++ b/packages/query/src/kingcuplug_query/_order_refusals.py
@@ -11,7 +11,7 @@
     Refusal,
     RefusalKind,
     RefusalReason,
-    not_run,
+    not_run_refusal,
 )
 from kingcuplug_ledger import KeyExpired, KeyFromFuture, OrderRecord
 
@@ -73,7 +73,7 @@
 
 
 def no_quorum_refusal(error: KingcuplugError) -> Refusal:
-    return not_run(
+    return not_run_refusal(
         RefusalReason.NO_QUORUM,
         f"the order ledger cannot be written: {error.message}",
         SAME_KEY_REMEDY,
@@ -95,12 +95,12 @@
             "check whether the order was run before; else use a new key",
         )
     if isinstance(claim_result, KeyFromFuture):
-        return not_run(
+        return not_run_refusal(
             RefusalReason.KEY_FROM_FUTURE,
             f"the issue time of key {key} is {claim_result.ahead_ms} ms ahead",
             "correct the caller's clock and use a new key",
         )
-    return not_run(
+    return not_run_refusal(
         RefusalReason.KEY_REUSED,
         f"key {key} belongs to an order with another body or service",
         _NEW_KEY_REMEDY,
--- a/packages/query/src/kingcuplug_query/_orders.py
+++ b/packages/query/src/kingcuplug_query/_orders.py
@@ -14,10 +14,10 @@
     Refusal,
     RefusalReason,
     digest,
-    entering,
-    identifier,
-    not_run,
+    not_run_refusal,
+    random_identifier,
     start_hop,
+    traced_entry,
 )
 from kingcuplug_ledger import (
     Attached,
@@ -166,7 +166,7 @@
                     takeover=takeover,
                 )
             except KeyInvalid as error:
-                raise not_run(
+                raise not_run_refusal(
                     RefusalReason.INVALID_REQUEST, error.message, error.remedy
                 ) from error
             except KingcuplugError as error:
@@ -206,7 +206,7 @@
         dispatched = False
         try:
             admission = runtime.admission.admit(request.priority, request.deadline)
-            async with entering("admission", admission):
+            async with traced_entry("admission", admission):
                 ticket, sub_request = await self._acquire_capacity(request, runtime)
                 try:
                     await self._record_dispatch(
@@ -231,7 +231,7 @@
     ) -> tuple[Ticket, SubRequest]:
         view = choose_snapshot(runtime.router.snapshots(), request.partition_key)
         if view is None:
-            raise not_run(
+            raise not_run_refusal(
                 RefusalReason.SNAPSHOT_UNKNOWN,
                 f"no backend server of {request.service!r} has announced a snapshot",
                 SAME_KEY_REMEDY,
@@ -244,7 +244,7 @@
         remaining_s = request.deadline - asyncio.get_running_loop().time()
         return ticket, SubRequest(
             request_id=request.request_id,
-            attempt_id=identifier(),
+            attempt_id=random_identifier(),
             service=request.service,
             kind="order",
             snapshot=view.snapshot,
@@ -296,7 +296,7 @@
             )
         except MustNotSend as error:
             # Only this task may send with this claim token, and it does not.
-            raise not_run(
+            raise not_run_refusal(
                 RefusalReason.NO_QUORUM, error.message, SAME_KEY_REMEDY
             ) from error
         except KingcuplugError as error:
@@ -431,7 +431,7 @@
 
 def _require_time_left(request: OrderRequest) -> None:
     if request.deadline <= asyncio.get_running_loop().time():
-        raise not_run(
+        raise not_run_refusal(
             RefusalReason.DEADLINE_EXCEEDED,
             "the deadline passed before the order was claimed",
             "send the order again with the same key and a longer deadline_ms",
--- a/packages/query/src/kingcuplug_query/_query.py
+++ b/packages/query/src/kingcuplug_query/_query.py
@@ -15,8 +15,8 @@
     RefusalKind,
     RefusalReason,
     digest,
-    entering,
     start_hop,
+    traced_entry,
 )
 from kingcuplug_configuration import Service
 from kingcuplug_routing import Admission, CrashGuard, Router, SnapshotView
@@ -155,7 +155,7 @@
         admission = runtime.admission.admit(
             request.priority, request.deadline, sub_request_count
         )
-        async with entering("admission", admission):
+        async with traced_entry("admission", admission):
             return await self._execute(
                 request,
                 runtime,
--- a/tests/cli/conftest.py
+++ b/tests/cli/conftest.py
@@ -9,7 +9,7 @@
 import pytest
 from kingcuplug_cli import main
 
-from tests.conftest import RunningDeployment, shared
+from tests.conftest import DeploymentThread, shared_deployment
 
 
 @dataclasses.dataclass(frozen=True)
@@ -30,9 +30,9 @@
 
 
 @pytest.fixture(scope="package")
-def deployment(tmp_path_factory: pytest.TempPathFactory) -> Iterator[RunningDeployment]:
+def deployment(tmp_path_factory: pytest.TempPathFactory) -> Iterator[DeploymentThread]:
     """Return the deployment shared by the tests of this folder."""
-    with shared(tmp_path_factory.mktemp("deployment")) as running:
+    with shared_deployment(tmp_path_factory.mktemp("deployment")) as running:
         yield running
 
 
--- a/tests/cli/test_bench_run.py
+++ b/tests/cli/test_bench_run.py
@@ -8,7 +8,7 @@
 from kingcuplug_cli._bench._deployment import BenchDeployment
 from kingcuplug_cli._bench._runner import PolicyResult, ScenarioRunner
 from kingcuplug_cli._bench._scenario import Scenario, load_policy
-from kingcuplug_cli._local import load_sizes
+from kingcuplug_cli._local import load_deployment_spec
 from tqdm import tqdm
 
 EXAMPLE = Path(__file__).parents[2] / "examples" / "agency"
@@ -25,7 +25,9 @@
 
 
 async def run_scenario_once() -> dict[str, PolicyResult]:
-    sizes = load_sizes(EXAMPLE / "servers.json", only=("inspector-01",))
+    sizes = load_deployment_spec(
+        EXAMPLE / "servers.json", only_services=("inspector-01",)
+    )
     configuration = json.loads((EXAMPLE / "configuration.json").read_text())
     policies = [load_policy("configured")]
     runner = ScenarioRunner(
@@ -59,7 +61,9 @@
     """Guards against child processes that keep running after a run."""
 
     async def start_and_stop() -> list[int | None]:
-        sizes = load_sizes(EXAMPLE / "servers.json", only=("inspector-01",))
+        sizes = load_deployment_spec(
+            EXAMPLE / "servers.json", only_services=("inspector-01",)
+        )
         deployment = BenchDeployment(
             sizes, {"services": {}}, load_policy("baseline"), None, 1
         )
--- a/tests/cli/test_config.py
+++ b/tests/cli/test_config.py
@@ -49,7 +49,9 @@
     revision = run_as_operator("config", "show", "--json").fields["number"]
     assert f"accepted as revision {revision}" in run.out
     assert f"revision {revision} is in force everywhere" in run.out
-    assert [host.entry.configuration.current() for host in deployment.local.hosts] == [
+    assert [
+        host.entry.configuration.current_revision() for host in deployment.local.hosts
+    ] == [
         revision,
         revision,
     ]
--- a/tests/cli/test_examples.py
+++ b/tests/cli/test_examples.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 import pytest
-from kingcuplug_cli._local import load_sizes
+from kingcuplug_cli._local import load_deployment_spec
 from kingcuplug_common import load_settings
 from kingcuplug_configuration import parse
 
@@ -32,7 +32,7 @@
     assert len(hosts) == 10
     assert sum("control" in host.roles for host in hosts) == 5
     services = parse((folder / "configuration.json").read_text()).services
-    sizes = load_sizes(folder / "servers.json")
+    sizes = load_deployment_spec(folder / "servers.json")
     services_with_servers = {
         service for group in sizes.groups for service in group.services
     }
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize("name", sorted(_STATED_SIZES))
 def test_example_has_the_stated_sizes(name: str) -> None:
     # Guards against measuring a deployment of other sizes than the users'.
-    sizes = load_sizes(_EXAMPLES / name / "servers.json")
+    sizes = load_deployment_spec(_EXAMPLES / name / "servers.json")
     sizes_found = {
         (
             len(group.services),
--- a/tests/cli/test_operating.py
+++ b/tests/cli/test_operating.py
@@ -247,5 +247,5 @@
     run = run_as_operator("drain", "--host", spare_host.caller_address)
     assert run.exit_code == 0
     assert spare_host.caller_address in run.out
-    deployment.run(spare_host.drained())
+    deployment.run(spare_host.wait_drain_requested())
     assert not deployment.local.hosts[0]._drain_requested.is_set()
--- a/tests/cli/test_pages.py
+++ b/tests/cli/test_pages.py
@@ -11,9 +11,9 @@
 from kingcuplug_cli._results import ExitCode
 from kingcuplug_common import HostSettings, Refusal, RefusalKind, RefusalReason
 from kingcuplug_daemon import Host
-from kingcuplug_daemon._http import status_of
+from kingcuplug_daemon._http import status_code
 
-from tests.conftest import TEXT
+from tests.conftest import CONFIGURATION_TEXT
 
 DOCS = Path(__file__).parents[2] / "docs"
 SECOND_HOST = "127.0.1.2:9080"
@@ -26,7 +26,7 @@
     rows = re.findall(r"^\| `(\w+)` \| (\d{3}) \| (?:`\w+`|both) \|", page, re.M)
     documented = {reason: int(status) for reason, status in rows}
     implemented = {
-        reason.value: status_of(Refusal(RefusalKind.NOT_RUN, reason, "", ""))
+        reason.value: status_code(Refusal(RefusalKind.NOT_RUN, reason, "", ""))
         for reason in RefusalReason
     }
     assert documented == implemented
@@ -85,7 +85,7 @@
     monkeypatch.chdir(tmp_path)
     _, answer = deployment.call("stock", "query", {"body": 1})
     (tmp_path / "answer.json").write_text(json.dumps(answer))
-    (tmp_path / "configuration.json").write_text(TEXT)
+    (tmp_path / "configuration.json").write_text(CONFIGURATION_TEXT)
     span = {"trace": "t", "span": "s", "parent": None, "name": "query", "start_us": 1}
     span |= {"duration_us": 1, "fields": {"request_id": "request-1"}}
     (tmp_path / "trace.jsonl").write_text(json.dumps(span))
--- a/tests/common/test_condition.py
+++ b/tests/common/test_condition.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from kingcuplug_common import Signal
+from kingcuplug_common import Condition
 from kingcuplug_testkit import run_virtual
 
 
@@ -14,14 +14,14 @@
     """
 
     async def run() -> bool:
-        loop, signal = asyncio.get_running_loop(), Signal()
+        loop, signal = asyncio.get_running_loop(), Condition()
         call_at = loop.call_at
 
         def call_early(when, *arguments, **options):
             return call_at(when - 1e-9, *arguments, **options)
 
         loop.call_at = call_early
-        waiting = asyncio.ensure_future(signal.until(lambda: False, 0.9))
+        waiting = asyncio.ensure_future(signal.wait_for(lambda: False, 0.9))
         await asyncio.sleep(5.0)
         assert waiting.done(), "the wait outlasted its time limit"
         return waiting.result()
--- a/tests/common/test_event_log_and_metrics.py
+++ b/tests/common/test_event_log_and_metrics.py
@@ -4,7 +4,7 @@
 
 import orjson
 import pytest
-from kingcuplug_common import EventLog, Metrics, exposition
+from kingcuplug_common import EventLog, Metrics, render_metrics
 from kingcuplug_common._event_log import BUFFER_BYTES, BURST_LINES
 from kingcuplug_common._metrics import Histogram
 
@@ -42,7 +42,7 @@
     reader, writer = pipe
     log = EventLog(writer, "host")
     for _ in range(2_000):
-        log.write("line", {"text": "x" * 1_000}, always=True)
+        log.write("line", {"text": "x" * 1_000}, bypass_rate_limit=True)
         log.flush()
     assert log.dropped > 0
     assert log._buffered_bytes <= BUFFER_BYTES
@@ -71,7 +71,7 @@
     metrics.count("requests.503", 2)
     metrics.observe("request", ("0", "200"), 0.03)
     metrics.observe("request", ("0", "200"), 90.0)
-    text = exposition(metrics, {"hosts_live": 3}).decode()
+    text = render_metrics(metrics, {"hosts_live": 3}).decode()
     assert 'kingcuplug_events_total{event="requests.503"} 2.0' in text
     assert "kingcuplug_hosts_live 3.0" in text
     assert 'kingcuplug_request_seconds_count{outcome="200",rank="0"} 2.0' in text
--- a/tests/common/test_spans.py
+++ b/tests/common/test_spans.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 import pytest
-from kingcuplug_common import request_span, start_hop, traceparent, tracer
+from kingcuplug_common import open_tracer, request_span, start_hop, traceparent
 
 TRACE = f"00-{'a' * 32}-{'b' * 16}-0"
 
@@ -12,7 +12,7 @@
 def test_hops_of_an_unsampled_request_make_no_span(tmp_path: Path):
     """Guards against creating spans that are then discarded."""
     with (
-        tracer(tmp_path / "trace", 1.0) as spans,
+        open_tracer(tmp_path / "trace", 1.0) as spans,
         request_span(spans, "query", {"traceparent": f"{TRACE}0"}),
     ):
         before = traceparent()
@@ -26,7 +26,7 @@
 def test_failed_hop_records_the_error_and_restores_its_parent(tmp_path: Path):
     """Guards against later hops that are recorded as children of a failed one."""
     with (
-        tracer(tmp_path / "trace", 0.0) as spans,
+        open_tracer(tmp_path / "trace", 0.0) as spans,
         request_span(spans, "query", {"traceparent": f"{TRACE}1"}),
     ):
         with pytest.raises(TimeoutError), start_hop("first"):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,21 +8,21 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from kingcuplug_cli._local import Group, LocalDeployment, Sizes
+from kingcuplug_cli._local import DeploymentSpec, LocalDeployment, ServiceGroup
 
 _T = TypeVar("_T")
 _CALL_TIMEOUT_S = 60.0
 
-DEPLOYMENT_SIZES = Sizes(
+DEPLOYMENT_SIZES = DeploymentSpec(
     ("zone-1", "zone-2"),
     0.0,
     0.0,
     (
-        Group(("stock", "patterns"), 3, 3, 30, 0.0, 4, 2),
-        Group(("trims",), 2, 3, 30, 0.0, 2, 2),
+        ServiceGroup(("stock", "patterns"), 3, 3, 30, 0.0, 4, 2),
+        ServiceGroup(("trims",), 2, 3, 30, 0.0, 2, 2),
     ),
 )
-TEXT = json.dumps(
+CONFIGURATION_TEXT = json.dumps(
     {
         "services": {
             "stock": {"depends_on": ["trims"]},
@@ -34,7 +34,7 @@
 )
 
 
-class RunningDeployment:
+class DeploymentThread:
     """A deployment whose event loop runs in a separate thread.
 
     The hosts thus keep serving while a test calls the command line synchronously.
@@ -58,7 +58,7 @@
 
         async def start_local() -> None:
             self.local = LocalDeployment(DEPLOYMENT_SIZES, **options)
-            self.revision = await self.local.start(TEXT)
+            self.revision = await self.local.start(CONFIGURATION_TEXT)
 
         self.run(start_local())
 
@@ -79,9 +79,9 @@
 
 
 @contextlib.contextmanager
-def running_deployment(**options: Any) -> Iterator[RunningDeployment]:
+def running_deployment(**options: Any) -> Iterator[DeploymentThread]:
     """Run a deployment for the duration of the context."""
-    deployment = RunningDeployment()
+    deployment = DeploymentThread()
     deployment.start(**options)
     try:
         yield deployment
@@ -90,7 +90,7 @@
 
 
 @contextlib.contextmanager
-def shared(folder: Path) -> Iterator[RunningDeployment]:
+def shared_deployment(folder: Path) -> Iterator[DeploymentThread]:
     """Run the deployment that the tests of one folder share.
 
     Tests must restore whatever they change. The fixture that calls this belongs to the
--- a/tests/daemon/conftest.py
+++ b/tests/daemon/conftest.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.conftest import RunningDeployment, shared
+from tests.conftest import DeploymentThread, shared_deployment
 
 Responder = Callable[[dict[str, Any], dict[str, str]], bytes]
 
@@ -115,9 +115,9 @@
 
 
 @pytest.fixture(scope="package")
-def deployment(tmp_path_factory: pytest.TempPathFactory) -> Iterator[RunningDeployment]:
+def deployment(tmp_path_factory: pytest.TempPathFactory) -> Iterator[DeploymentThread]:
     """Return the deployment that the tests of this folder share."""
-    with shared(tmp_path_factory.mktemp("deployment")) as running:
+    with shared_deployment(tmp_path_factory.mktemp("deployment")) as running:
         yield running
 
 
--- a/tests/daemon/test_shutdown.py
+++ b/tests/daemon/test_shutdown.py
@@ -26,7 +26,7 @@
         asyncio.create_task(local.call("stock", "query", query, base)),
         asyncio.create_task(local.call("stock", "order", order, base)),
     ]
-    while host.lifecycle.in_flight < 2 or not local.journal.orders[key]:  # noqa: ASYNC110
+    while host.lifecycle.in_flight < 2 or not local.execution_counts.orders[key]:  # noqa: ASYNC110
         await asyncio.sleep(0.01)
     stopping = asyncio.create_task(host.stop(grace_ms=150))
     while not host.lifecycle.draining:  # noqa: ASYNC110
@@ -40,7 +40,7 @@
     results["query"], results["order"] = await asyncio.gather(*in_flight)
     results["late"] = await late
     await stopping
-    results["runs"] = local.journal.orders[key]
+    results["runs"] = local.execution_counts.orders[key]
     for server in local.servers:
         server.behaviour.service_time_ms = 2.0
     return results
--- a/tests/daemon/test_tls.py
+++ b/tests/daemon/test_tls.py
@@ -24,7 +24,7 @@
 from kingcuplug_daemon._tls import client_context
 from kingcuplug_query import ConnectFailed, HttpBackendClient, SubRequest
 
-from tests.conftest import RunningDeployment, running_deployment
+from tests.conftest import DeploymentThread, running_deployment
 from tests.daemon._certificates import CertificateAuthority
 
 
@@ -46,7 +46,7 @@
 @pytest.fixture(scope="module")
 def tls_deployment(
     folder: Path, authority: CertificateAuthority
-) -> Iterator[RunningDeployment]:
+) -> Iterator[DeploymentThread]:
     """Return a deployment in which everything uses TLS and tokens."""
     with running_deployment(
         entry_hosts=2,
@@ -59,7 +59,7 @@
 
 @pytest.fixture
 def operator(
-    tls_deployment: RunningDeployment, authority: CertificateAuthority, tmp_path: Path
+    tls_deployment: DeploymentThread, authority: CertificateAuthority, tmp_path: Path
 ) -> Any:
     """Return a function that creates a client with a token and an authority."""
 
@@ -73,7 +73,7 @@
     return make
 
 
-def test_everything_runs_over_tls(tls_deployment: RunningDeployment, operator: Any):
+def test_everything_runs_over_tls(tls_deployment: DeploymentThread, operator: Any):
     """Guards against TLS settings that work in no complete deployment."""
     status, answer = tls_deployment.call("stock", "query", {"body": {"band": "black"}})
     assert (status, answer["coverage"]) == (200, 1.0)
@@ -87,7 +87,7 @@
 
 
 def test_plain_text_requests_are_rejected(
-    tls_deployment: RunningDeployment, operator: Any
+    tls_deployment: DeploymentThread, operator: Any
 ):
     """Guards against a listener that accepts plain text."""
     with pytest.raises(aiohttp.ClientError):
@@ -102,7 +102,7 @@
 
 def test_operator_rejects_host_of_an_untrusted_authority(
     operator: Any,
-    tls_deployment: RunningDeployment,
+    tls_deployment: DeploymentThread,
     untrusted_authority: CertificateAuthority,
 ):
     """Guards against sending the token to another process at the host's address."""
@@ -119,7 +119,7 @@
 
 
 def test_peers_need_a_certificate_of_the_authority(
-    tls_deployment: RunningDeployment,
+    tls_deployment: DeploymentThread,
     authority: CertificateAuthority,
     untrusted_authority: CertificateAuthority,
 ):
@@ -154,7 +154,7 @@
 
 
 def test_peer_rejects_host_of_an_untrusted_authority(
-    tls_deployment: RunningDeployment,
+    tls_deployment: DeploymentThread,
     authority: CertificateAuthority,
     untrusted_authority: CertificateAuthority,
 ):
@@ -190,7 +190,7 @@
 
 
 def test_sub_requests_need_a_server_of_the_authority(
-    tls_deployment: RunningDeployment,
+    tls_deployment: DeploymentThread,
     authority: CertificateAuthority,
     untrusted_authority: CertificateAuthority,
 ):
@@ -226,7 +226,7 @@
 
 @pytest.fixture
 def own_host(
-    tls_deployment: RunningDeployment, authority: CertificateAuthority, tmp_path: Path
+    tls_deployment: DeploymentThread, authority: CertificateAuthority, tmp_path: Path
 ) -> Iterator[Host]:
     """Return an entry host with a separate identity and separate tokens."""
     tls = authority.issue_identity()
@@ -277,7 +277,7 @@
 
 
 def test_certificates_are_reloaded_without_a_restart(
-    tls_deployment: RunningDeployment, authority: CertificateAuthority, own_host: Host
+    tls_deployment: DeploymentThread, authority: CertificateAuthority, own_host: Host
 ):
     """Guards against an outage when the certificates of running hosts expire."""
     tls = own_host.settings.peer_tls
@@ -302,7 +302,7 @@
 
 
 def test_a_new_authority_is_accepted_beside_the_old_one(
-    tls_deployment: RunningDeployment,
+    tls_deployment: DeploymentThread,
     authority: CertificateAuthority,
     own_host: Host,
     folder: Path,
@@ -330,7 +330,7 @@
 
 
 def test_a_reload_of_unusable_files_changes_nothing(
-    tls_deployment: RunningDeployment, authority: CertificateAuthority, own_host: Host
+    tls_deployment: DeploymentThread, authority: CertificateAuthority, own_host: Host
 ):
     """Guards against an outage caused by a mistake during a renewal."""
     tls = own_host.settings.peer_tls
@@ -372,7 +372,7 @@
     [("operator/status", "operator-1"), ("servers/announce", "announce-1")],
 )
 def test_wrong_tokens_get_typed_refusals(
-    tls_deployment: RunningDeployment, own_host: Host, path: str, valid_token: str
+    tls_deployment: DeploymentThread, own_host: Host, path: str, valid_token: str
 ):
     """Guards against an interface that accepts another interface's token."""
     for token in (None, "", "operator-2", "operator-1x", "announce-1x", "é"):
@@ -388,7 +388,7 @@
 
 
 def test_tokens_are_reloaded_and_may_overlap(
-    tls_deployment: RunningDeployment, own_host: Host
+    tls_deployment: DeploymentThread, own_host: Host
 ):
     """Guards against a token change that locks out operators until they switch."""
     path = own_host.settings.operator_token_file
@@ -409,7 +409,7 @@
 
 
 def test_wrong_token_raises_command_refused(
-    tls_deployment: RunningDeployment, operator: Any
+    tls_deployment: DeploymentThread, operator: Any
 ):
     """Guards against reporting a wrong token as an unreachable host."""
     with pytest.raises(CommandRefused) as refusal:
--- a/tests/system/test_processes.py
+++ b/tests/system/test_processes.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 import pytest
-from kingcuplug_cli import Journal, StandIn, StandInService
-from kingcuplug_common import identifier
+from kingcuplug_cli import ExecutionCounts, StandInServer, StandInService
+from kingcuplug_common import random_identifier
 from kingcuplug_testkit import HostProcess, ProcessSet
 
 pytestmark = pytest.mark.system
@@ -48,7 +48,7 @@
     )["number"]
     while True:
         change = {
-            "change_id": identifier(),
+            "change_id": random_identifier(),
             "base_revision": revision,
             "text": _configuration_text(revision + 1),
             "author": "test",
@@ -95,7 +95,7 @@
         await asyncio.sleep(0.05)
 
 
-def _check_orders(history: ClientHistory, journal: Journal) -> None:
+def _check_orders(history: ClientHistory, journal: ExecutionCounts) -> None:
     for key, outcomes in history.order_outcomes.items():
         runs = journal.orders[key]
         assert runs <= 1, f"order {key} ran {runs} times: {outcomes}"
@@ -188,10 +188,12 @@
             await asyncio.sleep(0.1)
 
 
-def _make_servers(process_set: ProcessSet, journal: Journal) -> list[StandIn]:
+def _make_servers(
+    process_set: ProcessSet, journal: ExecutionCounts
+) -> list[StandInServer]:
     service = StandInService(_SERVICE, slots=3, connections=30, connection_cost_ms=1.0)
     return [
-        StandIn(
+        StandInServer(
             f"{_SERVICE}-s{number}",
             service,
             f"zone-{number + 1}",
@@ -206,7 +208,7 @@
 
 async def _run_scenario(folder: Path, fault: Fault) -> None:
     process_set = ProcessSet(_HOST_COUNT, folder)
-    journal, history = Journal(), ClientHistory()
+    journal, history = ExecutionCounts(), ClientHistory()
     servers = _make_servers(process_set, journal)
     load: list[asyncio.Task[Any]] = []
     try:
@@ -215,7 +217,7 @@
             process_set.hosts[0],
             "configuration",
             {
-                "change_id": identifier(),
+                "change_id": random_identifier(),
                 "base_revision": 0,
                 "text": _configuration_text(0),
                 "author": "test",
--- a/tools/measure_tracing.py
+++ b/tools/measure_tracing.py
@@ -6,7 +6,7 @@
 from contextlib import nullcontext
 from pathlib import Path
 
-from kingcuplug_common import request_span, start_hop, traceparent, tracer
+from kingcuplug_common import open_tracer, request_span, start_hop, traceparent
 
 _RUNS_PER_REPEAT = 20_000
 _REPEATS = 7
@@ -37,7 +37,7 @@
     """Measure and print."""
     with (
         tempfile.TemporaryDirectory() as folder,
-        tracer(Path(folder) / "trace.jsonl", 1.0) as spans,
+        open_tracer(Path(folder) / "trace.jsonl", 1.0) as spans,
     ):
         overhead_us = best_us(run_empty)
         for name, flag in (("no request", None), ("not sampled", 0), ("sampled", 1)):
