--- a/packages/gateway/src/kingcuplug_gateway/__init__.py
+++ b/packages/gateway/src/kingcuplug_gateway/__init__.py
@@ -1,7 +1,7 @@
 """Route table, and the forwarding of callers' requests to backend servers."""
 
 from kingcuplug_gateway._gateway import Gateway
-from kingcuplug_gateway._gathering import NotGathering
+from kingcuplug_gateway._gather_client import NotGathering
 from kingcuplug_gateway._header_names import HeaderNames
 from kingcuplug_gateway._routes import (
     Route,
--- a/packages/gateway/src/kingcuplug_gateway/_gateway.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gateway.py
@@ -25,19 +25,19 @@
     startup_wait_until,
 )
 
-from kingcuplug_gateway._call import OutboundRequest, ServiceCall
-from kingcuplug_gateway._gatherer import GatherServer
-from kingcuplug_gateway._gathering import (
+from kingcuplug_gateway._gather_client import (
     CallPeer,
     GathererDirectory,
     GatherRecord,
     NotGathering,
     gather_from_peer,
 )
+from kingcuplug_gateway._gather_server import GatherServer
 from kingcuplug_gateway._request_log import RequestLog, RequestResult
 from kingcuplug_gateway._routes import Route, RouteTable
 from kingcuplug_gateway._scatter import ScatterQuery
 from kingcuplug_gateway._servers import ServerInfo, ServerTable, ServicePool
+from kingcuplug_gateway._service_call import OutboundRequest, ServiceCall
 from kingcuplug_gateway._settings import GatewaySettings
 from kingcuplug_gateway._weighted_round_robin import WeightedRoundRobin
 
--- a/packages/gateway/src/kingcuplug_gateway/_gathering.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gather_client.py
@@ -8,7 +8,6 @@
 from kingcuplug_common import EventLog, KingcuplugError, random_identifier
 from kingcuplug_routing import Delegation, LatencyEstimator, PartialAnswerPolicy
 
-from kingcuplug_gateway._call import OutboundRequest
 from kingcuplug_gateway._gather_messages import (
     GatherReply,
     GatherRequest,
@@ -16,6 +15,7 @@
 )
 from kingcuplug_gateway._routes import Route
 from kingcuplug_gateway._scatter import ScatterQuery
+from kingcuplug_gateway._service_call import OutboundRequest
 
 __all__ = [
     "CallPeer",
--- a/packages/gateway/src/kingcuplug_gateway/_gatherer.py
+++ b/packages/gateway/src/kingcuplug_gateway/_gather_server.py
@@ -7,15 +7,15 @@
 from kingcuplug_common import EventLog
 from kingcuplug_routing import LatencyEstimator, PartialAnswerPolicy
 
-from kingcuplug_gateway._call import OutboundRequest, ServiceCall
+from kingcuplug_gateway._gather_client import NotGathering
 from kingcuplug_gateway._gather_messages import (
     GatherReply,
     GatherRequest,
     RemainderRequest,
     decode_request,
 )
-from kingcuplug_gateway._gathering import NotGathering
 from kingcuplug_gateway._scatter import merge_records
+from kingcuplug_gateway._service_call import OutboundRequest, ServiceCall
 
 __all__ = ["GatherServer", "UnknownGathering"]
 
--- a/packages/gateway/src/kingcuplug_gateway/_request_log.py
+++ b/packages/gateway/src/kingcuplug_gateway/_request_log.py
@@ -7,9 +7,9 @@
 from kingcuplug_common import EventLog, Metrics
 from kingcuplug_http import Request
 
-from kingcuplug_gateway._call import ServiceCall
-from kingcuplug_gateway._gathering import GatherRecord
+from kingcuplug_gateway._gather_client import GatherRecord
 from kingcuplug_gateway._routes import Route
+from kingcuplug_gateway._service_call import ServiceCall
 
 __all__ = ["RequestLog", "RequestResult"]
 
--- a/packages/gateway/src/kingcuplug_gateway/_scatter.py
+++ b/packages/gateway/src/kingcuplug_gateway/_scatter.py
@@ -8,7 +8,7 @@
 
 from kingcuplug_routing import PartialAnswerPolicy
 
-from kingcuplug_gateway._call import ServiceCall
+from kingcuplug_gateway._service_call import ServiceCall
 
 __all__ = ["RECORD_BYTES", "MergedAnswer", "ScatterQuery", "merge_records"]
 
--- a/packages/log/src/kingcuplug_log/_leadership.py
+++ b/packages/log/src/kingcuplug_log/_leadership.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from kingcuplug_log._changes import MembershipChanges
 from kingcuplug_log._errors import NotLeader
 from kingcuplug_log._group_membership import quorum_size
+from kingcuplug_log._membership_changes import MembershipChanges
 from kingcuplug_log._progress import Progress
 from kingcuplug_log._replica_state import ReplicaState
 from kingcuplug_log._types import Entry, EntryKind, PeerStatus
--- a/packages/log/src/kingcuplug_log/_replica.py
+++ b/packages/log/src/kingcuplug_log/_replica.py
@@ -17,7 +17,7 @@
     StorageFailed,
     WrongIdentity,
 )
-from kingcuplug_log._following import Follower
+from kingcuplug_log._follower import Follower
 from kingcuplug_log._group_membership import members_entry_data
 from kingcuplug_log._leadership import Leadership
 from kingcuplug_log._messages import (
--- a/packages/query/src/kingcuplug_query/_backend_client.py
+++ b/packages/query/src/kingcuplug_query/_backend_client.py
@@ -16,7 +16,7 @@
 from kingcuplug_common import KingcuplugError, traceparent
 from kingcuplug_routing import Ticket
 
-from kingcuplug_query._expiry import CoarseTimer
+from kingcuplug_query._coarse_timeouts import CoarseTimer
 from kingcuplug_query._messages import ReplyInvalid, SubReply, SubRequest, parse_reply
 
 __all__ = [
--- a/packages/query/src/kingcuplug_query/_orders.py
+++ b/packages/query/src/kingcuplug_query/_orders.py
@@ -44,7 +44,6 @@
     SendSubRequest,
 )
 from kingcuplug_query._background_tasks import BackgroundTasks
-from kingcuplug_query._gather import OUTCOME_BY_STATUS
 from kingcuplug_query._messages import (
     Answer,
     OrderRequest,
@@ -61,6 +60,7 @@
 )
 from kingcuplug_query._query import RevisionView, ServiceRuntime, fingerprint_of
 from kingcuplug_query._query_refusals import require_dependency_served
+from kingcuplug_query._scatter_gather import OUTCOME_BY_STATUS
 from kingcuplug_query._snapshots import choose_snapshot, shard_of
 
 __all__ = ["OrderExecutor"]
--- a/packages/query/src/kingcuplug_query/_query.py
+++ b/packages/query/src/kingcuplug_query/_query.py
@@ -23,11 +23,6 @@
 
 from kingcuplug_query._backend_client import CancelAttempt, SendSubRequest
 from kingcuplug_query._background_tasks import BackgroundTasks
-from kingcuplug_query._gather import (
-    RequestRetryBudget,
-    ScatterGather,
-    ScatterGatherContext,
-)
 from kingcuplug_query._merge import merge
 from kingcuplug_query._messages import Answer, QueryRequest, ReplyStatus, SubReply
 from kingcuplug_query._query_refusals import (
@@ -38,6 +33,11 @@
     snapshot_unknown_refusal,
     with_outcome_kind,
 )
+from kingcuplug_query._scatter_gather import (
+    RequestRetryBudget,
+    ScatterGather,
+    ScatterGatherContext,
+)
 from kingcuplug_query._snapshots import choose_snapshot, wanted_shards
 
 __all__ = ["QueryExecutor", "RevisionView", "ServiceRuntime", "fingerprint_of"]
--- a/packages/routing/src/kingcuplug_routing/__init__.py
+++ b/packages/routing/src/kingcuplug_routing/__init__.py
@@ -1,13 +1,17 @@
 """Replica choice, limits, hedging, retry budgets and the crash guard."""
 
 from kingcuplug_routing._admission import Admission, AdmissionContext
-from kingcuplug_routing._blames import CrashGuardSettings, CrashSuspect
-from kingcuplug_routing._completeness import PartialAnswerPolicy
+from kingcuplug_routing._concurrency_limiter import (
+    ConcurrencyLimiter,
+    concurrency_limit,
+)
 from kingcuplug_routing._crash_guard import CrashGuard
+from kingcuplug_routing._crash_history import CrashGuardSettings, CrashSuspect
 from kingcuplug_routing._delegation import Delegation, delegate
-from kingcuplug_routing._paces import LatencySamples, SlowServerDetector
+from kingcuplug_routing._latency_estimator import LatencyEstimator
+from kingcuplug_routing._partial_answer import PartialAnswerPolicy
 from kingcuplug_routing._policy import RoutingPolicy, baseline_policy
-from kingcuplug_routing._replicas import ReplicaState, choose_replica
+from kingcuplug_routing._replica_scoring import ReplicaState, choose_replica
 from kingcuplug_routing._retry_budget import (
     RetryBudget,
     RetryBudgetSettings,
@@ -21,9 +25,8 @@
     power_of_two_choices,
     random_replica,
 )
+from kingcuplug_routing._slow_servers import LatencySamples, SlowServerDetector
 from kingcuplug_routing._ticket import Ticket
-from kingcuplug_routing._timing import LatencyEstimator
-from kingcuplug_routing._turnstile import ConcurrencyLimiter, concurrency_limit
 from kingcuplug_routing._types import (
     Attempt,
     AttemptOutcome,
--- a/packages/routing/src/kingcuplug_routing/_crash_guard.py
+++ b/packages/routing/src/kingcuplug_routing/_crash_guard.py
@@ -12,7 +12,11 @@
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, replace
 
-from kingcuplug_routing._blames import CrashGuardSettings, CrashHistory, CrashSuspect
+from kingcuplug_routing._crash_history import (
+    CrashGuardSettings,
+    CrashHistory,
+    CrashSuspect,
+)
 from kingcuplug_routing._refusals import fingerprint_quarantined
 from kingcuplug_routing._types import AttemptOutcome
 
--- a/packages/routing/src/kingcuplug_routing/_router.py
+++ b/packages/routing/src/kingcuplug_routing/_router.py
@@ -5,7 +5,6 @@
 from math import inf
 from random import Random
 
-from kingcuplug_routing._budget import TokenBucket
 from kingcuplug_routing._fleet import Fleet
 from kingcuplug_routing._policy import RoutingPolicy
 from kingcuplug_routing._queueing import waiting_is_faster, wake, wake_all
@@ -18,6 +17,7 @@
 from kingcuplug_routing._server import Server
 from kingcuplug_routing._statistics import ServiceStatistics
 from kingcuplug_routing._ticket import Ticket
+from kingcuplug_routing._token_bucket import TokenBucket
 from kingcuplug_routing._types import (
     Attempt,
     AttemptOutcome,
--- a/packages/soak/src/kingcuplug_soak/_checks.py
+++ b/packages/soak/src/kingcuplug_soak/_consistency.py
@@ -9,7 +9,7 @@
 from kingcuplug_http import Response
 from kingcuplug_platform import HEADER_NAMES
 
-from kingcuplug_soak._backends import Execution, FakeServerPool
+from kingcuplug_soak._fake_servers import Execution, FakeServerPool
 
 __all__ = ["CallerAttempt", "ConsistencyChecker"]
 
--- a/packages/soak/src/kingcuplug_soak/_fault_injection.py
+++ b/packages/soak/src/kingcuplug_soak/_fault_injection.py
@@ -5,7 +5,7 @@
 import signal
 from collections.abc import Awaitable, Callable
 
-from kingcuplug_soak._backends import FakeServer, FakeServerPool
+from kingcuplug_soak._fake_servers import FakeServer, FakeServerPool
 from kingcuplug_soak._hosts import HostCluster, HostProcess
 from kingcuplug_soak._traffic import ORDER_SERVICE, Operator
 
--- a/packages/soak/src/kingcuplug_soak/_run.py
+++ b/packages/soak/src/kingcuplug_soak/_run.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from kingcuplug_soak._backends import FakeServerPool
-from kingcuplug_soak._checks import ConsistencyChecker
+from kingcuplug_soak._consistency import ConsistencyChecker
+from kingcuplug_soak._fake_servers import FakeServerPool
 from kingcuplug_soak._fault_injection import FaultInjector
 from kingcuplug_soak._hosts import HostCluster
 from kingcuplug_soak._traffic import TOP_RECORDS, CallerTraffic, Operator
--- a/packages/soak/src/kingcuplug_soak/_traffic.py
+++ b/packages/soak/src/kingcuplug_soak/_traffic.py
@@ -11,7 +11,7 @@
 from kingcuplug_gateway import Route, RouteTable, ServiceSettings, WeightedService
 from kingcuplug_platform import DOCUMENT_PATH, HEADER_NAMES, encode_document
 
-from kingcuplug_soak._checks import CallerAttempt, ConsistencyChecker
+from kingcuplug_soak._consistency import CallerAttempt, ConsistencyChecker
 from kingcuplug_soak._hosts import HostProcess
 from kingcuplug_soak._http_client import send_request
 
--- a/tests/query/test_expiry.py
+++ b/tests/query/test_coarse_timeouts.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from kingcuplug_query._expiry import CoarseTimer
+from kingcuplug_query._coarse_timeouts import CoarseTimer
 from kingcuplug_testkit import run_virtual
 
 
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -7,8 +7,8 @@
 from kingcuplug_gateway import merge_records
 from kingcuplug_http import Response
 from kingcuplug_soak import SoakSettings, soak
-from kingcuplug_soak._backends import Execution, FakeServerPool
-from kingcuplug_soak._checks import CallerAttempt, ConsistencyChecker
+from kingcuplug_soak._consistency import CallerAttempt, ConsistencyChecker
+from kingcuplug_soak._fake_servers import Execution, FakeServerPool
 
 
 @pytest.mark.system
